--- a/emulator/capacity/peer_probes.py
+++ b/emulator/capacity/peer_probes.py
@@ -17,6 +17,7 @@
 from hopstep.adapters.peer_codec import PeerCodec, encoded_size
 from hopstep.adapters.peer_keys import PeerKeys
 from hopstep.domain.engines import EngineFacts, LoadReport
+from hopstep.domain.entry_table import EntryTable
 from hopstep.domain.membership.table import MemberTable
 from hopstep.domain.peer_message import (
     EngineEntry,
@@ -27,7 +28,6 @@
     MemberState,
     Ping,
 )
-from hopstep.domain.rumours import EntryTable
 
 ENTRY_COUNTS = (250, 500, 1_000, 2_000)
 ENTRIES_A_DATAGRAM = (0, 4, 8, 16)
--- a/emulator/exchange_platform/instances.py
+++ b/emulator/exchange_platform/instances.py
@@ -16,7 +16,12 @@
 from hopstep.domain.exchanges.instances import Instance
 from hopstep.domain.exchanges.request import Headers
 from hopstep.domain.exchanges.serving import RequestKind
-from hopstep.domain.instance_notices import InstanceNotice, LimitWord, NoticeListener, ignore_notice
+from hopstep.domain.instance_notices import (
+    InstanceNotice,
+    LimitNotice,
+    NoticeListener,
+    ignore_notice,
+)
 from hopstep.domain.quarantine.crashes import InstanceSign
 from hopstep.exceptions import ErrorCode, Execution
 from hopstep.ports.instance_calls import (
@@ -136,7 +141,7 @@
         ``sheds_for`` is the rest that refusals ask for, ``names_limit`` the requests a second that
         it takes from all nodes together.
         """
-        return InstanceNotice(self.says_leaving, self.sheds_for, LimitWord(self.names_limit))
+        return InstanceNotice(self.says_leaving, self.sheds_for, LimitNotice(self.names_limit))
 
     async def work(self, seconds: float) -> None:
         """Let a request's work take time.
--- a/emulator/exchange_platform/store.py
+++ b/emulator/exchange_platform/store.py
@@ -13,7 +13,7 @@
 from emulator.http_responses import json_response, lost_response
 from emulator.platform.shared_store import SharedStore
 from hopstep.adapters import key_value_store_wire as wire
-from hopstep.domain.store_place import UNTOLD_ERA
+from hopstep.domain.store_position import UNSPECIFIED_ERA
 from hopstep.exceptions import (
     ErrorCode,
     StoreConflictError,
@@ -167,7 +167,7 @@
 
 def _tell_era(response: quart.Response, era: int) -> quart.Response:
     """Name in an answer the era in which it was made, where the store tells one."""
-    if era != UNTOLD_ERA:
+    if era != UNSPECIFIED_ERA:
         response.headers[ERA_HEADER] = str(era)
     return response
 
--- a/emulator/platform/in_memory.py
+++ b/emulator/platform/in_memory.py
@@ -7,7 +7,7 @@
 from emulator.platform.machine_list import MachineListModel
 from emulator.platform.shared_store import Effect, SharedStore
 from hopstep.adapters import key_value_store_wire as wire
-from hopstep.domain.store_place import StoreLease, StorePlace
+from hopstep.domain.store_position import StoreLease, StorePosition
 from hopstep.exceptions import ErrorCode, StoreError, StoreOutcomeUnknownError
 from hopstep.ports.key_value_store import (
     KeyValueStorePort,
@@ -55,30 +55,30 @@
     async def compare_and_swap(
         self,
         key: str,
-        expected_version: StorePlace,
+        expected_version: StorePosition,
         value: bytes,
         lease: StoreLease | None = None,
-    ) -> StorePlace:
+    ) -> StorePosition:
         """Write one key at an expected version; see the port."""
         name = lease.name if lease is not None else ""
         operation = wire.CompareAndSwap(key, expected_version.revision, value, name)
         effect = await self._call(operation)
         require_write_era(expected_version, lease, effect.era)
-        return StorePlace(effect.era, effect.result)
+        return StorePosition(effect.era, effect.result)
 
-    async def delete(self, key: str, expected_version: StorePlace) -> None:
+    async def delete(self, key: str, expected_version: StorePosition) -> None:
         """Delete one key at an expected version; see the port."""
         effect = await self._call(wire.Delete(key, expected_version.revision))
         require_write_era(expected_version, None, effect.era)
 
-    async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
+    async def watch(self, prefix: str, after: StorePosition, wait_seconds: float) -> WatchBatch:
         """Return changes after a place; see the port."""
         operation = wire.Watch(prefix, after.revision, wait_seconds)
         effect = await self._call(operation, extra_seconds=wait_seconds)
         require_era(after.era, effect.era)
         changes: wire.Changes = effect.result
         values = tuple(item.read(effect.era) for item in changes.values)
-        return WatchBatch(StorePlace(effect.era, changes.revision), values)
+        return WatchBatch(StorePosition(effect.era, changes.revision), values)
 
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
         """Return a new lease; see the port."""
--- a/emulator/platform/server.py
+++ b/emulator/platform/server.py
@@ -21,7 +21,7 @@
     StoreFailure,
     StoreOperation,
 )
-from hopstep.domain.store_place import UNTOLD_ERA
+from hopstep.domain.store_position import UNSPECIFIED_ERA
 from hopstep.exceptions import ErrorCode, StoreError, StoreOutcomeUnknownError
 from hopstep.ports.machine_list import Machine
 
@@ -123,7 +123,7 @@
 
 def _tell_era(response: quart.Response, era: int) -> quart.Response:
     """Name in an answer the era in which it was made, where the store tells one."""
-    if era != UNTOLD_ERA:
+    if era != UNSPECIFIED_ERA:
         response.headers[ERA_HEADER] = str(era)
     return response
 
--- a/emulator/platform/store_model.py
+++ b/emulator/platform/store_model.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from hopstep.adapters import key_value_store_wire as wire
-from hopstep.domain.store_place import UNTOLD_ERA
+from hopstep.domain.store_position import UNSPECIFIED_ERA
 from hopstep.exceptions import ErrorCode, StoreConflictError, StoreError
 
 ABSENT_REVISION = 0
@@ -56,7 +56,7 @@
     """
 
     def __init__(self, history_length: int = DEFAULT_HISTORY_LENGTH) -> None:
-        self.era = UNTOLD_ERA
+        self.era = UNSPECIFIED_ERA
         self._revision = 0
         self._values: dict[str, wire.Item] = {}
         self._lease_of_key: dict[str, str] = {}
--- a/hopstep/adapters/key_value_store_http.py
+++ b/hopstep/adapters/key_value_store_http.py
@@ -10,7 +10,7 @@
 
 from hopstep.adapters import key_value_store_wire as wire
 from hopstep.adapters.platform_http import PlatformHttpClient
-from hopstep.domain.store_place import UNTOLD_ERA, StoreLease, StorePlace
+from hopstep.domain.store_position import UNSPECIFIED_ERA, StoreLease, StorePosition
 from hopstep.exceptions import (
     ErrorCode,
     StoreConflictError,
@@ -72,29 +72,29 @@
     async def compare_and_swap(
         self,
         key: str,
-        expected_version: StorePlace,
+        expected_version: StorePosition,
         value: bytes,
         lease: StoreLease | None = None,
-    ) -> StorePlace:
+    ) -> StorePosition:
         """Write one key at an expected version; see the port."""
         name = lease.name if lease is not None else ""
         operation = wire.CompareAndSwap(key, expected_version.revision, value, name)
         answer = await self._call(operation, _REVISION)
         require_write_era(expected_version, lease, answer.era)
-        return StorePlace(answer.era, answer.result)
+        return StorePosition(answer.era, answer.result)
 
-    async def delete(self, key: str, expected_version: StorePlace) -> None:
+    async def delete(self, key: str, expected_version: StorePosition) -> None:
         """Delete one key at an expected version; see the port."""
         answer = await self._call(wire.Delete(key, expected_version.revision), _NOTHING)
         require_write_era(expected_version, None, answer.era)
 
-    async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
+    async def watch(self, prefix: str, after: StorePosition, wait_seconds: float) -> WatchBatch:
         """Return changes after a place; see the port."""
         operation = wire.Watch(prefix, after.revision, wait_seconds)
         answer = await self._call(operation, _CHANGES, extra_seconds=wait_seconds)
         require_era(after.era, answer.era)
         values = tuple(item.read(answer.era) for item in answer.result.values)
-        return WatchBatch(StorePlace(answer.era, answer.result.revision), values)
+        return WatchBatch(StorePosition(answer.era, answer.result.revision), values)
 
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
         """Return a new lease; see the port."""
@@ -135,8 +135,8 @@
 
 
 def _read_era(text: str) -> int:
-    """Return the era that a header names; ``UNTOLD_ERA`` without one, or for no number."""
-    return int(text) if text.isdecimal() and text.isascii() else UNTOLD_ERA
+    """Return the era that a header names; ``UNSPECIFIED_ERA`` without one, or for no number."""
+    return int(text) if text.isdecimal() and text.isascii() else UNSPECIFIED_ERA
 
 
 def _failure(operation: wire.StoreOperation, content: bytes) -> StoreError:
--- a/hopstep/adapters/key_value_store_wire.py
+++ b/hopstep/adapters/key_value_store_wire.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from hopstep.domain.store_place import StorePlace
+from hopstep.domain.store_position import StorePosition
 from hopstep.exceptions import ErrorCode
 from hopstep.ports.key_value_store import StoredValue
 
@@ -34,7 +34,7 @@
 
     def read(self, era: int) -> StoredValue:
         """Return the value as an answer of an era shows it."""
-        return StoredValue(self.key, self.value, StorePlace(era, self.version))
+        return StoredValue(self.key, self.value, StorePosition(era, self.version))
 
 
 class Changes(msgspec.Struct, frozen=True):
--- a/hopstep/ctl/trace.py
+++ b/hopstep/ctl/trace.py
@@ -229,7 +229,7 @@
 
 def _explain_rest(last: LogLine) -> str:
     """Return what is said where all instances that may serve a request had asked for rest."""
-    if last.fields.get("retry_reason") != RetryReason.RESTING.value:
+    if last.fields.get("retry_reason") != RetryReason.BACKING_OFF.value:
         return ""
     wait_ms = last.fields.get("retry_after_ms")
     return f"; all instances of {last.fields.get('service')} rest, for {wait_ms} ms at least"
--- a/hopstep/domain/instance_standing.py
+++ b/hopstep/domain/announced_state.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 
 from hopstep.domain.instance_limit import NEVER, HeadTimes, InstanceLimit
-from hopstep.domain.instance_notices import InstanceNotice, LimitWord
+from hopstep.domain.instance_notices import InstanceNotice, LimitNotice
 from hopstep.domain.limits.limited_sends import LimitedSends
 
 OPENING_STEP_SECONDS = 0.25
@@ -18,12 +18,12 @@
 enough for a refusal of the first ones to come back (some 10 ms within a region, 40 times that where
 links are slow)."""
 
-MAX_REMEMBERED_LIVES = 4_096
+MAX_REMEMBERED_INCARNATIONS = 4_096
 """Lives whose word is remembered: a fleet of 10,000 instances, 40 in 100 of which leave while the
 store can't say so; some 0.5 MB."""
 
 
-class InstanceStanding:
+class AnnouncedState:
     """What one life of an instance has said of itself.
 
     Attributes:
@@ -36,12 +36,12 @@
     def __init__(self) -> None:
         """Have heard nothing."""
         self.leaving_since: float | None = None
-        self.resting_until = -float("inf")
+        self.backoff_until = -float("inf")
         self.limit = InstanceLimit()
         self.sends: LimitedSends | None = None
 
     @property
-    def leaves(self) -> bool:
+    def has_announced_leaving(self) -> bool:
         """Whether it has said that it leaves."""
         return self.leaving_since is not None
 
@@ -56,12 +56,12 @@
             asked_at: The request had not been sent before then.
         """
         leaving = notice.leaving and self.note_leaving(now)
-        rest = self._take_rest(now + notice.rest_seconds) if notice.rest_seconds else False
+        rest = self._take_rest(now + notice.backoff_seconds) if notice.backoff_seconds else False
         word = notice.limit
         limits = word is not None and self.take_limit(word, HeadTimes(asked_at, now, word.date))
-        return InstanceNotice(leaving, notice.rest_seconds * rest, word if limits else None)
+        return InstanceNotice(leaving, notice.backoff_seconds * rest, word if limits else None)
 
-    def take_limit(self, word: LimitWord, times: HeadTimes) -> bool:
+    def take_limit(self, word: LimitNotice, times: HeadTimes) -> bool:
         """Take what a head says of the limit, and return whether another one holds now."""
         is_news = self.limit.take(word, times)
         if self.limit.is_set and self.sends is None:
@@ -69,7 +69,7 @@
         return is_news
 
     @property
-    def heard(self) -> bool:
+    def is_limit_known(self) -> bool:
         """Whether any answer has told whether there is a limit."""
         return self.limit.times != NEVER
 
@@ -80,9 +80,9 @@
 
     def _take_rest(self, until: float) -> bool:
         """Take the end of a rest; return False when a later one is known."""
-        if until <= self.resting_until:
+        if until <= self.backoff_until:
             return False
-        self.resting_until = until
+        self.backoff_until = until
         return True
 
     def note_leaving(self, since: float) -> bool:
@@ -92,9 +92,9 @@
             self.leaving_since = since
         return is_news
 
-    def rests(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Return whether it has asked this node for rest that isn't over."""
-        return now < self.resting_until
+        return now < self.backoff_until
 
     def admits(self, active: int, now: float) -> bool:
         """Return whether it wants one more request, apart from leaving.
@@ -110,26 +110,26 @@
 
         Without the steps all that had waited for the end of a rest would come at once.
         """
-        return self.resting_until + active.bit_length() * OPENING_STEP_SECONDS
+        return self.backoff_until + active.bit_length() * OPENING_STEP_SECONDS
 
 
-class StandingBook:
+class AnnouncedStates:
     """Remembers what lives have said, also when their entries go and come back."""
 
     def __init__(self) -> None:
         """Remember nothing."""
-        self._standings: dict[str, InstanceStanding] = {}
+        self._states: dict[str, AnnouncedState] = {}
 
-    def __iter__(self) -> Iterator[tuple[str, InstanceStanding]]:
+    def __iter__(self) -> Iterator[tuple[str, AnnouncedState]]:
         """Iterate over the lives that have said something, the longest known first."""
-        return iter(tuple(self._standings.items()))
+        return iter(tuple(self._states.items()))
 
-    def of_life(self, life: str) -> InstanceStanding:
+    def of_incarnation(self, incarnation: str) -> AnnouncedState:
         """Return what a life has said; of one that has said nothing, an empty standing."""
-        return self._standings.get(life) or InstanceStanding()
+        return self._states.get(incarnation) or AnnouncedState()
 
-    def remember(self, life: str, standing: InstanceStanding) -> None:
+    def remember(self, incarnation: str, announced_state: AnnouncedState) -> None:
         """Keep what a life has said; beyond the bound the longest known is forgotten."""
-        self._standings[life] = standing
-        if len(self._standings) > MAX_REMEMBERED_LIVES:
-            del self._standings[next(iter(self._standings))]
+        self._states[incarnation] = announced_state
+        if len(self._states) > MAX_REMEMBERED_INCARNATIONS:
+            del self._states[next(iter(self._states))]
--- a/hopstep/domain/claims.py
+++ b/hopstep/domain/claims.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from hopstep.domain.store_place import StorePlace
+from hopstep.domain.store_position import StorePosition
 
 CLAIM_PREFIX = "claims/"
 """Prefix of all claims in the key-value store."""
@@ -56,7 +56,7 @@
     """
 
     key: str
-    version: StorePlace
+    version: StorePosition
     claim: Claim
 
 
--- a/hopstep/domain/exchanges/directory_feed.py
+++ b/hopstep/domain/exchanges/directory_change_log.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-from hopstep.domain.store_place import NOWHERE, StorePlace
+from hopstep.domain.store_position import NO_POSITION, StorePosition
 
 MAX_REMOVALS = 2_000
-MAX_ERAS_LEFT = 64
+MAX_ENDED_ERAS = 64
 
 Change = TypeVar("Change")
 
 
-class FeedEntry(msgspec.Struct, Generic[Change], frozen=True):
+class LoggedChange(msgspec.Struct, Generic[Change], frozen=True):
     """One key's newest change.
 
     Attributes:
@@ -30,69 +30,71 @@
     """
 
     key: str
-    place: StorePlace
+    position: StorePosition
     change: Change
     since: float
     removed: bool = False
 
 
-class DirectoryFeed(Generic[Change]):
+class DirectoryChangeLog(Generic[Change]):
     """Changes by key."""
 
     def __init__(self) -> None:
         """Know nothing yet; ``start`` says from which place on nothing is missing."""
-        self._entries: OrderedDict[str, FeedEntry[Change]] = OrderedDict()
-        self._removals: deque[tuple[str, StorePlace]] = deque()
-        self._complete_from: StorePlace | None = None
-        self._left: dict[int, StorePlace] = {}
+        self._entries: OrderedDict[str, LoggedChange[Change]] = OrderedDict()
+        self._removals: deque[tuple[str, StorePosition]] = deque()
+        self._complete_from: StorePosition | None = None
+        self._era_ends: dict[int, StorePosition] = {}
 
-    def start(self, place: StorePlace) -> None:
+    def start(self, position: StorePosition) -> None:
         """Note the place of the first snapshot; later ones change nothing."""
         if self._complete_from is None:
-            self._complete_from = place
+            self._complete_from = position
 
-    def leave(self, place: StorePlace) -> None:
+    def end_era(self, position: StorePosition) -> None:
         """Note where an era is left: what was written in it after this place isn't known."""
-        self._left[place.era] = place
-        while len(self._left) > MAX_ERAS_LEFT:
-            del self._left[next(iter(self._left))]
+        self._era_ends[position.era] = position
+        while len(self._era_ends) > MAX_ENDED_ERAS:
+            del self._era_ends[next(iter(self._era_ends))]
 
-    def put(self, entry: FeedEntry[Change]) -> bool:
+    def put(self, entry: LoggedChange[Change]) -> bool:
         """Take a change; return False when a newer one of its key is known."""
         known = self._entries.get(entry.key)
-        if known is not None and known.place >= entry.place:
+        if known is not None and known.position >= entry.position:
             return False
         self._entries[entry.key] = entry
         self._entries.move_to_end(entry.key)
         if entry.removed:
-            self._removals.append((entry.key, entry.place))
+            self._removals.append((entry.key, entry.position))
             self._forget_removals()
         return True
 
-    def get(self, key: str) -> FeedEntry[Change] | None:
+    def get(self, key: str) -> LoggedChange[Change] | None:
         """Return a key's newest change."""
         return self._entries.get(key)
 
-    def listed(self) -> list[FeedEntry[Change]]:
+    def existing(self) -> list[LoggedChange[Change]]:
         """Return the entries of keys that exist."""
         return [entry for entry in self._entries.values() if not entry.removed]
 
-    def newest(self) -> list[FeedEntry[Change]]:
+    def newest(self) -> list[LoggedChange[Change]]:
         """Return the newest change of every key, also of those that are gone."""
         return list(self._entries.values())
 
-    def after(self, place: StorePlace) -> list[FeedEntry[Change]] | None:
+    def after(self, position: StorePosition) -> list[LoggedChange[Change]] | None:
         """Return the changes after a place, oldest first; None when some aren't known.
 
         A place of an earlier era counts as long as that era was left behind it.
         """
-        if self._complete_from is None or place < self._complete_from:
+        if self._complete_from is None or position < self._complete_from:
             return None
-        if self._newest_era() > place.era and place > self._left.get(place.era, NOWHERE):
+        if self._newest_era() > position.era and position > self._era_ends.get(
+            position.era, NO_POSITION
+        ):
             return None
         newer = []
         for entry in reversed(self._entries.values()):
-            if entry.place <= place:
+            if entry.position <= position:
                 break
             newer.append(entry)
         return newer[::-1]
@@ -100,13 +102,13 @@
     def _newest_era(self) -> int:
         """Return the era of the newest change."""
         newest = next(reversed(self._entries.values()), None)
-        return newest.place.era if newest is not None else NOWHERE.era
+        return newest.position.era if newest is not None else NO_POSITION.era
 
     def _forget_removals(self) -> None:
         """Drop the oldest removals beyond the bound."""
         while len(self._removals) > MAX_REMOVALS:
-            key, place = self._removals.popleft()
+            key, position = self._removals.popleft()
             entry = self._entries.get(key)
-            if entry is not None and entry.removed and entry.place == place:
+            if entry is not None and entry.removed and entry.position == position:
                 del self._entries[key]
-                self._complete_from = max(self._complete_from or place, place)
+                self._complete_from = max(self._complete_from or position, position)
--- a/hopstep/domain/exchanges/engine_contents.py
+++ b/hopstep/domain/exchanges/engine_contents.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from hopstep.domain.exchanges.segments import SegmentKey, SegmentPicture
+from hopstep.domain.exchanges.segments import SegmentIndex, SegmentKey
 from hopstep.domain.exchanges.store_contents import CacheEvent
 
 CONFIRMED_SECONDS = 2.0
@@ -71,25 +71,23 @@
         self._kept.clear()
         self._complete_since = now
 
-    def take(
-        self, events: Iterable[CacheEvent], picture: SegmentPicture, now: float
-    ) -> Corrections:
+    def take(self, events: Iterable[CacheEvent], index: SegmentIndex, now: float) -> Corrections:
         """Take events, oldest first, and return how a picture has to change.
 
         Args:
             events: The events.
-            picture: What nodes believe of the engine.
+            index: What nodes believe of the engine.
             now: Steady clock, seconds.
         """
         if len(self._kept) > MAX_KEPT:
             self.restart(now)
         touched = self._apply(events)
         kept = [digest for digest in touched if digest in self._kept and digest in self._dropped]
-        gone = [digest for digest in touched if self._is_gone(digest, picture, now)]
-        dropped = (*gone, *self._unconfirmed(picture, now))
+        gone = [digest for digest in touched if self._is_gone(digest, index, now)]
+        dropped = (*gone, *self._unconfirmed(index, now))
         self._remember_dropped(kept, dropped)
         found = tuple(SegmentKey(digest, self._kept[digest]) for digest in kept)
-        return Corrections(found + self._first_found(picture), dropped)
+        return Corrections(found + self._first_found(index), dropped)
 
     def _apply(self, events: Iterable[CacheEvent]) -> list[int]:
         """Take events; return the segments that they are about."""
@@ -103,11 +101,11 @@
                 self._kept.pop(digest, None)
         return list(touched)
 
-    def _is_gone(self, digest: int, picture: SegmentPicture, now: float) -> bool:
+    def _is_gone(self, digest: int, index: SegmentIndex, now: float) -> bool:
         """Return whether a segment of the picture was dropped and not sent again since."""
-        if digest in self._kept or digest not in picture:
+        if digest in self._kept or digest not in index:
             return False
-        return picture.read_at(digest) < now - EVENT_DELAY_SECONDS
+        return index.read_at(digest) < now - EVENT_DELAY_SECONDS
 
     def _remember_dropped(self, kept: Iterable[int], dropped: Iterable[int]) -> None:
         """Remember what nodes were told was dropped: they must hear if it is read again."""
@@ -119,15 +117,15 @@
         while len(self._dropped) > MAX_DROPPED:
             self._dropped.popitem(last=False)
 
-    def _first_found(self, picture: SegmentPicture) -> tuple[SegmentKey, ...]:
+    def _first_found(self, index: SegmentIndex) -> tuple[SegmentKey, ...]:
         """Return, the first time, what is kept and not in the picture."""
         if self._read_first:
             return ()
         self._read_first = True
         found = self._kept.items()
-        return tuple(SegmentKey(*item) for item in found if item[0] not in picture)
+        return tuple(SegmentKey(*item) for item in found if item[0] not in index)
 
-    def _unconfirmed(self, picture: SegmentPicture, now: float) -> list[int]:
+    def _unconfirmed(self, index: SegmentIndex, now: float) -> list[int]:
         """Return segments that should have been read by now and that no event has reported."""
-        expected = picture.read_between(self._complete_since, now - CONFIRMED_SECONDS)
+        expected = index.read_between(self._complete_since, now - CONFIRMED_SECONDS)
         return [digest for digest in expected if digest not in self._kept]
--- a/hopstep/domain/exchanges/first_telling.py
+++ b/hopstep/domain/exchanges/first_peer_report.py
@@ -5,7 +5,7 @@
 NOT_EXPECTED = -float("inf")
 
 
-class FirstTelling:
+class FirstPeerReport:
     """When the first word of another node is expected.
 
     Attributes:
@@ -22,11 +22,11 @@
         """Expect the first word until a time, once there is another node."""
         self._expected_by = due_by
 
-    def note_others(self) -> None:
+    def note_other_nodes(self) -> None:
         """Note that there are other nodes."""
         self.due_by = self._expected_by
 
-    def note_told(self) -> None:
+    def note_received(self) -> None:
         """Note that another node has told what it knows."""
         self.due_by = NOT_EXPECTED
         self._expected_by = NOT_EXPECTED
--- a/hopstep/domain/exchanges/instance_table.py
+++ b/hopstep/domain/exchanges/instance_table.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Iterator
 
-from hopstep.domain.exchanges.first_telling import FirstTelling
+from hopstep.domain.announced_state import AnnouncedStates
+from hopstep.domain.exchanges.first_peer_report import FirstPeerReport
 from hopstep.domain.exchanges.instance_view import InstanceView
 from hopstep.domain.exchanges.instances import Instance, instance_id_of
-from hopstep.domain.instance_standing import StandingBook
 
 
-def is_same_life(known: Instance, newer: Instance) -> bool:
+def is_same_incarnation(known: Instance, newer: Instance) -> bool:
     """Return whether a newer entry is of the known life: so is one that tells no start."""
     return not newer.born_ms or newer.born_ms == known.born_ms
 
@@ -25,12 +25,12 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self.standings = StandingBook()
-        self.first_telling = FirstTelling()
+        self.announced_states = AnnouncedStates()
+        self.first_peer_report = FirstPeerReport()
         self._views: dict[str, InstanceView] = {}
-        self._lapsed: dict[str, float] = {}
+        self._expected_back: dict[str, float] = {}
         self._cache_tokens: dict[str, int] = {}
-        self._tell_starts: set[str] = set()
+        self._services_with_start_times: set[str] = set()
 
     def __iter__(self) -> Iterator[InstanceView]:
         """Iterate over all views."""
@@ -45,17 +45,17 @@
 
         A new life begins without experience: it holds nothing of what was believed of the last.
         """
-        self._lapsed.pop(instance.instance_id, None)
+        self._expected_back.pop(instance.instance_id, None)
         if instance.born_ms:
-            self._tell_starts.add(instance.service)
+            self._services_with_start_times.add(instance.service)
         view = self._views.get(instance.instance_id)
-        if view is not None and is_same_life(view.instance, instance):
+        if view is not None and is_same_incarnation(view.instance, instance):
             view.update(instance)
             return False
         tokens = self._cache_tokens.get(instance.service, 0)
-        standing = self.standings.of_life(str(instance.life))
+        announced_state = self.announced_states.of_incarnation(str(instance.incarnation))
         self._views[instance.instance_id] = InstanceView(
-            instance, tokens, standing, self.first_telling
+            instance, tokens, announced_state, self.first_peer_report
         )
         return True
 
@@ -65,7 +65,7 @@
         if view is not None:
             view.rejected = True
 
-    def lapse(self, instance_id: str, until: float) -> bool:
+    def expect_back(self, instance_id: str, until: float) -> bool:
         """Expect the entry of an instance back until a time; return whether that is done.
 
         Instances that aren't known, or that have said that they leave, aren't expected back.
@@ -73,22 +73,25 @@
         view = self._views.get(instance_id)
         if view is None or self.is_leaving(view.instance):
             return False
-        self._lapsed.setdefault(instance_id, until)
+        self._expected_back.setdefault(instance_id, until)
         return True
 
     def is_leaving(self, instance: Instance) -> bool:
         """Return whether an instance leaves by its entry or by its own word."""
-        return instance.draining or self.standings.of_life(str(instance.life)).leaves
+        return (
+            instance.draining
+            or self.announced_states.of_incarnation(str(instance.incarnation)).has_announced_leaving
+        )
 
     def expire(self, now: float) -> list[Instance]:
         """Forget the instances whose entries have not come back in time, and return them."""
-        expired = [name for name, until in self._lapsed.items() if now >= until]
+        expired = [name for name, until in self._expected_back.items() if now >= until]
         removed = [self.remove(instance_id) for instance_id in expired]
         return [instance for instance in removed if instance is not None]
 
     def remove(self, instance_id: str) -> Instance | None:
         """Forget an instance and return it; None when it isn't known."""
-        self._lapsed.pop(instance_id, None)
+        self._expected_back.pop(instance_id, None)
         view = self._views.pop(instance_id, None)
         return view.instance if view is not None else None
 
@@ -101,29 +104,29 @@
         """Return one view."""
         return self._views.get(instance_id)
 
-    def of_life(self, life: str) -> InstanceView | None:
+    def of_incarnation(self, incarnation: str) -> InstanceView | None:
         """Return the view of a life; None when it isn't the one that is listed.
 
         Args:
-            life: As ``str(InstanceLife)``.
+            incarnation: As ``str(InstanceIncarnation)``.
         """
-        view = self._views.get(instance_id_of(life))
-        return view if view is not None and view.life == life else None
+        view = self._views.get(instance_id_of(incarnation))
+        return view if view is not None and view.incarnation == incarnation else None
 
-    def of_told(self, life: str) -> InstanceView | None:
+    def of_reported(self, incarnation: str) -> InstanceView | None:
         """Return the view that another node's hint is of; None for another life.
 
         A hint without a start may be of the listed life: nodes of versions before lives were told
         name instances by their ids alone, and without this all that they tell would be lost.
         """
-        instance_id = instance_id_of(life)
+        instance_id = instance_id_of(incarnation)
         view = self._views.get(instance_id)
-        return view if view is not None and life in (view.life, instance_id) else None
+        return view if view is not None and incarnation in (view.incarnation, instance_id) else None
 
-    def excuse(self, seconds: float) -> None:
+    def discount_pause(self, seconds: float) -> None:
         """Leave out a time in which this node couldn't hear any instance."""
         for view in self._views.values():
-            view.excuse(seconds)
+            view.discount_pause(seconds)
 
     def trusted(self) -> list[InstanceView]:
         """Return the views whose newest entry names an instance to use, draining ones included.
@@ -155,4 +158,4 @@
         """
         if view.rejected:
             return False
-        return view.tells_start or view.instance.service not in self._tell_starts
+        return view.has_start_time or view.instance.service not in self._services_with_start_times
--- a/hopstep/domain/exchanges/instance_view.py
+++ b/hopstep/domain/exchanges/instance_view.py
@@ -6,10 +6,11 @@
 
 import msgspec
 
-from hopstep.domain.exchanges.first_telling import FirstTelling
+from hopstep.domain.announced_state import AnnouncedState
+from hopstep.domain.exchanges.first_peer_report import FirstPeerReport
 from hopstep.domain.exchanges.instances import Instance
 from hopstep.domain.exchanges.load_ledger import REPORT_SECONDS, InstanceLoad
-from hopstep.domain.exchanges.segments import SegmentPicture
+from hopstep.domain.exchanges.segments import SegmentIndex
 from hopstep.domain.instance_admission import (
     Admission,
     AskedInstance,
@@ -17,20 +18,19 @@
     Purpose,
     admission,
 )
-from hopstep.domain.instance_standing import InstanceStanding
 from hopstep.domain.rendezvous import hash_name
 
 FIRST_SUSPENSION_SECONDS = 0.4
 MAX_SUSPENSION_SECONDS = 4.0
-SILENCE_SECONDS = 1.0
+UNRESPONSIVE_SECONDS = 1.0
 """An instance that has let requests wait this long without a byte to anyone counts as silent."""
 
-SILENCE_SECONDS_PER_TOKEN = 1.0 / 10_000
+UNRESPONSIVE_SECONDS_PER_TOKEN = 1.0 / 10_000
 """An engine that reads long prompts says nothing meanwhile: a quarter of the usual speed."""
 
 SMOOTHING = 0.2
 DEFAULT_LATENCY_SECONDS = 0.1
-PICTURE_SHARE = 0.8
+INDEXED_SHARE = 0.8
 """Part of an instance's memory that is expected to be left for kept segments."""
 
 
@@ -41,23 +41,23 @@
         self,
         instance: Instance,
         cache_tokens: int = 0,
-        standing: InstanceStanding | None = None,
-        first_telling: FirstTelling | None = None,
+        announced_state: AnnouncedState | None = None,
+        first_peer_report: FirstPeerReport | None = None,
     ) -> None:
         """Start without experience.
 
         Args:
             instance: As it publishes itself.
             cache_tokens: Memory of the instance for segments.
-            standing: What this life has said of itself in answers; None for nothing yet.
-            first_telling: When this node may first hear what others know; None for no others.
+            announced_state: What this life has said of itself in answers; None for nothing yet.
+            first_peer_report: When this node may first hear what others know; None for no others.
         """
         self.instance = instance
-        self.standing = standing or InstanceStanding()
-        self._first_telling = first_telling or FirstTelling()
-        self.life = str(instance.life)
+        self.announced_state = announced_state or AnnouncedState()
+        self._first_telling = first_peer_report or FirstPeerReport()
+        self.incarnation = str(instance.incarnation)
         self.hashed = hash_name(instance.instance_id)
-        self.segments = SegmentPicture(int(cache_tokens * PICTURE_SHARE))
+        self.segments = SegmentIndex(int(cache_tokens * INDEXED_SHARE))
         self.versions: dict[str, int] = dict(instance.versions)
         self._assumed: dict[str, int] = {}
         self.active = 0
@@ -65,24 +65,24 @@
         self.latency_seconds = 0.0
         self.failure_rate = 0.0
         self.replaced = False
-        self.doubted_until = -float("inf")
+        self.presumed_ended_until = -float("inf")
         self.rejected = False
-        self.tells_start = bool(instance.born_ms)
+        self.has_start_time = bool(instance.born_ms)
         self.slowness = 1.0
         self.loading_until = 0.0
         self.suspended_until = 0.0
-        self._no_load = InstanceLoad(self.life)
+        self._no_load = InstanceLoad(self.incarnation)
         self._others = self._no_load
         self._others_at = -REPORT_SECONDS
         self._failures = 0
-        self._heard_at = 0.0
+        self._last_byte_at = 0.0
         self._waiting_since: dict[str, float] = {}
         self._shown_sequence = instance.order_sequence
 
     def update(self, instance: Instance) -> None:
         """Take a newer entry of the same life; one that tells no start keeps the known one."""
         self.rejected = False
-        self.tells_start = bool(instance.born_ms)
+        self.has_start_time = bool(instance.born_ms)
         self.instance = msgspec.structs.replace(instance, born_ms=self.instance.born_ms)
         self.show_versions(instance.versions, instance.order_sequence)
 
@@ -156,7 +156,7 @@
         """Return how many other nodes send the instance nothing for now."""
         return self._others_now(now).avoided_by
 
-    def set_others(self, load: InstanceLoad | None, now: float) -> None:
+    def set_load_of_others(self, load: InstanceLoad | None, now: float) -> None:
         """Take the load of all other nodes; None for none."""
         self._others = load or self._no_load
         self._others_at = now
@@ -171,7 +171,7 @@
         """Note the first byte of an answer's body."""
         if self._waiting_since.pop(request_id, None) is not None:
             self.pending_tokens -= uncached_tokens
-        self.heard(now)
+        self.note_received_byte(now)
 
     def end(self, request_id: str, uncached_tokens: int) -> None:
         """Count a request out."""
@@ -179,9 +179,9 @@
         if self._waiting_since.pop(request_id, None) is not None:
             self.pending_tokens -= uncached_tokens
 
-    def heard(self, now: float) -> None:
+    def note_received_byte(self, now: float) -> None:
         """Note a byte from the instance."""
-        self._heard_at = now
+        self._last_byte_at = now
 
     def succeeded(self, seconds: float) -> None:
         """Learn from a whole answer.
@@ -213,9 +213,9 @@
         """Send nothing there before a time, as long as there are others."""
         self.suspended_until = max(self.suspended_until, until)
 
-    def excuse(self, seconds: float) -> None:
+    def discount_pause(self, seconds: float) -> None:
         """Leave out a time in which this node couldn't hear anything."""
-        self._heard_at += seconds
+        self._last_byte_at += seconds
         for request_id in self._waiting_since:
             self._waiting_since[request_id] += seconds
 
@@ -231,7 +231,7 @@
                 instance may serve.
         """
         asked = AskedInstance(
-            self.standing,
+            self.announced_state,
             self._listed(now),
             self.active,
             last_requests_seconds,
@@ -252,21 +252,27 @@
         """Return what the directory has against sending anything; None for nothing."""
         if self.rejected:
             return Barrier.UNTRUSTED
-        if self.replaced or now < self.doubted_until:
+        if self.replaced or now < self.presumed_ended_until:
             return Barrier.ENDED
         return Barrier.DRAINING if self.instance.draining else None
 
-    def is_silent(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return whether requests wait although nothing came from the instance for long."""
         if not self._waiting_since:
             return False
         oldest = min(self._waiting_since.values())
-        patience = SILENCE_SECONDS + self.total_pending_tokens(now) * SILENCE_SECONDS_PER_TOKEN
-        return now - max(oldest, self._heard_at) > patience
+        patience = (
+            UNRESPONSIVE_SECONDS + self.total_pending_tokens(now) * UNRESPONSIVE_SECONDS_PER_TOKEN
+        )
+        return now - max(oldest, self._last_byte_at) > patience
 
     def is_usable(self, now: float) -> bool:
         """Return whether a new request may be sent with good hope."""
-        return now >= self.suspended_until and now >= self.loading_until and not self.is_silent(now)
+        return (
+            now >= self.suspended_until
+            and now >= self.loading_until
+            and not self.is_unresponsive(now)
+        )
 
     def _others_now(self, now: float) -> InstanceLoad:
         """Return the load of other nodes, as long as it is recent."""
--- a/hopstep/domain/exchanges/instances.py
+++ b/hopstep/domain/exchanges/instances.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-LIFE_SEPARATOR = "@"
+INCARNATION_SEPARATOR = "@"
 """Between id and start in the text form of a life."""
 
 
-class InstanceLife(msgspec.Struct, frozen=True):
+class InstanceIncarnation(msgspec.Struct, frozen=True):
     """One start of an instance: a later one under the same id holds nothing of this one.
 
     Attributes:
@@ -24,12 +24,12 @@
     def __str__(self) -> str:
         """Return the life as nodes tell and log it."""
         return (
-            f"{self.instance_id}{LIFE_SEPARATOR}{self.born_ms}"
+            f"{self.instance_id}{INCARNATION_SEPARATOR}{self.born_ms}"
             if self.born_ms
             else self.instance_id
         )
 
-    def may_tell(self, born_ms: int) -> bool:
+    def matches_start(self, born_ms: int) -> bool:
         """Return whether a word with a start is of this life; one without may be.
 
         Starts are compared for equality only: which of two lives is the later follows from the
@@ -38,10 +38,10 @@
         return not (born_ms and self.born_ms) or born_ms == self.born_ms
 
 
-def instance_id_of(life: str) -> str:
+def instance_id_of(incarnation: str) -> str:
     """Return the id of the instance that a life in its text form is of."""
-    instance_id, separator, born_ms = life.rpartition(LIFE_SEPARATOR)
-    return instance_id if separator and born_ms.isdecimal() else life
+    instance_id, separator, born_ms = incarnation.rpartition(INCARNATION_SEPARATOR)
+    return instance_id if separator and born_ms.isdecimal() else incarnation
 
 
 class Instance(msgspec.Struct, frozen=True):
@@ -70,9 +70,9 @@
     born_ms: int = 0
 
     @property
-    def life(self) -> InstanceLife:
+    def incarnation(self) -> InstanceIncarnation:
         """Which start of the instance this is."""
-        return InstanceLife(self.instance_id, self.born_ms)
+        return InstanceIncarnation(self.instance_id, self.born_ms)
 
 
 class NamedWeights(msgspec.Struct, frozen=True):
--- a/hopstep/domain/exchanges/load_ledger.py
+++ b/hopstep/domain/exchanges/load_ledger.py
@@ -14,13 +14,13 @@
     """Requests of one or more nodes at an instance.
 
     Attributes:
-        life: The instance's life, as ``str(InstanceLife)``.
+        life: The instance's life, as ``str(InstanceIncarnation)``.
         active: Requests under way.
         pending_tokens: Prompt tokens not read yet.
         avoided_by: Nodes that send it nothing for now, because it failed.
     """
 
-    life: str
+    incarnation: str = msgspec.field(name="life")
     active: int = 0
     pending_tokens: int = 0
     avoided_by: int = 0
@@ -28,7 +28,7 @@
     def plus(self, other: InstanceLoad, sign: int = 1) -> InstanceLoad:
         """Return the sum with another load of the same instance, or the difference."""
         return InstanceLoad(
-            self.life,
+            self.incarnation,
             self.active + sign * other.active,
             self.pending_tokens + sign * other.pending_tokens,
             self.avoided_by + sign * other.avoided_by,
@@ -86,9 +86,9 @@
         self._forget(now)
         return list(self._reports)
 
-    def total(self, life: str) -> InstanceLoad:
+    def total(self, incarnation: str) -> InstanceLoad:
         """Return the sum for one instance."""
-        return self._totals.get(life, InstanceLoad(life))
+        return self._totals.get(incarnation, InstanceLoad(incarnation))
 
     def totals(self, now: float, without: str = "") -> Loads:
         """Return the sums over fresh reports.
@@ -124,14 +124,14 @@
 def add_loads(totals: Loads, loads: Iterable[InstanceLoad], sign: int = 1) -> None:
     """Add loads to sums, or take them away; empty sums are dropped."""
     for load in loads:
-        known = totals.get(load.life)
+        known = totals.get(load.incarnation)
         total = load if known is None and sign > 0 else _sum(known, load, sign)
         if total.is_empty:
-            totals.pop(load.life, None)
+            totals.pop(load.incarnation, None)
         else:
-            totals[load.life] = total
+            totals[load.incarnation] = total
 
 
 def _sum(known: InstanceLoad | None, load: InstanceLoad, sign: int) -> InstanceLoad:
     """Return a sum; an instance without a load counts as zero."""
-    return (known or InstanceLoad(load.life)).plus(load, sign)
+    return (known or InstanceLoad(load.incarnation)).plus(load, sign)
--- a/hopstep/domain/exchanges/nodes.py
+++ b/hopstep/domain/exchanges/nodes.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from hopstep.domain.rendezvous import hash_name
-from hopstep.domain.store_place import UNTOLD_ERA
+from hopstep.domain.store_position import UNSPECIFIED_ERA
 
 NODES_PER_RELAY = 24
 MAX_UNANSWERED = 3
@@ -23,11 +23,11 @@
 """Nodes of a zone behind its relays, by rank, that read the store when all relays have lost it."""
 
 
-MESSAGE_FORM = 3
+MESSAGE_FORMAT_VERSION = 3
 """Form of the messages and records that this version writes. It rises with each change after which
 an older version reads less of them; 0 is all before nodes told it (design 0029)."""
 
-FORM_WITH_ERAS = 3
+FORMAT_VERSION_WITH_ERAS = 3
 """From this form on nodes tell the era of each place in the store's history."""
 
 
@@ -60,7 +60,7 @@
     key: bytes = b""
     capacity: float = 1.0
     form: int = 0
-    era: int = UNTOLD_ERA
+    era: int = UNSPECIFIED_ERA
 
 
 class RelayPlan:
@@ -96,7 +96,7 @@
         """Count a query that was sent."""
         self._unanswered[name] = self._unanswered.get(name, 0) + 1
 
-    def note_heard(self, name: str) -> None:
+    def note_message(self, name: str) -> None:
         """Note a message of a node."""
         self._unanswered.pop(name, None)
 
@@ -137,10 +137,10 @@
                 return name
         return ""
 
-    def elsewhere(self, turn: int, count: int = 1) -> list[str]:
+    def readers_elsewhere(self, turn: int, count: int = 1) -> list[str]:
         """Return nodes that may have another way to the store; each turn the next ones."""
-        may_tell = [name for zone in self._zones for name in self._may_read(zone)]
-        others = sorted(name for name in may_tell if name != self._name)
+        readers = [name for zone in self._zones for name in self._may_read(zone)]
+        others = sorted(name for name in readers if name != self._name)
         first = turn * count
         return [others[(first + n) % len(others)] for n in range(min(count, len(others)))]
 
--- a/hopstep/domain/exchanges/gathered_news.py
+++ b/hopstep/domain/exchanges/pending_updates.py
@@ -13,16 +13,16 @@
 
 import msgspec
 
-GATHER_SECONDS = 0.04
+SENDING_INTERVAL_SECONDS = 0.04
 """A fifth of the time between two tellings of loads, which news of single prompts precede."""
 
-MAX_GATHERED = 64
+MAX_PENDING = 64
 """The latest ones; some 100 bytes each. Loads that are told regularly hold what is left out."""
 
-News = TypeVar("News")
+Update = TypeVar("Update")
 
 
-class Bundle(msgspec.Struct, Generic[News], frozen=True):
+class UpdateBatch(msgspec.Struct, Generic[Update], frozen=True):
     """News for some nodes.
 
     Attributes:
@@ -30,41 +30,43 @@
         targets: Names of nodes that haven't sent any of them.
     """
 
-    news: tuple[News, ...]
+    updates: tuple[Update, ...]
     targets: tuple[str, ...]
 
 
-class GatheredNews(Generic[News]):
+class PendingUpdates(Generic[Update]):
     """Holds news until they are sent on."""
 
-    def __init__(self, bound: int = MAX_GATHERED) -> None:
+    def __init__(self, bound: int = MAX_PENDING) -> None:
         """Hold none.
 
         Args:
             bound: Most news that are held; the oldest are left out.
         """
-        self._news: deque[tuple[str, News]] = deque(maxlen=bound)
+        self._pending: deque[tuple[str, Update]] = deque(maxlen=bound)
 
     def __len__(self) -> int:
         """Return how many are held."""
-        return len(self._news)
+        return len(self._pending)
 
-    def add(self, origin: str, news: Iterable[News]) -> None:
+    def add(self, origin: str, updates: Iterable[Update]) -> None:
         """Add news of a node, which won't get them back."""
-        self._news.extend((origin, each) for each in news)
+        self._pending.extend((origin, each) for each in updates)
 
-    def take(self, targets: Sequence[str]) -> list[Bundle[News]]:
+    def take(self, targets: Sequence[str]) -> list[UpdateBatch[Update]]:
         """Return what to send to nodes, at most one bundle for each, and hold nothing.
 
         Args:
             targets: Names of the nodes.
         """
-        held = list(self._news)
-        self._news.clear()
+        held = list(self._pending)
+        self._pending.clear()
         origins = {origin for origin, _ in held}
         others = tuple(name for name in targets if name not in origins)
-        bundles = [Bundle(tuple(news for _, news in held), others)]
+        bundles = [UpdateBatch(tuple(updates for _, updates in held), others)]
         for name in targets:
             if name in origins:
-                bundles.append(Bundle(tuple(n for origin, n in held if origin != name), (name,)))
-        return [bundle for bundle in bundles if bundle.news and bundle.targets]
+                bundles.append(
+                    UpdateBatch(tuple(n for origin, n in held if origin != name), (name,))
+                )
+        return [bundle for bundle in bundles if bundle.updates and bundle.targets]
--- a/hopstep/domain/exchanges/restored_copy.py
+++ b/hopstep/domain/exchanges/restored_backup.py
@@ -9,56 +9,56 @@
 
 from __future__ import annotations
 
-from hopstep.domain.exchanges.store_contact import RESTATED_SECONDS
-from hopstep.domain.store_place import NOWHERE, StorePlace
+from hopstep.domain.exchanges.store_contact import RELISTING_SECONDS
+from hopstep.domain.store_position import NO_POSITION, StorePosition
 
 SETTLED = -float("inf")
 
 
-class RestoredCopy:
+class RestoredBackup:
     """What a node knows of the copy from which the store came back last."""
 
     def __init__(self) -> None:
         """Know of no restore."""
-        self._place = NOWHERE
+        self._position = NO_POSITION
         self._settled_at = SETTLED
         self._lacks_configuration = False
 
-    def enter(self, place: StorePlace, now: float) -> None:
+    def enter(self, position: StorePosition, now: float) -> None:
         """Note that the store has been restored.
 
         Args:
-            place: First place seen in the new era: what has a revision up to it may be the copy's.
+            position: First one seen in the new era; revisions up to it may be those of the backup.
             now: When that was seen.
         """
-        self._place = place
-        self._settled_at = now + RESTATED_SECONDS
+        self._position = position
+        self._settled_at = now + RELISTING_SECONDS
         self._lacks_configuration = False
 
-    def see_configuration(
-        self, place: StorePlace, version: int, known_version: int, known_at: StorePlace
+    def note_configuration(
+        self, position: StorePosition, version: int, known_version: int, known_at: StorePosition
     ) -> None:
         """Take a configuration as the store holds it.
 
         Args:
-            place: Its place.
+            position: Its place.
             version: Its version.
             known_version: Version of the newest one known; 0 for none.
-            known_at: Place at which that was seen first; ``NOWHERE`` for none.
+            known_at: Place at which that was seen first; ``NO_POSITION`` for none.
         """
-        if place.era != self._place.era:
+        if position.era != self._position.era:
             return
         if version < known_version:
             self._lacks_configuration = True
             return
-        same_again = version == known_version and place.revision != known_at.revision
-        written_since = place > self._place
-        if self._lacks_configuration or written_since or (same_again and known_at != NOWHERE):
+        same_again = version == known_version and position.revision != known_at.revision
+        written_since = position > self._position
+        if self._lacks_configuration or written_since or (same_again and known_at != NO_POSITION):
             self._settled_at = SETTLED
 
-    def may_hold(self, place: StorePlace) -> bool:
+    def may_hold(self, position: StorePosition) -> bool:
         """Return whether what is shown at a place may be of the copy, not written since."""
-        return place.era == self._place.era and place <= self._place
+        return position.era == self._position.era and position <= self._position
 
     def confirms(self, sent_at: float) -> bool:
         """Return whether an answer confirms keys as of when its call was sent."""
--- a/hopstep/domain/exchanges/retry_after.py
+++ b/hopstep/domain/exchanges/retry_after.py
@@ -28,7 +28,7 @@
 MIN_SPREAD = 0.3
 """Part of a wait by which clients are spread at least, so that they don't return together."""
 
-SPREAD_BY_TOLD = 0.05
+SPREAD_PER_REFUSAL = 0.05
 """Further part for each client that was told the same lately."""
 
 MAX_SPREAD = 1.0
@@ -41,7 +41,7 @@
     OTHER_INSTANCE = "other_instance"
     STORE_AWAY = "store_away"
     LOADING = "loading"
-    RESTING = "resting"
+    BACKING_OFF = "resting"
     LIMITED = "limited"
     RELISTING = "relisting"
     QUARANTINE = "quarantine"
@@ -49,7 +49,7 @@
     UNKNOWN = "unknown"
 
 
-CERTAIN_REASONS = frozenset({RetryReason.RESTING})
+CERTAIN_REASONS = frozenset({RetryReason.BACKING_OFF})
 """Reasons whose end is known, so that an earlier return is certain to be refused."""
 
 
@@ -73,12 +73,12 @@
     code: ErrorCode
     other_instance: bool = False
     loading_seconds: float | None = None
-    resting_seconds: float | None = None
+    backoff_seconds: float | None = None
     limited_seconds: float | None = None
     relisting_seconds: float | None = None
     store_silence_seconds: float = 0.0
     others_answer: bool = False
-    told_lately: int = 0
+    recent_refusals: int = 0
 
 
 class RetryAdvice(msgspec.Struct, frozen=True):
@@ -104,11 +104,11 @@
     if facts.loading_seconds is not None:
         return RetryReason.LOADING
     if facts.limited_seconds is not None and facts.limited_seconds < _or_never(
-        facts.resting_seconds
+        facts.backoff_seconds
     ):
         return RetryReason.LIMITED
-    if facts.resting_seconds is not None:
-        return RetryReason.RESTING
+    if facts.backoff_seconds is not None:
+        return RetryReason.BACKING_OFF
     if facts.relisting_seconds is not None:
         return RetryReason.RELISTING
     return RetryReason.UNKNOWN
@@ -129,7 +129,7 @@
     reason = retry_reason(facts)
     longest = float("inf") if reason in CERTAIN_REASONS else MAX_SECONDS
     wait = min(longest, max(AT_ONCE_SECONDS, _expected_seconds(reason, facts)))
-    spread = min(MAX_SPREAD, MIN_SPREAD + SPREAD_BY_TOLD * facts.told_lately)
+    spread = min(MAX_SPREAD, MIN_SPREAD + SPREAD_PER_REFUSAL * facts.recent_refusals)
     return RetryAdvice(min(longest, wait * (1.0 + spread * draw)), reason)
 
 
@@ -142,8 +142,8 @@
             return max(DEFAULT_SECONDS, OUTAGE_SHARE * facts.store_silence_seconds)
         case RetryReason.LOADING:
             return facts.loading_seconds or DEFAULT_SECONDS
-        case RetryReason.RESTING:
-            return facts.resting_seconds or DEFAULT_SECONDS
+        case RetryReason.BACKING_OFF:
+            return facts.backoff_seconds or DEFAULT_SECONDS
         case RetryReason.LIMITED:
             return facts.limited_seconds or DEFAULT_SECONDS
         case RetryReason.RELISTING:
--- a/hopstep/domain/exchanges/rollout_tenure.py
+++ b/hopstep/domain/exchanges/rollout_lease_state.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from hopstep.domain.store_place import ABSENT, StoreLease, StorePlace
+from hopstep.domain.store_position import ABSENT, StoreLease, StorePosition
 
 ERA_BITS = 40
 """Bits of a fencing token below the era: a store that changes 1,000 times a second for 30 years."""
@@ -48,7 +48,7 @@
         holder: Who it names; None for a value that can't be read.
     """
 
-    version: StorePlace
+    version: StorePosition
     holder: RolloutHolder | None
 
     @property
@@ -66,11 +66,11 @@
         resumed: The own lease to renew instead; None to take a new one.
     """
 
-    expected: StorePlace = ABSENT
+    expected: StorePosition = ABSENT
     resumed: StoreLease | None = None
 
 
-class RolloutTenure:
+class RolloutLeaseState:
     """One node's hold on the lease."""
 
     def __init__(self, name: str, address: str, lease_seconds: float) -> None:
@@ -134,7 +134,7 @@
             return None
         return Claim(key.version, lease)
 
-    def begin(self, lease: StoreLease, version: StorePlace, sent_at: float, now: float) -> None:
+    def begin(self, lease: StoreLease, version: StorePosition, sent_at: float, now: float) -> None:
         """Hold the lease.
 
         Args:
@@ -178,6 +178,6 @@
         return self._order_from <= now <= self.valid_until - reserve_seconds
 
 
-def fencing_token(version: StorePlace) -> int:
+def fencing_token(version: StorePosition) -> int:
     """Return the number that engines compare; it rises with the version, through restores too."""
     return version.era << ERA_BITS | version.revision
--- a/hopstep/domain/exchanges/segments.py
+++ b/hopstep/domain/exchanges/segments.py
@@ -45,7 +45,7 @@
     )
 
 
-class SegmentPicture:
+class SegmentIndex:
     """Segments of one instance by least recent use, bounded by its memory.
 
     It has what was sent to the instance, also while that is still being read, less what the
--- a/hopstep/domain/exchanges/store_contact.py
+++ b/hopstep/domain/exchanges/store_contact.py
@@ -11,11 +11,11 @@
 Less than three of the instances' heartbeats of 1.2 s, after which an entry lapses.
 """
 
-RESTATED_SECONDS = 2.0
+RELISTING_SECONDS = 2.0
 """What operators and instances had in the store, and it has lost, is back so long after its return:
 entries that lapsed while it was away, and what a copy lacks."""
 
-HEARD_SECONDS = 0.6
+PROPAGATION_SECONDS = 0.6
 """Until all nodes have heard of what is written: from the store, and from whoever reads it."""
 
 ENTRY_LAPSE_SECONDS = 4.0
@@ -41,16 +41,16 @@
             started_at: Start of the node.
         """
         self.read_at = NEVER
-        self.told_at = NEVER
+        self.reported_at = NEVER
         self.away_until = NEVER
         self.relisting_until = NEVER
         self._started_at = started_at
         self._unanswered_at = NEVER
 
     @property
-    def heard_at(self) -> float:
+    def last_answer_at(self) -> float:
         """When the store last answered this node or whoever told it."""
-        return max(self.read_at, self.told_at)
+        return max(self.read_at, self.reported_at)
 
     def note_unanswered(self, sent_at: float) -> None:
         """Note a call that failed, or whose answer is overdue.
@@ -68,25 +68,25 @@
         Args:
             answered_at: When the store answered, here or elsewhere.
         """
-        away_since = max(self.heard_at, self._started_at)
+        away_since = max(self.last_answer_at, self._started_at)
         if answered_at - away_since <= AWAY_SECONDS:
             return
-        self.relisting_until = answered_at + RESTATED_SECONDS
+        self.relisting_until = answered_at + RELISTING_SECONDS
         if self._unanswered_at > away_since:
             self.away_until = self._unanswered_at
 
     def note_restore(self, now: float) -> None:
         """Note that the store has come back from a copy, which may lack entries."""
-        until = now + RESTATED_SECONDS + HEARD_SECONDS
+        until = now + RELISTING_SECONDS + PROPAGATION_SECONDS
         self.relisting_until = max(self.relisting_until, until)
 
     def note_read(self, answered_at: float) -> None:
         """Note an answer to this node."""
         self.read_at = max(self.read_at, answered_at)
 
-    def note_told(self, answered_at: float) -> None:
+    def note_reported(self, answered_at: float) -> None:
         """Note an answer to a node that has told this one all it knows."""
-        self.told_at = max(self.told_at, answered_at)
+        self.reported_at = max(self.reported_at, answered_at)
 
     def relisting_seconds(self, now: float) -> float | None:
         """Return for how long entries that lapsed may still come back; None when it is over."""
--- a/hopstep/domain/exchanges/store_contents.py
+++ b/hopstep/domain/exchanges/store_contents.py
@@ -67,7 +67,7 @@
     number: int = 0
 
 
-class ContentsNews(msgspec.Struct, frozen=True, array_like=True):
+class ContentsUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Changes of a store's contents behind a position.
 
     Attributes:
@@ -125,7 +125,7 @@
             self._number += 1
             self._put(StoredSegment(event.digest, max(0, event.tokens)))
 
-    def news_after(self, position: ContentsPosition, limit: int) -> ContentsNews:
+    def updates_after(self, position: ContentsPosition, limit: int) -> ContentsUpdate:
         """Return the changes behind a position, the oldest up to a limit.
 
         Args:
@@ -142,9 +142,9 @@
         number = part[-1][0] if part else max(known, self._number)
         now = ContentsPosition(self._address, self._identity, number)
         changes = tuple(segment for _, segment in part)
-        return ContentsNews(position, now, self.reachable, changes)
+        return ContentsUpdate(position, now, self.reachable, changes)
 
-    def take(self, news: ContentsNews) -> None:
+    def take(self, news: ContentsUpdate) -> None:
         """Take changes that another node tells, unless they don't follow what is known."""
         self.reachable = news.reachable
         if news.after != self.position:
--- a/hopstep/domain/exchanges/weights.py
+++ b/hopstep/domain/exchanges/weights.py
@@ -55,7 +55,7 @@
     since: float
 
 
-class WeightsBook:
+class NamedWeightsTable:
     """The versions that operators named, by model."""
 
     def __init__(self, bounds: WeightsBounds) -> None:
--- a/hopstep/domain/instance_admission.py
+++ b/hopstep/domain/instance_admission.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from hopstep.domain.instance_standing import InstanceStanding
+from hopstep.domain.announced_state import AnnouncedState
 
 NEVER = float("inf")
 """A barrier that doesn't end."""
@@ -31,10 +31,10 @@
     LEAVING = "leaving"
     """Its own answers say so."""
 
-    RESTING = "resting"
+    BACKING_OFF = "resting"
     """It has asked this node for rest, or opens again in steps after one."""
 
-    UNHEARD = "unheard"
+    STATE_UNKNOWN = "unheard"
     """This node has just started and hasn't heard yet what the instance takes: it gets one request
     at a time until it answers or another node tells."""
 
@@ -89,7 +89,7 @@
 
 OPEN = Admission()
 
-UNHEARD_SECONDS = 0.05
+STATE_CHECK_SECONDS = 0.05
 """Between two looks whether a node that has just started has heard of an instance."""
 
 CHOOSING = frozenset({Purpose.REQUEST, Purpose.LAST_REQUEST})
@@ -115,11 +115,11 @@
             instance may serve.
     """
 
-    standing: InstanceStanding
+    announced_state: AnnouncedState
     listed: Barrier | None = None
     active: int = 0
     last_requests_seconds: float = 0.0
-    told_by: float = -float("inf")
+    reports_due_by: float = -float("inf")
 
 
 def admission(asked: AskedInstance, purpose: Purpose, now: float) -> Admission:
@@ -136,17 +136,22 @@
         return Admission(Barrier.LEAVING)
     rest_ends_at = _rest_ends_at(asked, purpose)
     if now < rest_ends_at:
-        return Admission(Barrier.RESTING, rest_ends_at)
-    if _is_limited(asked.standing, purpose, now):
+        return Admission(Barrier.BACKING_OFF, rest_ends_at)
+    if _is_limited(asked.announced_state, purpose, now):
         return Admission(Barrier.LIMITED)
-    if purpose in CHOOSING and now < asked.told_by and asked.active and not asked.standing.heard:
-        return Admission(Barrier.UNHEARD, now + UNHEARD_SECONDS)
+    if (
+        purpose in CHOOSING
+        and now < asked.reports_due_by
+        and asked.active
+        and not asked.announced_state.is_limit_known
+    ):
+        return Admission(Barrier.STATE_UNKNOWN, now + STATE_CHECK_SECONDS)
     return OPEN
 
 
 def _leaves(asked: AskedInstance, purpose: Purpose, now: float) -> bool:
     """Return whether an instance leaves too soon for a purpose."""
-    since = asked.standing.leaving_since
+    since = asked.announced_state.leaving_since
     if since is None or purpose in PAST_LEAVING:
         return False
     if purpose is Purpose.LAST_REQUEST:
@@ -157,17 +162,17 @@
 def _rest_ends_at(asked: AskedInstance, purpose: Purpose) -> float:
     """Return when a rest is over: for one more request, in steps."""
     if purpose in CHOOSING:
-        return asked.standing.opens_at(asked.active)
-    return asked.standing.resting_until
+        return asked.announced_state.opens_at(asked.active)
+    return asked.announced_state.backoff_until
 
 
-def _is_limited(standing: InstanceStanding, purpose: Purpose, now: float) -> bool:
+def _is_limited(announced_state: AnnouncedState, purpose: Purpose, now: float) -> bool:
     """Return whether a limit is in the way.
 
     Cache events aren't read under a limit: each read would count like a request, and what is kept
     is also known from what was sent.
     """
-    sends = standing.limited_sends
+    sends = announced_state.limited_sends
     if sends is None or purpose is Purpose.SOURCE:
         return False
     if purpose is Purpose.CACHE_EVENTS:
--- a/hopstep/domain/instance_limit.py
+++ b/hopstep/domain/instance_limit.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hopstep.domain.instance_notices import AnswerKind, LimitWord
+from hopstep.domain.instance_notices import AnswerKind, LimitNotice
 
 NO_LIMIT = float("inf")
 
@@ -64,7 +64,7 @@
         """Whether there is a limit."""
         return self.per_second != NO_LIMIT
 
-    def take(self, word: LimitWord, times: HeadTimes) -> bool:
+    def take(self, word: LimitNotice, times: HeadTimes) -> bool:
         """Take what a head says, and return whether another limit holds now.
 
         An answer that names no limit lifts one only if answers of its kind have named some.
--- a/hopstep/domain/instance_notices.py
+++ b/hopstep/domain/instance_notices.py
@@ -24,7 +24,7 @@
     """To a read of cache events."""
 
 
-class LimitWord(msgspec.Struct, frozen=True):
+class LimitNotice(msgspec.Struct, frozen=True):
     """What the head of one answer says of the instance's limit.
 
     Attributes:
@@ -49,13 +49,13 @@
     """
 
     leaving: bool = False
-    rest_seconds: float = 0.0
-    limit: LimitWord | None = None
+    backoff_seconds: float = 0.0
+    limit: LimitNotice | None = None
 
     @property
     def is_empty(self) -> bool:
         """Whether the answer says nothing of the instance."""
-        return not self.leaving and not self.rest_seconds and self.limit is None
+        return not self.leaving and not self.backoff_seconds and self.limit is None
 
 
 NoticeListener = Callable[[InstanceNotice], None]
--- a/hopstep/domain/leaving_machines.py
+++ b/hopstep/domain/leaving_machines.py
@@ -42,7 +42,7 @@
         return frozenset(self._live_answers)
 
 
-class ToldMachines:
+class ReportedMachines:
     """Remembers machines that peers have told of as leaving.
 
     A live peer takes back what it told. What a peer told that has gone since stands, until the
--- a/hopstep/domain/limits/fleet_usage.py
+++ b/hopstep/domain/limits/fleet_usage.py
@@ -28,7 +28,7 @@
     """Usage of one tenant's quota, in its unit, or of one life of an instance, in requests.
 
     Attributes:
-        name: The tenant's name, or the life as ``str(InstanceLife)``.
+        name: The tenant's name, or the life as ``str(InstanceIncarnation)``.
         admitted: Within the window; to an instance, what was sent.
         offered: Within the last second, what was refused included; to an instance, what waits.
         expected: To an instance, what would be sent before the next telling, beside what waits.
--- a/hopstep/domain/limits/limit_doubt.py
+++ b/hopstep/domain/limits/limit_doubt.py
@@ -29,7 +29,7 @@
 
     Args:
         heard_at: When an answer named the limit last.
-        life: The life, as ``str(InstanceLife)``.
+        life: The life, as ``str(InstanceIncarnation)``.
         node: Name of the node.
         nodes: How many nodes may be alive.
     """
--- a/hopstep/domain/limits/limited_sends.py
+++ b/hopstep/domain/limits/limited_sends.py
@@ -66,7 +66,7 @@
         """Return what other nodes are told.
 
         Args:
-            life: The life, as ``str(InstanceLife)``.
+            life: The life, as ``str(InstanceIncarnation)``.
             now: The time.
         """
         foretold = self._demand.total(now) * FORETOLD_SECONDS / DEMAND_SECONDS
--- a/hopstep/domain/membership/state.py
+++ b/hopstep/domain/membership/state.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from hopstep.domain.entry_table import EntryTable
 from hopstep.domain.membership.actions import EntryChanged, MemberChanged, Refuted
 from hopstep.domain.membership.config import MembershipConfig
 from hopstep.domain.membership.gossip import Change, SizeOf
@@ -17,7 +18,6 @@
     MemberState,
     MemberStatus,
 )
-from hopstep.domain.rumours import EntryTable
 
 Claim = MemberRecord | MemberStatus
 
--- a/hopstep/domain/membership/synchronization.py
+++ b/hopstep/domain/membership/synchronization.py
@@ -10,6 +10,7 @@
 import random
 from collections.abc import Iterable
 
+from hopstep.domain.entry_table import EntryTable
 from hopstep.domain.membership.gossip import Change, SizeOf
 from hopstep.domain.membership.table import (
     BUCKETS,
@@ -25,7 +26,6 @@
     SyncRequest,
     SyncSummary,
 )
-from hopstep.domain.rumours import EntryTable
 
 NAMES_IN_PULL = 24
 """Names in one pull: about as many as one datagram of answers can hold."""
--- a/hopstep/domain/retry_after_header.py
+++ b/hopstep/domain/retry_after_header.py
@@ -11,14 +11,14 @@
 import re
 from collections.abc import Iterable
 
-MAX_REST_SECONDS = 600.0
+MAX_BACKOFF_SECONDS = 600.0
 """Longest time for which an instance is left alone at its own wish: the longest lease of the
 platform's store, after which an instance that doesn't speak counts as gone by any other means."""
 
 _NUMBER = re.compile(r"\d+(\.\d*)?|\.\d+")
 
 
-def rest_seconds(values: Iterable[str], date: str = "") -> float:
+def backoff_seconds(values: Iterable[str], date: str = "") -> float:
     """Return the longest time that values ask for, in seconds; 0 for none.
 
     Args:
@@ -26,7 +26,7 @@
         date: The answer's ``Date``; empty for none.
     """
     longest = max((_one_value(value, date) for value in values), default=0.0)
-    return min(longest, MAX_REST_SECONDS)
+    return min(longest, MAX_BACKOFF_SECONDS)
 
 
 def _one_value(value: str, date: str) -> float:
--- a/hopstep/domain/routing/engine_view.py
+++ b/hopstep/domain/routing/engine_view.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
+from hopstep.domain.announced_state import AnnouncedState
 from hopstep.domain.engines import EngineFacts, EngineRole, LoadReport
-from hopstep.domain.instance_standing import InstanceStanding
 
 BACKOFF_BASE_SECONDS = 0.5
 """Time for which an engine is avoided after a first failure."""
@@ -67,7 +67,7 @@
     def __init__(self) -> None:
         """Start with nothing known: such an engine may be tried."""
         self.facts: EngineFacts | None = None
-        self.standing = InstanceStanding()
+        self.standing = AnnouncedState()
         self._standing_of = ""
         self._report = LoadReport()
         self._report_at = float("-inf")
@@ -98,7 +98,7 @@
     def update_facts(self, facts: EngineFacts, now: float) -> None:
         """Take newer facts; being heard of ends a backoff, and a new incarnation has no rest."""
         if self._standing_of not in ("", facts.incarnation):
-            self.standing = InstanceStanding()
+            self.standing = AnnouncedState()
         self._standing_of = facts.incarnation
         self.facts = facts
         self._failures = 0
--- a/hopstep/domain/routing/routing_table.py
+++ b/hopstep/domain/routing/routing_table.py
@@ -32,7 +32,7 @@
 )
 from hopstep.domain.instance_notices import InstanceNotice
 from hopstep.domain.requests_in_force import choose_kv_cache_store
-from hopstep.domain.retry_after_header import MAX_REST_SECONDS
+from hopstep.domain.retry_after_header import MAX_BACKOFF_SECONDS
 from hopstep.domain.routing.engine_view import EngineView, QueuePlace
 from hopstep.domain.routing.prefix_owners import PrefixOwners
 from hopstep.domain.routing.prefix_picture import PrefixPicture
@@ -241,7 +241,7 @@
     def record_rest(self, address: str, seconds: float, now: float) -> None:
         """Send an engine nothing for the time that its refusal asked for; 0 for none."""
         if seconds > 0:
-            notice = InstanceNotice(rest_seconds=min(seconds, MAX_REST_SECONDS))
+            notice = InstanceNotice(backoff_seconds=min(seconds, MAX_BACKOFF_SECONDS))
             self._view(address).standing.take(notice, now)
 
     def admission(self, address: str, active: int, now: float) -> Admission:
--- a/hopstep/domain/store_place.py
+++ b/hopstep/domain/store_position.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-UNTOLD_ERA = 0
+UNSPECIFIED_ERA = 0
 """Era of a store that tells none."""
 
 
-class StorePlace(msgspec.Struct, frozen=True, order=True):
+class StorePosition(msgspec.Struct, frozen=True, order=True):
     """A moment of the store's history; later ones are greater.
 
     Attributes:
@@ -24,10 +24,10 @@
     revision: int
 
 
-NOWHERE = StorePlace(-1, -1)
+NO_POSITION = StorePosition(-1, -1)
 """Before anything: place of a node that knows nothing."""
 
-ABSENT = StorePlace(UNTOLD_ERA, 0)
+ABSENT = StorePosition(UNSPECIFIED_ERA, 0)
 """Version of a key that does not exist."""
 
 
--- a/hopstep/exchange_services.py
+++ b/hopstep/exchange_services.py
@@ -10,10 +10,10 @@
 
 from hopstep.domain.exchanges.freshness import freshness_limits
 from hopstep.domain.exchanges.instance_table import InstanceTable
-from hopstep.domain.exchanges.nodes import MESSAGE_FORM, NodeRecord
+from hopstep.domain.exchanges.nodes import MESSAGE_FORMAT_VERSION, NodeRecord
 from hopstep.domain.exchanges.repeat_budget import RepeatBounds
 from hopstep.domain.exchanges.store_contact import ENTRY_LAPSE_SECONDS
-from hopstep.domain.exchanges.weights import WeightsBook, WeightsBounds
+from hopstep.domain.exchanges.weights import NamedWeightsTable, WeightsBounds
 from hopstep.domain.limits.quota_ledger import QuotaBounds
 from hopstep.exchange_settings import ExchangeSettings
 from hopstep.ports.cache_events import CacheEvents
@@ -98,7 +98,7 @@
         bounds = settings.bounds
         generator = ports.generator
         self.registry = CollectorRegistry()
-        self.weights = WeightsBook(WeightsBounds(bounds.weights_ms / MILLISECONDS))
+        self.weights = NamedWeightsTable(WeightsBounds(bounds.weights_ms / MILLISECONDS))
         self.knowledge = ServingKnowledge(
             settings.name,
             record,
@@ -106,10 +106,10 @@
             self.weights,
             bounds.revocation_ms / MILLISECONDS,
         )
-        self.knowledge.table.first_telling.expect(trio.current_time() + FIRST_TELLING_SECONDS)
+        self.knowledge.table.first_peer_report.expect(trio.current_time() + FIRST_TELLING_SECONDS)
         limits = freshness_limits(min(bounds.configuration_ms, bounds.drain_ms) / MILLISECONDS)
         self.pauses = PauseWatch(generator)
-        self.pauses.on_pause(self.knowledge.table.excuse)
+        self.pauses.on_pause(self.knowledge.table.discount_pause)
         self.follower = DirectoryFollower(
             self.knowledge, ports.directory, generator, limits, self.pauses
         )
@@ -202,7 +202,7 @@
 
         Without this each other node finds that out by a request of its own.
         """
-        view = self.knowledge.table.of_life(life)
+        view = self.knowledge.table.of_incarnation(life)
         if view is not None:
             view.suspend(trio.current_time() + ENTRY_LAPSE_SECONDS)
 
@@ -246,4 +246,4 @@
     """Return a node's entry for other nodes."""
     capacity = settings.processor_share * settings.processor_cores
     address = settings.peer_public_address or settings.peer_address
-    return NodeRecord(address, settings.zone, node_key, capacity, MESSAGE_FORM)
+    return NodeRecord(address, settings.zone, node_key, capacity, MESSAGE_FORMAT_VERSION)
--- a/hopstep/platform/directory.py
+++ b/hopstep/platform/directory.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from hopstep.domain.store_place import StorePlace
+from hopstep.domain.store_position import StorePosition
 from hopstep.platform import names
 from hopstep.platform.documents import (
     ConfigurationDocument,
@@ -68,7 +68,7 @@
         """Leave the store's connections; see the port."""
         await self._store.reconnect()
 
-    async def changes(self, after: StorePlace, wait_seconds: float) -> DirectoryBatch:
+    async def changes(self, after: StorePosition, wait_seconds: float) -> DirectoryBatch:
         """Return changes; see the port."""
         batch = await self._store.watch(EVERYTHING, after, wait_seconds)
         return DirectoryBatch(batch.place, self._read_all(batch.values))
--- a/hopstep/platform/notices.py
+++ b/hopstep/platform/notices.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from hopstep.domain.instance_notices import AnswerKind, InstanceNotice, LimitWord
+from hopstep.domain.instance_notices import AnswerKind, InstanceNotice, LimitNotice
 from hopstep.domain.limit_header import limit_per_second
-from hopstep.domain.retry_after_header import rest_seconds, unix_seconds
+from hopstep.domain.retry_after_header import backoff_seconds, unix_seconds
 from hopstep.platform import names
 
 LEAVES = b"1"
@@ -28,17 +28,19 @@
     leaving = (names.LEAVING, LEAVES) in pairs
     dates = _texts(pairs, names.DATE)
     date = dates[0] if dates else ""
-    rest = rest_seconds(_texts(pairs, names.RETRY_AFTER), date) if status == TURNED_AWAY else 0.0
+    rest = backoff_seconds(_texts(pairs, names.RETRY_AFTER), date) if status == TURNED_AWAY else 0.0
     return InstanceNotice(leaving, rest, _limit_word(pairs, date, kind))
 
 
-def _limit_word(pairs: list[tuple[bytes, bytes]], date: str, kind: AnswerKind) -> LimitWord | None:
+def _limit_word(
+    pairs: list[tuple[bytes, bytes]], date: str, kind: AnswerKind
+) -> LimitNotice | None:
     """Return what a head says of the instance's limit; None for what can't be read."""
     values = _texts(pairs, names.LIMIT)
     per_second = limit_per_second(values) if values else None
     if values and per_second is None:
         return None
-    return LimitWord(per_second, unix_seconds(date), kind)
+    return LimitNotice(per_second, unix_seconds(date), kind)
 
 
 def _texts(pairs: list[tuple[bytes, bytes]], name: bytes) -> list[str]:
--- a/hopstep/platform/store.py
+++ b/hopstep/platform/store.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from hopstep.domain.store_place import UNTOLD_ERA, StoreLease, StorePlace
+from hopstep.domain.store_position import UNSPECIFIED_ERA, StoreLease, StorePosition
 from hopstep.exceptions import (
     ErrorCode,
     StoreConflictError,
@@ -59,7 +59,7 @@
     def read(self, era: int) -> StoredValue:
         """Return the stored value as an answer of an era shows it."""
         value = b"" if self.deleted else _decode_value(self.value)
-        return StoredValue(self.private_key, value, StorePlace(era, self.revision))
+        return StoredValue(self.private_key, value, StorePosition(era, self.revision))
 
 
 class _Range(msgspec.Struct, frozen=True, rename="camel"):
@@ -157,7 +157,7 @@
     async def listing(self, prefix: str) -> StoreListing:
         """Return all values; see the port."""
         page, era = await self._page(prefix, "")
-        place = StorePlace(era, page.at_revision)
+        place = StorePosition(era, page.at_revision)
         values = [item.read(era) for item in page.items]
         while page.has_more and page.items:
             page, page_era = await self._page(prefix, page.items[-1].private_key)
@@ -168,10 +168,10 @@
     async def compare_and_swap(
         self,
         key: str,
-        expected_version: StorePlace,
+        expected_version: StorePosition,
         value: bytes,
         lease: StoreLease | None = None,
-    ) -> StorePlace:
+    ) -> StorePosition:
         """Write one key; see the port."""
         put = _Put(key, base64.b64encode(value).decode(), _lease_number(lease))
         condition = _Condition(key, expected_version.revision)
@@ -179,13 +179,13 @@
         require_write_era(expected_version, lease, place.era)
         return place
 
-    async def delete(self, key: str, expected_version: StorePlace) -> None:
+    async def delete(self, key: str, expected_version: StorePosition) -> None:
         """Delete one key; see the port."""
         condition = _Condition(key, expected_version.revision)
         place = await self._transact(_Transaction([condition], removals=[key]))
         require_write_era(expected_version, None, place.era)
 
-    async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
+    async def watch(self, prefix: str, after: StorePosition, wait_seconds: float) -> WatchBatch:
         """Return changes; see the port."""
         wait = int(wait_seconds * MILLISECONDS)
         query = {"pathPrefix": prefix, "after": after.revision, "waitMs": wait}
@@ -195,7 +195,7 @@
         batch = self._decode(answer, _Events)
         require_era(after.era, answer.era)
         values = tuple(item.read(answer.era) for item in batch.events)
-        return WatchBatch(StorePlace(answer.era, batch.at_revision), values)
+        return WatchBatch(StorePosition(answer.era, batch.at_revision), values)
 
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
         """Return a new lease; see the port."""
@@ -227,13 +227,13 @@
         answer = await self._call(GET, names.STORE_RANGE, query)
         return self._decode(answer, _Range), answer.era
 
-    async def _transact(self, transaction: _Transaction) -> StorePlace:
+    async def _transact(self, transaction: _Transaction) -> StorePosition:
         """Carry out a transaction and return its place."""
         body = msgspec.json.encode(transaction)
         answer = await self._call(POST, names.STORE_TRANSACTION, body=body)
         if answer.status in (CONDITION_FAILED, NOT_FOUND):
             raise StoreConflictError(ErrorCode.STORE_CONFLICT, "the condition doesn't hold")
-        return StorePlace(answer.era, self._decode(answer, _Written).revision)
+        return StorePosition(answer.era, self._decode(answer, _Written).revision)
 
     def _decode(self, answer: _Answer, document: type[Document]) -> Document:
         """Return the document of an answer, and tell of its fields that nothing reads."""
@@ -277,11 +277,11 @@
 
 
 def _read_era(headers: Sequence[tuple[bytes, bytes]]) -> int:
-    """Return the era that an answer names; ``UNTOLD_ERA`` when it names none, or no number."""
+    """Return the era that an answer names; ``UNSPECIFIED_ERA`` when it names none, or no number."""
     for name, value in headers:
         if name.lower() == names.STORE_ERA and value.isdigit():
             return int(value)
-    return UNTOLD_ERA
+    return UNSPECIFIED_ERA
 
 
 def _decode_value(text: str) -> bytes:
--- a/hopstep/ports/key_value_store.py
+++ b/hopstep/ports/key_value_store.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from hopstep.domain.store_place import ABSENT, StoreLease, StorePlace
+from hopstep.domain.store_position import ABSENT, StoreLease, StorePosition
 from hopstep.exceptions import (
     ErrorCode,
     StoreHistoryLostError,
@@ -35,7 +35,7 @@
 
     key: str
     value: bytes
-    version: StorePlace
+    version: StorePosition
 
 
 class WatchBatch(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
             from time to time.
     """
 
-    place: StorePlace
+    place: StorePosition
     values: tuple[StoredValue, ...]
 
 
@@ -60,7 +60,7 @@
         values: Values by key.
     """
 
-    place: StorePlace
+    place: StorePosition
     values: tuple[StoredValue, ...]
 
 
@@ -85,10 +85,10 @@
     async def compare_and_swap(
         self,
         key: str,
-        expected_version: StorePlace,
+        expected_version: StorePosition,
         value: bytes,
         lease: StoreLease | None = None,
-    ) -> StorePlace:
+    ) -> StorePosition:
         """Write ``value`` if the key is at ``expected_version`` (``ABSENT`` to create).
 
         Args:
@@ -102,11 +102,11 @@
         """
 
     @abc.abstractmethod
-    async def delete(self, key: str, expected_version: StorePlace) -> None:
+    async def delete(self, key: str, expected_version: StorePosition) -> None:
         """Delete ``key`` if it is at ``expected_version``."""
 
     @abc.abstractmethod
-    async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
+    async def watch(self, prefix: str, after: StorePosition, wait_seconds: float) -> WatchBatch:
         """Return changes below ``prefix`` after a place, waiting up to ``wait_seconds``.
 
         Raises:
@@ -124,7 +124,7 @@
             StoreHistoryLostError: When the service was restored meanwhile; list again.
         """
         values: list[StoredValue] = []
-        place: StorePlace | None = None
+        place: StorePosition | None = None
         while page := await self.list(prefix, values[-1].key if values else ""):
             if place is None:
                 place = max(value.version for value in page)
@@ -166,7 +166,7 @@
         )
 
 
-def require_write_era(expected_version: StorePlace, lease: StoreLease | None, era: int) -> None:
+def require_write_era(expected_version: StorePosition, lease: StoreLease | None, era: int) -> None:
     """Raise ``StoreOutcomeUnknownError`` unless a write was done in the era that it relies on.
 
     Done in another one it may have overwritten something else, or be bound to another's lease.
--- a/hopstep/ports/node_exchange.py
+++ b/hopstep/ports/node_exchange.py
@@ -14,10 +14,10 @@
 from hopstep.domain.exchanges.load_ledger import InstanceLoad
 from hopstep.domain.exchanges.nodes import NodeRecord
 from hopstep.domain.exchanges.segments import SegmentKey
-from hopstep.domain.exchanges.store_contents import ContentsNews, ContentsPosition
+from hopstep.domain.exchanges.store_contents import ContentsPosition, ContentsUpdate
 from hopstep.domain.limits.fleet_usage import Usage
 from hopstep.domain.quarantine.crashes import RequestCrashes
-from hopstep.domain.store_place import NOWHERE, UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import NO_POSITION, UNSPECIFIED_ERA, StorePosition
 from hopstep.ports.serving_directory import (
     ConfigurationPublished,
     DirectoryEntry,
@@ -34,7 +34,7 @@
     """What has changed in the segments that an instance keeps.
 
     Attributes:
-        life: The instance's life, as ``str(InstanceLife)``.
+        life: The instance's life, as ``str(InstanceIncarnation)``.
         sent: Segments of a prompt that was sent to it, or that its cache events report.
         read_ms: Expected time until it has read them.
         dropped: Digests of segments that it doesn't keep.
@@ -57,7 +57,7 @@
     """A life of an instance that has said in an answer that it leaves.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
+        life: As ``str(InstanceIncarnation)``.
         age_ms: Time since it said so first to any node.
     """
 
@@ -69,7 +69,7 @@
     """What a life of an instance has said last of its limit, in an answer to any node.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
+        life: As ``str(InstanceIncarnation)``.
         per_second_milli: Thousandths of a request a second, from all nodes together;
             ``LIMIT_LIFTED`` when it names no limit any more.
         asked_ms: Time since its request was sent, and so at most since its head was made.
@@ -89,7 +89,7 @@
     """Permits to send to an instance that has named a limit.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
+        life: As ``str(InstanceIncarnation)``.
         count: How many.
         valid_ms: For so long they may be used.
         relay: The relay that they are for; empty in an answer, where they are for who asked.
@@ -152,7 +152,7 @@
         contents: How far the node knows each cache store.
         era: Era of ``revision``.
         configuration: Version of the configuration that the node has; 0 for none.
-        weights: Digest of the named weights that it knows; see ``WeightsBook``.
+        weights: Digest of the named weights that it knows; see ``NamedWeightsTable``.
     """
 
     number: int
@@ -161,14 +161,14 @@
     position: int = 0
     hints: Hints | None = None
     contents: tuple[ContentsPosition, ...] = ()
-    era: int = UNTOLD_ERA
+    era: int = UNSPECIFIED_ERA
     configuration: int = 0
     weights: int = 0
 
     @property
-    def place(self) -> StorePlace:
-        """Place up to which the node has all changes; ``NOWHERE`` for none."""
-        return StorePlace(self.era, self.revision) if self.revision >= 0 else NOWHERE
+    def place(self) -> StorePosition:
+        """Place up to which the node has all changes; ``NO_POSITION`` for none."""
+        return StorePosition(self.era, self.revision) if self.revision >= 0 else NO_POSITION
 
 
 class ToldRecord(msgspec.Struct, frozen=True, tag="RecordWritten"):
@@ -203,7 +203,7 @@
     key: str
     revision: int
     change: ToldChange
-    era: int = UNTOLD_ERA
+    era: int = UNSPECIFIED_ERA
 
     @classmethod
     def of(cls, entry: DirectoryEntry) -> ToldEntry:
@@ -222,10 +222,10 @@
         Args:
             era: Era to take it for; the told one unless its teller tells none.
         """
-        place = StorePlace(era, self.revision)
+        place = StorePosition(era, self.revision)
         change = self.change
         if isinstance(change, ToldRecord):
-            version = StorePlace(era, change.revision)
+            version = StorePosition(era, change.revision)
             return DirectoryEntry(self.key, place, RecordWritten(change.key, change.value, version))
         return DirectoryEntry(self.key, place, change)
 
@@ -278,23 +278,23 @@
     feed: str = ""
     position: int = 0
     hints: Hints = Hints()
-    contents: tuple[ContentsNews, ...] = ()
+    contents: tuple[ContentsUpdate, ...] = ()
     silence_ms: int = -1
-    after_era: int = UNTOLD_ERA
-    era: int = UNTOLD_ERA
+    after_era: int = UNSPECIFIED_ERA
+    era: int = UNSPECIFIED_ERA
     keys_age_ms: int = -1
     configuration: int = 0
     newer: tuple[RelayedEntry, ...] = ()
 
     @property
-    def after_place(self) -> StorePlace:
+    def after_place(self) -> StorePosition:
         """Place that the query named."""
-        return StorePlace(self.after_era, self.after) if self.after >= 0 else NOWHERE
+        return StorePosition(self.after_era, self.after) if self.after >= 0 else NO_POSITION
 
     @property
-    def place(self) -> StorePlace:
+    def place(self) -> StorePosition:
         """With ``entries`` the asker has all changes up to it."""
-        return StorePlace(self.era, self.revision) if self.revision >= 0 else NOWHERE
+        return StorePosition(self.era, self.revision) if self.revision >= 0 else NO_POSITION
 
 
 class RelayDigest(msgspec.Struct, frozen=True, array_like=True, tag=True):
--- a/hopstep/ports/serving_directory.py
+++ b/hopstep/ports/serving_directory.py
@@ -12,7 +12,7 @@
 
 from hopstep.domain.exchanges.instances import Instance, NamedWeights
 from hopstep.domain.exchanges.serving import ServingConfiguration
-from hopstep.domain.store_place import StorePlace
+from hopstep.domain.store_position import StorePosition
 
 
 class ConfigurationPublished(msgspec.Struct, frozen=True, tag=True):
@@ -50,7 +50,7 @@
 
     key: str
     value: bytes
-    version: StorePlace
+    version: StorePosition
 
 
 class RejectReason(enum.StrEnum):
@@ -115,7 +115,7 @@
     """
 
     key: str
-    place: StorePlace
+    place: StorePosition
     change: DirectoryChange
 
     @property
@@ -126,7 +126,7 @@
             isinstance(change, RecordWritten) and not change.value
         )
 
-    def as_removed(self, place: StorePlace) -> DirectoryEntry | None:
+    def as_removed(self, place: StorePosition) -> DirectoryEntry | None:
         """Return the entry after its key is gone; None for keys that are never removed."""
         change: DirectoryChange
         if isinstance(self.change, InstanceListed):
@@ -148,7 +148,7 @@
         entries: Entries, in any order.
     """
 
-    place: StorePlace
+    place: StorePosition
     entries: tuple[DirectoryEntry, ...]
 
 
@@ -166,7 +166,7 @@
         """Make later calls on new connections: those that are open may have fallen silent."""
 
     @abc.abstractmethod
-    async def changes(self, after: StorePlace, wait_seconds: float) -> DirectoryBatch:
+    async def changes(self, after: StorePosition, wait_seconds: float) -> DirectoryBatch:
         """Return changes after a place as soon as there are any, or none after the wait.
 
         Raises:
--- a/hopstep/services/claims.py
+++ b/hopstep/services/claims.py
@@ -22,7 +22,7 @@
     claim_key,
     next_step,
 )
-from hopstep.domain.store_place import ABSENT, StorePlace
+from hopstep.domain.store_position import ABSENT, StorePosition
 from hopstep.exceptions import (
     EngineError,
     ErrorCode,
@@ -135,7 +135,7 @@
         except StoreError as error:
             emit(log_events.CLAIM_NOT_RELEASED, reason=error.code.value)
 
-    async def _claim(self, key: str, own: Claim, expected_version: StorePlace) -> HeldClaim:
+    async def _claim(self, key: str, own: Claim, expected_version: StorePosition) -> HeldClaim:
         """Write the claim at the expected version, or take over what is there."""
         held = await self._swap(key, expected_version, own)
         if held is not None:
@@ -163,7 +163,9 @@
         emit(log_events.CLAIM_TAKEN_OVER, earlier_router=found.claim.router)
         return held
 
-    async def _swap(self, key: str, expected_version: StorePlace, own: Claim) -> HeldClaim | None:
+    async def _swap(
+        self, key: str, expected_version: StorePosition, own: Claim
+    ) -> HeldClaim | None:
         """Write the claim; return None when the key is at another version."""
         try:
             version = await self._store.compare_and_swap(
--- a/hopstep/services/configuration/rate_limit_retry.py
+++ b/hopstep/services/configuration/rate_limit_retry.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from hopstep.domain.store_place import StoreLease, StorePlace
+from hopstep.domain.store_position import StoreLease, StorePosition
 from hopstep.exceptions import ErrorCode, StoreError
 from hopstep.ports.key_value_store import KeyValueStorePort, StoredValue, WatchBatch
 
@@ -42,20 +42,20 @@
     async def compare_and_swap(
         self,
         key: str,
-        expected_version: StorePlace,
+        expected_version: StorePosition,
         value: bytes,
         lease: StoreLease | None = None,
-    ) -> StorePlace:
+    ) -> StorePosition:
         """Write one key at an expected version; see the port."""
         return await self._retry(
             lambda: self._store.compare_and_swap(key, expected_version, value, lease)
         )
 
-    async def delete(self, key: str, expected_version: StorePlace) -> None:
+    async def delete(self, key: str, expected_version: StorePosition) -> None:
         """Delete one key at an expected version; see the port."""
         await self._retry(lambda: self._store.delete(key, expected_version))
 
-    async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
+    async def watch(self, prefix: str, after: StorePosition, wait_seconds: float) -> WatchBatch:
         """Return changes after a place; see the port."""
         return await self._retry(lambda: self._store.watch(prefix, after, wait_seconds))
 
--- a/hopstep/services/configuration/snapshots.py
+++ b/hopstep/services/configuration/snapshots.py
@@ -15,7 +15,7 @@
 from hopstep.domain.configuration.decoding import convert_document
 from hopstep.domain.configuration.document import AcceptedConfiguration
 from hopstep.domain.configuration.encoding import decode_snapshot, encode
-from hopstep.domain.store_place import ABSENT
+from hopstep.domain.store_position import ABSENT
 from hopstep.exceptions import ErrorCode, StoreConflictError, StoreError
 from hopstep.ports.key_value_store import KeyValueStorePort, StoredValue
 
--- a/hopstep/services/configuration/store.py
+++ b/hopstep/services/configuration/store.py
@@ -20,7 +20,7 @@
     apply_transfer,
     empty_configuration,
 )
-from hopstep.domain.store_place import ABSENT, UNTOLD_ERA
+from hopstep.domain.store_position import ABSENT, UNSPECIFIED_ERA
 from hopstep.exceptions import DomainError, ErrorCode, StoreError
 from hopstep.ports.key_value_store import KeyValueStorePort, StoredValue
 from hopstep.services.configuration.rate_limit_retry import RateLimitRetryStore
@@ -87,7 +87,7 @@
         """
         self._store = RateLimitRetryStore(store, rng)
         self._watched = ABSENT
-        self.era = UNTOLD_ERA
+        self.era = UNSPECIFIED_ERA
         self.snapshots = ConfigurationSnapshots(self._store, snapshot_interval)
 
     async def read_latest(self, after: int = 0) -> ConfigurationTransfer:
--- a/hopstep/services/exchanges/directory/copy_losses.py
+++ b/hopstep/services/exchanges/directory/copy_losses.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from hopstep.domain.exchanges.directory_feed import DirectoryFeed, FeedEntry
+from hopstep.domain.exchanges.directory_change_log import DirectoryChangeLog, LoggedChange
 from hopstep.ports.serving_directory import (
     ConfigurationPublished,
     DirectoryBatch,
@@ -20,7 +20,7 @@
 )
 from hopstep.services.exchanges.directory.records import NODES_PREFIX, ROLLOUT_KEY
 
-Feed = DirectoryFeed[DirectoryEntry]
+Feed = DirectoryChangeLog[DirectoryEntry]
 
 
 class CopyLosses(msgspec.Struct, frozen=True):
@@ -50,11 +50,11 @@
     return CopyLosses(dict(sorted(by_kind.items())), since)
 
 
-def _is_lost(known: FeedEntry[DirectoryEntry], shown: DirectoryEntry | None) -> bool:
+def _is_lost(known: LoggedChange[DirectoryEntry], shown: DirectoryEntry | None) -> bool:
     """Return whether a change was made after the copy, as far as revisions tell."""
     if shown is None:
         return not known.removed
-    return known.removed or shown.place.revision < known.place.revision
+    return known.removed or shown.place.revision < known.position.revision
 
 
 def _kind_of(entry: DirectoryEntry) -> str:
--- a/hopstep/services/exchanges/directory/directory_follower.py
+++ b/hopstep/services/exchanges/directory/directory_follower.py
@@ -11,7 +11,7 @@
 
 from hopstep import log_events
 from hopstep.domain.exchanges.freshness import ANSWER_SLACK_SECONDS, FreshnessLimits
-from hopstep.domain.store_place import NOWHERE
+from hopstep.domain.store_position import NO_POSITION
 from hopstep.exceptions import StoreError, StoreHistoryLostError
 from hopstep.logs import emit
 from hopstep.ports.serving_directory import ServingDirectory
@@ -171,7 +171,7 @@
             self._reading_since = None
             if self._asked:
                 break
-            told_until = knowledge.contact.told_at + self._limits.own_reading
+            told_until = knowledge.contact.reported_at + self._limits.own_reading
             known_until = knowledge.history.reached_at + OWN_WAY_AGE_SECONDS
             with trio.move_on_at(min(told_until, known_until) + MOMENT_SECONDS):
                 await self._reconsidered.wait()
@@ -234,7 +234,7 @@
     async def _call(self, sent_at: float) -> None:
         """Make one call and take what it says; after a failure one that is answered at once."""
         knowledge = self._knowledge
-        if self._history_lost or knowledge.place == NOWHERE:
+        if self._history_lost or knowledge.place == NO_POSITION:
             knowledge.take_snapshot(await self._directory.snapshot(), sent_at)
             self._history_lost = False
             return
--- a/hopstep/services/exchanges/directory/instance_changes.py
+++ b/hopstep/services/exchanges/directory/instance_changes.py
@@ -13,8 +13,8 @@
 import trio
 
 from hopstep import log_events
-from hopstep.domain.exchanges.instance_table import InstanceTable, is_same_life
-from hopstep.domain.exchanges.instances import Instance, InstanceLife
+from hopstep.domain.exchanges.instance_table import InstanceTable, is_same_incarnation
+from hopstep.domain.exchanges.instances import Instance, InstanceIncarnation
 from hopstep.domain.exchanges.store_contact import ENTRY_LAPSE_SECONDS, StoreContact
 from hopstep.domain.quarantine.crashes import EndEvidence
 from hopstep.logs import emit
@@ -29,7 +29,7 @@
 LEAVES, HAS_ENDED = "leaves", "has_ended"
 """What is known of a life that an entry shows as it was before."""
 
-EndListener = Callable[[InstanceLife, EndEvidence], None]
+EndListener = Callable[[InstanceIncarnation, EndEvidence], None]
 """Told a life of an instance that is over, and what shows it."""
 
 
@@ -46,7 +46,7 @@
         self._table = table
         self._contact = contact
         self._end_listeners: list[EndListener] = []
-        self._ended: OrderedDict[InstanceLife, None] = OrderedDict()
+        self._ended: OrderedDict[InstanceIncarnation, None] = OrderedDict()
 
     def follow_ends(self, listener: EndListener) -> None:
         """Tell a listener of instances that the directory shows to have ended."""
@@ -56,8 +56,8 @@
         """Take an instance's entry."""
         known = self._table.get(instance.instance_id)
         drained = known is not None and known.instance.draining
-        if known is not None and not is_same_life(known.instance, instance):
-            self._note_ended(known.instance.life, EndEvidence.RESTARTED)
+        if known is not None and not is_same_incarnation(known.instance, instance):
+            self._note_ended(known.instance.incarnation, EndEvidence.RESTARTED)
         is_new = self._table.put(instance)
         if drained and not is_new and not instance.draining:
             self._keep_leaving(instance, news)
@@ -79,7 +79,7 @@
     def take_removed(self, instance_id: str, news: News) -> None:
         """Take the end of an instance's entry; one that may have lapsed is expected back."""
         until = self._contact.relisting_until
-        if trio.current_time() < until and self._table.lapse(instance_id, until):
+        if trio.current_time() < until and self._table.expect_back(instance_id, until):
             emit(log_events.INSTANCE_LAPSED, instance=instance_id, source=news.source)
             return
         removed = self._table.remove(instance_id)
@@ -94,15 +94,15 @@
         if removed.draining:
             self._remember_leaving(removed)
         if not self._table.is_leaving(removed):
-            self._note_ended(removed.life, EndEvidence.UNLISTED)
-        self._ended[removed.life] = None
+            self._note_ended(removed.incarnation, EndEvidence.UNLISTED)
+        self._ended[removed.incarnation] = None
         while len(self._ended) > MAX_ENDED_LIVES:
             self._ended.popitem(last=False)
 
     def expire_lapsed(self) -> None:
         """Forget instances whose entries lapsed while the store was away and didn't come back."""
         for instance in self._table.expire(trio.current_time()):
-            self._note_ended(instance.life, EndEvidence.UNLISTED)
+            self._note_ended(instance.incarnation, EndEvidence.UNLISTED)
             lapsed = instance.instance_id
             emit(log_events.INSTANCE_REMOVED, instance=lapsed, source=LAPSED, age_ms=0)
 
@@ -113,22 +113,26 @@
 
     def _remember_leaving(self, instance: Instance) -> None:
         """Remember that a life leaves, beyond its entry."""
-        life = str(instance.life)
-        view = self._table.of_life(life)
-        standing = view.standing if view is not None else self._table.standings.of_life(life)
+        life = str(instance.incarnation)
+        view = self._table.of_incarnation(life)
+        standing = (
+            view.announced_state
+            if view is not None
+            else self._table.announced_states.of_incarnation(life)
+        )
         standing.note_leaving(trio.current_time())
-        self._table.standings.remember(life, standing)
+        self._table.announced_states.remember(life, standing)
 
     def _doubt(self, instance: Instance, news: News) -> None:
         """Leave a life alone that is known to have ended, unless its entry is written anew."""
         view = self._table.get(instance.instance_id)
-        if view is None or view.instance.life not in self._ended:
+        if view is None or view.instance.incarnation not in self._ended:
             return
         if not news.may_be_copied:
-            view.doubted_until = -float("inf")
-            del self._ended[view.instance.life]
+            view.presumed_ended_until = -float("inf")
+            del self._ended[view.instance.incarnation]
             return
-        view.doubted_until = trio.current_time() + ENTRY_LAPSE_SECONDS
+        view.presumed_ended_until = trio.current_time() + ENTRY_LAPSE_SECONDS
         self._log_outdated(instance, HAS_ENDED, news)
 
     @staticmethod
@@ -144,7 +148,7 @@
             revision=news.place.revision,
         )
 
-    def _note_ended(self, life: InstanceLife, evidence: EndEvidence) -> None:
+    def _note_ended(self, life: InstanceIncarnation, evidence: EndEvidence) -> None:
         """Tell of a life that is over."""
         for listener in self._end_listeners:
             listener(life, evidence)
--- a/hopstep/services/exchanges/directory/knowledge.py
+++ b/hopstep/services/exchanges/directory/knowledge.py
@@ -20,13 +20,13 @@
 import trio
 
 from hopstep import log_events
-from hopstep.domain.exchanges.directory_feed import DirectoryFeed, FeedEntry
+from hopstep.domain.exchanges.directory_change_log import DirectoryChangeLog, LoggedChange
 from hopstep.domain.exchanges.instance_table import InstanceTable
 from hopstep.domain.exchanges.nodes import NodeRecord, RelayPlan
 from hopstep.domain.exchanges.serving import ServingConfiguration, ServingIndex
 from hopstep.domain.exchanges.store_contact import StoreContact
-from hopstep.domain.exchanges.weights import WeightsBook
-from hopstep.domain.store_place import ABSENT, NOWHERE, StorePlace
+from hopstep.domain.exchanges.weights import NamedWeightsTable
+from hopstep.domain.store_position import ABSENT, NO_POSITION, StorePosition
 from hopstep.exceptions import ErrorCode, ServiceError
 from hopstep.logs import emit
 from hopstep.ports.serving_directory import (
@@ -64,7 +64,7 @@
 
 MILLISECONDS = 1_000
 
-Entry = FeedEntry[DirectoryEntry]
+Entry = LoggedChange[DirectoryEntry]
 
 
 class ServingKnowledge:
@@ -75,7 +75,7 @@
         name: str,
         record: NodeRecord,
         table: InstanceTable,
-        weights: WeightsBook,
+        weights: NamedWeightsTable,
         revocation_seconds: float,
     ) -> None:
         """Know nothing yet. Must be called inside the event loop.
@@ -92,7 +92,7 @@
         self.table = table
         self.weights = weights
         self._started_at = trio.current_time()
-        self.feed: DirectoryFeed[DirectoryEntry] = DirectoryFeed()
+        self.feed: DirectoryChangeLog[DirectoryEntry] = DirectoryChangeLog()
         self.contact = StoreContact(self._started_at)
         self.node_book = KnownNodes(name, record)
         self.history = StoreHistory(self.contact, self.node_book, self.feed)
@@ -126,7 +126,7 @@
         return any(service.engine is not None for service in services)
 
     @property
-    def place(self) -> StorePlace:
+    def place(self) -> StorePosition:
         """Everything up to this place in the store's history is known."""
         return self.history.place
 
@@ -147,7 +147,7 @@
     @property
     def told_silence_seconds(self) -> float:
         """Time since the store last answered any other node that told this one everything."""
-        return trio.current_time() - self.contact.told_at
+        return trio.current_time() - self.contact.reported_at
 
     @property
     def is_settling(self) -> bool:
@@ -170,12 +170,12 @@
             raise ServiceError(ErrorCode.NOT_READY, "this node has no configuration yet")
         return self.index
 
-    def version_of(self, key: str) -> StorePlace:
+    def version_of(self, key: str) -> StorePosition:
         """Return the version of a key that a write may expect; ``ABSENT`` when there is none."""
         entry = self.feed.get(key)
         if entry is None or entry.removed:
             return ABSENT
-        return StorePlace(self.place.era, entry.place.revision)
+        return StorePosition(self.place.era, entry.position.revision)
 
     def take_snapshot(self, batch: DirectoryBatch, sent_at: float) -> None:
         """Take all entries of the store; what isn't among them doesn't exist.
@@ -188,7 +188,7 @@
             StoreError: When the answer was made before the store's last restore.
         """
         self.history.require_current(batch.place)
-        reached_at, is_first = self.history.reached_at, self.place == NOWHERE
+        reached_at, is_first = self.history.reached_at, self.place == NO_POSITION
         since = max(reached_at - DEAF_SECONDS, self.weights.oldest_since(sent_at))
         self.contact.note_return(trio.current_time())
         if self.history.is_later_era(batch.place):
@@ -216,7 +216,7 @@
         self._take_read([feed_entry(entry, since) for entry in batch.entries])
         self._confirm_read(batch.place, sent_at)
 
-    def enter(self, place: StorePlace, source: str) -> None:
+    def enter(self, place: StorePosition, source: str) -> None:
         """Go on in a later era if another node tells of a place in one."""
         if self.history.is_later_era(place):
             self._enter(place, source, CopyLosses())
@@ -229,13 +229,13 @@
             source: Node that told them, or ``STORE_SOURCE``; for the log.
         """
         taken = False
-        for entry in sorted(entries, key=lambda entry: entry.place):
+        for entry in sorted(entries, key=lambda entry: entry.position):
             known = self.feed.get(entry.key)
             if _is_same_write(known, entry) or self._is_outdated(entry.change.change):
                 continue
             if self.feed.put(entry):
                 taken = True
-                known_at = known.place if known is not None else NOWHERE
+                known_at = known.position if known is not None else NO_POSITION
                 self._take_change(entry, self._news(entry, source, known_at))
         if taken:
             self._tell_changed()
@@ -249,7 +249,7 @@
         """
         newer = [entry for entry in entries if not self._is_outdated(entry.change.change)]
         for entry in newer:
-            self._take_change(entry, self._news(entry, source, NOWHERE))
+            self._take_change(entry, self._news(entry, source, NO_POSITION))
         if newer:
             self._tell_changed()
 
@@ -258,7 +258,7 @@
         if self.keys.confirm(confirmed_at):
             self._tell_changed()
 
-    def _enter(self, place: StorePlace, source: str, losses: CopyLosses) -> None:
+    def _enter(self, place: StorePosition, source: str, losses: CopyLosses) -> None:
         """Go on in a later era."""
         self.history.enter(place, source, losses)
         self._tell_changed()
@@ -275,7 +275,7 @@
                 self._see_configuration(entry, entry.change.change.configuration.version)
         self.take_entries(entries, STORE_SOURCE)
 
-    def _confirm_read(self, place: StorePlace, sent_at: float) -> None:
+    def _confirm_read(self, place: StorePosition, sent_at: float) -> None:
         """Note that the store has shown everything up to a place, by a call sent at a time."""
         self.history.reach(place, sent_at)
         if self.history.copy.confirms(sent_at):
@@ -285,9 +285,9 @@
     def _see_configuration(self, entry: Entry, version: int) -> None:
         """Look whether a configuration shows that operators have written what a copy lacks."""
         known = self.feed.get(entry.key)
-        known_at = known.place if known is not None else NOWHERE
-        self.history.copy.see_configuration(
-            entry.place, version, self.configuration.version, known_at
+        known_at = known.position if known is not None else NO_POSITION
+        self.history.copy.note_configuration(
+            entry.position, version, self.configuration.version, known_at
         )
 
     def _is_outdated(self, change: DirectoryChange) -> bool:
@@ -302,15 +302,15 @@
     def _removed_by(self, batch: DirectoryBatch) -> list[DirectoryEntry]:
         """Return the removals of keys that a snapshot doesn't have."""
         present = {entry.key for entry in batch.entries}
-        known = (entry.change for entry in self.feed.listed() if entry.key not in present)
+        known = (entry.change for entry in self.feed.existing() if entry.key not in present)
         removals = (entry.as_removed(batch.place) for entry in known)
         return [removal for removal in removals if removal is not None]
 
-    def _news(self, entry: Entry, source: str, known_at: StorePlace) -> News:
+    def _news(self, entry: Entry, source: str, known_at: StorePosition) -> News:
         """Return how a change is known."""
         age_ms = round((trio.current_time() - entry.since) * MILLISECONDS)
-        may_be_copied = self.history.copy.may_hold(entry.place)
-        return News(source, entry.since, age_ms, entry.place, known_at, may_be_copied)
+        may_be_copied = self.history.copy.may_hold(entry.position)
+        return News(source, entry.since, age_ms, entry.position, known_at, may_be_copied)
 
     def _take_change(self, entry: Entry, news: News) -> None:
         """Take one change."""
@@ -340,7 +340,7 @@
         except msgspec.DecodeError as error:
             self._log_rejected(record.key, RejectReason.UNREADABLE, "", str(error))
         if self.node_book.has_others:
-            self.table.first_telling.note_others()
+            self.table.first_peer_report.note_other_nodes()
 
     def _log_rejected(self, key: str, reason: RejectReason, field: str, detail: str) -> None:
         """Log and count a document that can't be trusted: once for each of its revisions."""
@@ -356,9 +356,9 @@
 
 def _is_same_write(known: Entry | None, entry: Entry) -> bool:
     """Return whether an entry is one of an earlier era that a copy has kept as it was."""
-    if known is None or known.place.era >= entry.place.era:
+    if known is None or known.position.era >= entry.position.era:
         return False
-    same_revision = known.place.revision == entry.place.revision
+    same_revision = known.position.revision == entry.position.revision
     return same_revision and _content(known.change.change) == _content(entry.change.change)
 
 
--- a/hopstep/services/exchanges/directory/known_nodes.py
+++ b/hopstep/services/exchanges/directory/known_nodes.py
@@ -9,13 +9,13 @@
 import trio
 
 from hopstep.domain.exchanges.nodes import (
-    FORM_WITH_ERAS,
+    FORMAT_VERSION_WITH_ERAS,
     NodeRecord,
     RelayPlan,
     rewriting_seconds,
 )
-from hopstep.domain.exchanges.store_contact import RESTATED_SECONDS
-from hopstep.domain.store_place import NOWHERE, StorePlace
+from hopstep.domain.exchanges.store_contact import RELISTING_SECONDS
+from hopstep.domain.store_position import NO_POSITION, StorePosition
 from hopstep.services.exchanges.directory.message_forms import MessageForms
 from hopstep.services.exchanges.directory.records import decode_node
 
@@ -55,19 +55,21 @@
     @property
     def all_know_eras(self) -> bool:
         """Whether the versions of all registered nodes tell the store's eras."""
-        return all(record.form >= FORM_WITH_ERAS for record in self.records.values())
+        return all(record.form >= FORMAT_VERSION_WITH_ERAS for record in self.records.values())
 
     def count_behind(self, era: int) -> int:
         """Return how many nodes have not written their entry since the store entered an era."""
-        known = (record for record in self.records.values() if record.form >= FORM_WITH_ERAS)
+        known = (
+            record for record in self.records.values() if record.form >= FORMAT_VERSION_WITH_ERAS
+        )
         return sum(1 for record in known if record.era < era)
 
     def note_restore(self, now: float) -> None:
         """Expect the entries that a copy lacks to be written again."""
-        self._kept_until = now + RESTATED_SECONDS + 2 * rewriting_seconds(self.count)
+        self._kept_until = now + RELISTING_SECONDS + 2 * rewriting_seconds(self.count)
 
     def take(
-        self, name: str, value: bytes, place: StorePlace, known_at: StorePlace = NOWHERE
+        self, name: str, value: bytes, place: StorePosition, known_at: StorePosition = NO_POSITION
     ) -> None:
         """Take a node's entry.
 
@@ -98,9 +100,11 @@
         self._missing.clear()
         self._publish()
 
-    def _put(self, name: str, record: NodeRecord, place: StorePlace, known_at: StorePlace) -> None:
+    def _put(
+        self, name: str, record: NodeRecord, place: StorePosition, known_at: StorePosition
+    ) -> None:
         """Take a record unless it is what a copy has of before the known one."""
-        of_before = record.form >= FORM_WITH_ERAS and record.era < place.era
+        of_before = record.form >= FORMAT_VERSION_WITH_ERAS and record.era < place.era
         older = known_at.era < place.era and known_at.revision > place.revision
         if name in self.records and of_before and older:
             return
--- a/hopstep/services/exchanges/directory/known_weights.py
+++ b/hopstep/services/exchanges/directory/known_weights.py
@@ -7,7 +7,7 @@
 from hopstep import log_events
 from hopstep.domain.exchanges.instances import NamedWeights
 from hopstep.domain.exchanges.store_contact import StoreContact
-from hopstep.domain.exchanges.weights import WeightsBook
+from hopstep.domain.exchanges.weights import NamedWeightsTable
 from hopstep.logs import emit
 from hopstep.services.exchanges.directory.news import News
 
@@ -17,7 +17,7 @@
 class KnownWeights:
     """Puts named weights into the book."""
 
-    def __init__(self, book: WeightsBook, contact: StoreContact) -> None:
+    def __init__(self, book: NamedWeightsTable, contact: StoreContact) -> None:
         """Use a book.
 
         Args:
--- a/hopstep/services/exchanges/directory/news.py
+++ b/hopstep/services/exchanges/directory/news.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from hopstep.domain.exchanges.directory_feed import FeedEntry
-from hopstep.domain.store_place import NOWHERE, StorePlace
+from hopstep.domain.exchanges.directory_change_log import LoggedChange
+from hopstep.domain.store_position import NO_POSITION, StorePosition
 from hopstep.ports.serving_directory import DirectoryEntry
 
 STORE_SOURCE = "store"
@@ -27,16 +27,16 @@
     source: str
     since: float
     age_ms: int
-    place: StorePlace
-    known_at: StorePlace = NOWHERE
+    place: StorePosition
+    known_at: StorePosition = NO_POSITION
     may_be_copied: bool = False
 
 
-def feed_entry(entry: DirectoryEntry, since: float) -> FeedEntry[DirectoryEntry]:
+def feed_entry(entry: DirectoryEntry, since: float) -> LoggedChange[DirectoryEntry]:
     """Return an entry with the time after which it was made.
 
     Args:
         entry: The entry.
         since: Steady clock, seconds: not later than when it was acknowledged.
     """
-    return FeedEntry(entry.key, entry.place, entry, since, entry.removed)
+    return LoggedChange(entry.key, entry.place, entry, since, entry.removed)
--- a/hopstep/services/exchanges/directory/records.py
+++ b/hopstep/services/exchanges/directory/records.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from hopstep.domain.exchanges.nodes import NodeRecord
-from hopstep.domain.exchanges.rollout_tenure import RolloutHolder
+from hopstep.domain.exchanges.rollout_lease_state import RolloutHolder
 
 NODES_PREFIX = "hopstep/nodes/"
 """A key for each node; its value is a ``NodeRecord``."""
--- a/hopstep/services/exchanges/directory/registration.py
+++ b/hopstep/services/exchanges/directory/registration.py
@@ -15,7 +15,7 @@
 
 from hopstep import log_events
 from hopstep.domain.exchanges.nodes import NodeRecord, rewriting_seconds
-from hopstep.domain.store_place import ABSENT, StoreLease
+from hopstep.domain.store_position import ABSENT, StoreLease
 from hopstep.exceptions import StoreConflictError, StoreError
 from hopstep.logs import emit
 from hopstep.ports.key_value_store import KeyValueStorePort
--- a/hopstep/services/exchanges/directory/store_history.py
+++ b/hopstep/services/exchanges/directory/store_history.py
@@ -7,10 +7,10 @@
 import trio
 
 from hopstep import log_events
-from hopstep.domain.exchanges.directory_feed import DirectoryFeed
-from hopstep.domain.exchanges.restored_copy import RestoredCopy
+from hopstep.domain.exchanges.directory_change_log import DirectoryChangeLog
+from hopstep.domain.exchanges.restored_backup import RestoredBackup
 from hopstep.domain.exchanges.store_contact import StoreContact
-from hopstep.domain.store_place import NOWHERE, StorePlace
+from hopstep.domain.store_position import NO_POSITION, StorePosition
 from hopstep.exceptions import ErrorCode, StoreError
 from hopstep.logs import emit
 from hopstep.ports.serving_directory import DirectoryEntry
@@ -24,14 +24,14 @@
     """The node's place.
 
     Attributes:
-        place: Everything up to it is known; ``NOWHERE`` before the first reading.
+        place: Everything up to it is known; ``NO_POSITION`` before the first reading.
         reached_at: Time at which it was the newest in the store.
         restored_at: When this node saw, or suspected at its start, that the store was restored.
         copy: What is known of the copy.
     """
 
     def __init__(
-        self, contact: StoreContact, nodes: KnownNodes, feed: DirectoryFeed[DirectoryEntry]
+        self, contact: StoreContact, nodes: KnownNodes, feed: DirectoryChangeLog[DirectoryEntry]
     ) -> None:
         """Stand nowhere.
 
@@ -40,10 +40,10 @@
             nodes: Told of it: entries of nodes may be missing.
             feed: Told where an era is left.
         """
-        self.place = NOWHERE
+        self.place = NO_POSITION
         self.reached_at = -float("inf")
         self.restored_at = -float("inf")
-        self.copy = RestoredCopy()
+        self.copy = RestoredBackup()
         self._contact = contact
         self._nodes = nodes
         self._feed = feed
@@ -58,7 +58,7 @@
         """Time since ``place`` was the newest in the store."""
         return trio.current_time() - self.reached_at
 
-    def require_current(self, place: StorePlace) -> None:
+    def require_current(self, place: StorePosition) -> None:
         """Raise ``StoreError`` for an answer that was made before the store's last restore."""
         if place.era >= self.place.era:
             return
@@ -70,11 +70,11 @@
         )
         raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the answer is of before a restore")
 
-    def is_later_era(self, place: StorePlace) -> bool:
+    def is_later_era(self, place: StorePosition) -> bool:
         """Return whether a place shows that the store has been restored."""
-        return self.place != NOWHERE and place.era > self.place.era
+        return self.place != NO_POSITION and place.era > self.place.era
 
-    def enter(self, place: StorePlace, source: str, losses: CopyLosses) -> None:
+    def enter(self, place: StorePosition, source: str, losses: CopyLosses) -> None:
         """Go on in a later era.
 
         Args:
@@ -83,7 +83,7 @@
             losses: What the copy is known to lack.
         """
         self._note_restore(place)
-        self._feed.leave(self.place)
+        self._feed.end_era(self.place)
         age = trio.current_time() - losses.since
         emit(
             log_events.STORE_ERA_CHANGED,
@@ -95,14 +95,14 @@
             lacking=losses.by_kind,
             source=source,
         )
-        self.place = StorePlace(place.era, NOWHERE.revision)
+        self.place = StorePosition(place.era, NO_POSITION.revision)
 
-    def reach(self, place: StorePlace, at: float) -> None:
+    def reach(self, place: StorePosition, at: float) -> None:
         """Note that everything up to a place is known, which was the newest at a time."""
         self.place = max(self.place, place)
         self.reached_at = max(self.reached_at, at)
 
-    def suspect_restore(self, place: StorePlace) -> None:
+    def suspect_restore(self, place: StorePosition) -> None:
         """Look, at the start, whether the store was restored just before: few know of its era.
 
         Without this a node that starts in that moment takes the copy for all there is.
@@ -114,7 +114,7 @@
             self._note_restore(place)
             emit(log_events.STORE_RESTORE_SUSPECTED, era=place.era, nodes_behind=behind)
 
-    def _note_restore(self, place: StorePlace) -> None:
+    def _note_restore(self, place: StorePosition) -> None:
         """Expect others to write again what a copy lacks; a place is the first one seen of it."""
         now = trio.current_time()
         self.restored_at = now
--- a/hopstep/services/exchanges/instances/connection_reaper.py
+++ b/hopstep/services/exchanges/instances/connection_reaper.py
@@ -56,7 +56,7 @@
     async def _leave_silent(self) -> None:
         """Drop the idle connections of instances that have fallen silent, once each time."""
         now = trio.current_time()
-        silent = {view.instance.address for view in self._table if view.is_silent(now)}
+        silent = {view.instance.address for view in self._table if view.is_unresponsive(now)}
         for address in silent - self._silent:
             emit(log_events.CONNECTIONS_DROPPED, peer=address, reason=SILENT)
             await self._calls.drop_idle(address)
--- a/hopstep/services/exchanges/instances/engine_cache_watch.py
+++ b/hopstep/services/exchanges/instances/engine_cache_watch.py
@@ -71,7 +71,7 @@
         knowledge = self._knowledge
         self._plan.set_nodes({**knowledge.nodes, knowledge.name: knowledge.record})
         own = {
-            view.life: view
+            view.incarnation: view
             for view in knowledge.table.trusted()
             if view.versions and self._plan.watcher(view.instance) == knowledge.name
         }
@@ -104,8 +104,8 @@
                 if readable != (batch is not None):
                     readable = batch is not None
                     _log_readable(view, readable)
-                if batch is None or not view.instance.life.may_tell(batch.born_ms):
-                    rests = [notice.rest_seconds for notice in heard]
+                if batch is None or not view.instance.incarnation.matches_start(batch.born_ms):
+                    rests = [notice.backoff_seconds for notice in heard]
                     await trio.sleep(max(RETRY_SECONDS, max(rests, default=0.0)))
                     continue
                 self._hear(view, asked_at, heard, batch)
@@ -143,7 +143,7 @@
             contents.note_gap(now)
         corrections = contents.take(batch.events, view.segments, now)
         if not corrections.is_empty:
-            self._sharing.note_cache_events(view.life, corrections.kept, corrections.dropped)
+            self._sharing.note_cache_events(view.incarnation, corrections.kept, corrections.dropped)
 
 
 def _log_readable(view: InstanceView, readable: bool) -> None:
--- a/hopstep/services/exchanges/instances/instance_limits.py
+++ b/hopstep/services/exchanges/instances/instance_limits.py
@@ -9,8 +9,8 @@
 import msgspec
 import trio
 
+from hopstep.domain.announced_state import AnnouncedState
 from hopstep.domain.exchanges.instance_view import InstanceView
-from hopstep.domain.instance_standing import InstanceStanding
 from hopstep.domain.limits.fleet_usage import UsageReport
 from hopstep.domain.limits.limited_sends import LimitedSends
 from hopstep.domain.limits.send_permits import LEAST_PER_SECOND
@@ -31,7 +31,7 @@
 class HeldPermit:
     """Leave to send one request to an instance; without a limit that needs no permit."""
 
-    def __init__(self, standing: InstanceStanding, now: float) -> None:
+    def __init__(self, standing: AnnouncedState, now: float) -> None:
         """Take a permit if the instance has a limit and this node holds one.
 
         Args:
@@ -119,7 +119,7 @@
         """Take permits for a life, and wake as many of those that wait.
 
         Args:
-            life: The life, as ``str(InstanceLife)``.
+            life: The life, as ``str(InstanceIncarnation)``.
             count: How many.
             until: They may be used until then.
         """
@@ -130,13 +130,13 @@
 
     def hold(self, view: InstanceView) -> HeldPermit:
         """Return leave to send one request to an instance that was chosen."""
-        return HeldPermit(view.standing, trio.current_time())
+        return HeldPermit(view.announced_state, trio.current_time())
 
     def release(self, view: InstanceView, permit: HeldPermit) -> None:
         """Give a permit back if it wasn't used."""
-        sends = view.standing.limited_sends
+        sends = view.announced_state.limited_sends
         if permit.release() and sends is not None:
-            self._wake(view.life, sends)
+            self._wake(view.incarnation, sends)
 
     def may_wait(self, views: Sequence[InstanceView], rank: int, until: float) -> bool:
         """Return whether a permit may come in time, by what has come lately.
@@ -163,17 +163,17 @@
 
     def note_refused(self, views: Sequence[InstanceView]) -> None:
         """Ask for permits for requests that are refused for want of one: others like them come."""
-        sends = self._draw(views).standing.limited_sends
+        sends = self._draw(views).announced_state.limited_sends
         if sends is not None:
             sends.note_wanted(trio.current_time())
 
     def expected_seconds(self, view: InstanceView, rank: int) -> float:
         """Return the time after which a permit for a request is likely to come."""
         now = trio.current_time()
-        sends = view.standing.limited_sends
+        sends = view.announced_state.limited_sends
         if sends is None:
             return 0.0
-        even = view.standing.limit.per_second / max(1, self._knowledge.count_nodes())
+        even = view.announced_state.limit.per_second / max(1, self._knowledge.count_nodes())
         rate = max(sends.permits_per_second(now), even, LEAST_PERMITS_PER_SECOND)
         return (1 + self._ahead(view, rank)) / rate
 
@@ -185,7 +185,7 @@
             rank: Lower ones are served first.
             until: Longest wait.
         """
-        sends = view.standing.limited_sends
+        sends = view.announced_state.limited_sends
         if sends is not None and sends.free(trio.current_time()) <= 0:
             await self.wait([view], rank, until)
         return self.hold(view).use(trio.current_time())
@@ -199,12 +199,12 @@
             until: Longest wait.
         """
         view = self._draw(views)
-        sends = view.standing.limited_sends
+        sends = view.announced_state.limited_sends
         if sends is None:
             return
         self._number += 1
         waiter = _Waiter(rank, self._number)
-        waiters = self._waiters.setdefault(view.life, [])
+        waiters = self._waiters.setdefault(view.incarnation, [])
         bisect.insort(waiters, waiter)
         sends.waiting += 1
         try:
@@ -217,7 +217,7 @@
             else:
                 sends.waiting -= 1
             if not waiters:
-                self._waiters.pop(view.life, None)
+                self._waiters.pop(view.incarnation, None)
 
     def _wake(self, life: str, sends: LimitedSends) -> None:
         """Let as many go on as there are permits."""
@@ -226,8 +226,8 @@
 
     def _wake_all(self, life: str) -> None:
         """Let all go on that wait for a permit for a life whose limit was lifted."""
-        view = self._knowledge.table.of_life(life)
-        sends = view.standing.sends if view is not None else None
+        view = self._knowledge.table.of_incarnation(life)
+        sends = view.announced_state.sends if view is not None else None
         while sends is not None and self._wake_next(life, sends):
             pass
 
@@ -253,17 +253,17 @@
 
     def _waits(self, view: InstanceView, rank: int) -> bool:
         """Return whether a request of a rank waits for an instance."""
-        return any(waiter.rank == rank for waiter in self._waiters.get(view.life, ()))
+        return any(waiter.rank == rank for waiter in self._waiters.get(view.incarnation, ()))
 
     def _expected_within(self, view: InstanceView, seconds: float) -> float:
         """Return how many permits are likely to come within a time: one at least."""
-        sends = view.standing.limited_sends
+        sends = view.announced_state.limited_sends
         rate = sends.permits_per_second(trio.current_time()) if sends is not None else 0.0
         return 1.0 + rate * seconds
 
     def _ahead(self, view: InstanceView, rank: int) -> int:
         """Return how many wait for an instance before a request of a rank."""
-        return sum(1 for waiter in self._waiters.get(view.life, ()) if waiter.rank <= rank)
+        return sum(1 for waiter in self._waiters.get(view.incarnation, ()) if waiter.rank <= rank)
 
     def _draw(self, views: Sequence[InstanceView]) -> InstanceView:
         """Draw an instance to wait for: by its limit, and by how few wait for it.
@@ -275,10 +275,10 @@
 
     def _room(self, view: InstanceView) -> float:
         """Return what an instance takes in a second for each request that would wait for it."""
-        limit = max(view.standing.limit.per_second, LEAST_PER_SECOND)
-        return limit / (1 + len(self._waiters.get(view.life, ())))
+        limit = max(view.announced_state.limit.per_second, LEAST_PER_SECOND)
+        return limit / (1 + len(self._waiters.get(view.incarnation, ())))
 
     def _sends(self, life: str) -> LimitedSends | None:
         """Return what is sent to a life that is listed and has a limit."""
-        view = self._knowledge.table.of_life(life)
-        return view.standing.limited_sends if view is not None else None
+        view = self._knowledge.table.of_incarnation(life)
+        return view.announced_state.limited_sends if view is not None else None
--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -9,12 +9,12 @@
 import trio
 
 from hopstep import log_events
+from hopstep.domain.announced_state import AnnouncedState
 from hopstep.domain.exchanges.instance_table import InstanceTable
 from hopstep.domain.exchanges.instance_view import InstanceView
 from hopstep.domain.exchanges.instances import instance_id_of
 from hopstep.domain.instance_limit import NO_LIMIT, HeadTimes
-from hopstep.domain.instance_notices import InstanceNotice, LimitWord, NoticeListener
-from hopstep.domain.instance_standing import InstanceStanding
+from hopstep.domain.instance_notices import InstanceNotice, LimitNotice, NoticeListener
 from hopstep.domain.limits.limited_sends import LimitedSends
 from hopstep.logs import emit
 from hopstep.ports.node_exchange import LIMIT_LIFTED, LimitedInstance
@@ -58,7 +58,7 @@
     """A life that takes only so many requests.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
+        life: As ``str(InstanceIncarnation)``.
         per_second: Requests a second from all nodes together.
         sends: What this node sends it.
     """
@@ -80,7 +80,7 @@
         """
         self._table = table
         self._count = count
-        self._limits: dict[str, InstanceStanding] = {}
+        self._limits: dict[str, AnnouncedState] = {}
         self._tell_lifted: Callable[[str], None] = lambda _life: None
 
     def follow_lifted(self, listener: Callable[[str], None]) -> None:
@@ -103,22 +103,22 @@
         """
         if notice.is_empty:
             return
-        previous = view.standing.limit.per_second
-        news = view.standing.take(notice, trio.current_time(), asked_at)
+        previous = view.announced_state.limit.per_second
+        news = view.announced_state.take(notice, trio.current_time(), asked_at)
         if news.is_empty:
             return
-        self._table.standings.remember(view.life, view.standing)
+        self._table.announced_states.remember(view.incarnation, view.announced_state)
         if news.limit is not None:
-            self._note_limit(view.life, view.standing, previous, ANSWER_SOURCE)
+            self._note_limit(view.incarnation, view.announced_state, previous, ANSWER_SOURCE)
         if news.leaving:
-            self._note_news(view.life, ANSWER_SOURCE, 0)
-        if news.rest_seconds:
+            self._note_news(view.incarnation, ANSWER_SOURCE, 0)
+        if news.backoff_seconds:
             self._count(REST, ANSWER_SOURCE)
-            rest_ms = round(news.rest_seconds * MILLISECONDS)
+            rest_ms = round(news.backoff_seconds * MILLISECONDS)
             emit(
                 log_events.INSTANCE_WANTS_REST,
                 instance=view.instance.instance_id,
-                life=view.life,
+                life=view.incarnation,
                 service=view.instance.service,
                 rest_ms=rest_ms,
             )
@@ -129,14 +129,18 @@
         The life may be unknown here: a node that has just started may read its entry later.
 
         Args:
-            life: As ``str(InstanceLife)``.
+            life: As ``str(InstanceIncarnation)``.
             since: When it said so first, by this node's steady clock.
             node: Who tells it.
         """
-        view = self._table.of_life(life)
-        standing = view.standing if view is not None else self._table.standings.of_life(life)
+        view = self._table.of_incarnation(life)
+        standing = (
+            view.announced_state
+            if view is not None
+            else self._table.announced_states.of_incarnation(life)
+        )
         is_news = standing.note_leaving(since)
-        self._table.standings.remember(life, standing)
+        self._table.announced_states.remember(life, standing)
         if is_news:
             age_ms = round((trio.current_time() - since) * MILLISECONDS)
             self._note_news(life, node, age_ms)
@@ -148,14 +152,14 @@
         """
         leaving = [
             (life, standing.leaving_since)
-            for life, standing in self._table.standings
+            for life, standing in self._table.announced_states
             if standing.leaving_since is not None and self._is_listed_ready(life)
         ]
         return leaving[-MAX_TOLD_LIVES:]
 
     def _is_listed_ready(self, life: str) -> bool:
         """Return whether a life is listed, and not as leaving."""
-        view = self._table.of_life(life)
+        view = self._table.of_incarnation(life)
         return view is not None and not view.instance.draining
 
     def take_told_limit(self, told: LimitedInstance, node: str) -> None:
@@ -167,14 +171,18 @@
         """
         now = trio.current_time()
         lifted = told.per_second_milli == LIMIT_LIFTED
-        word = LimitWord(None if lifted else told.per_second_milli / MILLI)
+        word = LimitNotice(None if lifted else told.per_second_milli / MILLI)
         asked_at = now - told.asked_ms / MILLISECONDS - ON_THE_WAY_SECONDS
         times = HeadTimes(asked_at, now - told.heard_ms / MILLISECONDS)
-        view = self._table.of_life(told.life)
-        standing = view.standing if view is not None else self._table.standings.of_life(told.life)
+        view = self._table.of_incarnation(told.life)
+        standing = (
+            view.announced_state
+            if view is not None
+            else self._table.announced_states.of_incarnation(told.life)
+        )
         previous = standing.limit.per_second
         if standing.take_limit(word, times):
-            self._table.standings.remember(told.life, standing)
+            self._table.announced_states.remember(told.life, standing)
             self._note_limit(told.life, standing, previous, node)
 
     def limited(self) -> list[LimitedLife]:
@@ -182,7 +190,9 @@
         return [
             LimitedLife(life, standing.limit.per_second, standing.sends)
             for life, standing in self._limits.items()
-            if standing.limit.is_set and standing.sends and self._table.of_life(life) is not None
+            if standing.limit.is_set
+            and standing.sends
+            and self._table.of_incarnation(life) is not None
         ]
 
     def told_limits(self) -> tuple[LimitedInstance, ...]:
@@ -196,19 +206,19 @@
         told = list(self._limits.items())[-MAX_TOLD_LIVES:]
         return tuple(_told_limit(life, standing, now) for life, standing in told)
 
-    def _is_worth_telling(self, life: str, standing: InstanceStanding, now: float) -> bool:
+    def _is_worth_telling(self, life: str, standing: AnnouncedState, now: float) -> bool:
         """Return whether a limit of a life may still bind anybody who doesn't know it."""
         heard_seconds = now - standing.limit.times.before
         if not standing.limit.is_set:
             return heard_seconds < LIFTED_TOLD_SECONDS
-        return self._table.of_life(life) is not None or heard_seconds < UNLISTED_TOLD_SECONDS
+        return self._table.of_incarnation(life) is not None or heard_seconds < UNLISTED_TOLD_SECONDS
 
     def _note_limit(
-        self, life: str, standing: InstanceStanding, previous: float, source: str
+        self, life: str, standing: AnnouncedState, previous: float, source: str
     ) -> None:
         """Log and count that a life has another limit, or none any more."""
         self._limits[life] = standing
-        view = self._table.of_life(life)
+        view = self._table.of_incarnation(life)
         limit = standing.limit.per_second
         age_ms = round((trio.current_time() - standing.limit.times.before) * MILLISECONDS)
         self._count(LIMIT, PEER_SOURCE if source != ANSWER_SOURCE else source)
@@ -227,7 +237,7 @@
 
     def _note_news(self, life: str, source: str, age_ms: int) -> None:
         """Log and count that an instance is now known to leave."""
-        view = self._table.of_life(life)
+        view = self._table.of_incarnation(life)
         self._count(LEAVING, PEER_SOURCE if source != ANSWER_SOURCE else source)
         emit(
             log_events.INSTANCE_SAYS_LEAVING,
@@ -239,7 +249,7 @@
         )
 
 
-def _told_limit(life: str, standing: InstanceStanding, now: float) -> LimitedInstance:
+def _told_limit(life: str, standing: AnnouncedState, now: float) -> LimitedInstance:
     """Return what another node is told of a limit."""
     limit = standing.limit
     milli = round(limit.per_second * MILLI) if limit.is_set else LIMIT_LIFTED
--- a/hopstep/services/exchanges/instances/store_watch.py
+++ b/hopstep/services/exchanges/instances/store_watch.py
@@ -11,8 +11,8 @@
 
 from hopstep import log_events
 from hopstep.domain.exchanges.store_contents import (
-    ContentsNews,
     ContentsPosition,
+    ContentsUpdate,
     StoreContents,
 )
 from hopstep.domain.instance_notices import InstanceNotice
@@ -62,16 +62,16 @@
         """Return how far this node knows each store."""
         return tuple(contents.position for contents in self._contents.values())
 
-    def news_after(self, positions: tuple[ContentsPosition, ...]) -> tuple[ContentsNews, ...]:
+    def news_after(self, positions: tuple[ContentsPosition, ...]) -> tuple[ContentsUpdate, ...]:
         """Return what another node doesn't know yet."""
         followed = ((self._contents.get(at.address), at) for at in positions)
         return tuple(
-            contents.news_after(at, MAX_CHANGES)
+            contents.updates_after(at, MAX_CHANGES)
             for contents, at in followed
             if contents is not None
         )
 
-    def take(self, news: tuple[ContentsNews, ...]) -> None:
+    def take(self, news: tuple[ContentsUpdate, ...]) -> None:
         """Take what the relay tells."""
         for told in news:
             contents = self._contents.get(told.after.address)
@@ -117,7 +117,7 @@
                     batch = await self._events.read(address, 0, 0.0) or batch
                     _take(contents, batch, batch.epoch)
                 epoch, position = batch.epoch, batch.position
-            rests = [notice.rest_seconds for notice in heard]
+            rests = [notice.backoff_seconds for notice in heard]
             await trio.sleep(max(PAUSE_SECONDS, max(rests, default=0.0)))
 
 
--- a/hopstep/services/exchanges/node_gauges.py
+++ b/hopstep/services/exchanges/node_gauges.py
@@ -23,7 +23,7 @@
     metrics.watch(
         "hopstep_store_silence_seconds",
         "Time since the store last answered this node or whoever told it.",
-        lambda: trio.current_time() - knowledge.contact.heard_at,
+        lambda: trio.current_time() - knowledge.contact.last_answer_at,
     )
     metrics.watch(
         "hopstep_store_era",
--- a/hopstep/services/exchanges/peers/answer_taking.py
+++ b/hopstep/services/exchanges/peers/answer_taking.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hopstep.domain.store_place import StorePlace
+from hopstep.domain.store_position import StorePosition
 from hopstep.ports.node_exchange import RelayAnswer
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.directory.news import feed_entry
@@ -51,10 +51,12 @@
         knowledge.contact.note_return(heard_at)
         self._take_entries(answer, query, reached)
         if answer.complete:
-            knowledge.contact.note_told(heard_at)
+            knowledge.contact.note_reported(heard_at)
         return not answer.complete
 
-    def _take_entries(self, answer: RelayAnswer, query: PendingQuery, reached: StorePlace) -> None:
+    def _take_entries(
+        self, answer: RelayAnswer, query: PendingQuery, reached: StorePosition
+    ) -> None:
         """Take the changes of an answer; a part of them confirms nothing."""
         knowledge, sent_at = self._knowledge, query.sent_at
         knowledge.enter(reached, query.node)
--- a/hopstep/services/exchanges/peers/document_exchange.py
+++ b/hopstep/services/exchanges/peers/document_exchange.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from hopstep.domain.exchanges.directory_feed import FeedEntry
+from hopstep.domain.exchanges.directory_change_log import LoggedChange
 from hopstep.domain.exchanges.instances import NamedWeights
 from hopstep.ports.node_exchange import RelayAnswer, RelayedEntry, RelayQuery, ToldEntry
 from hopstep.ports.serving_directory import (
@@ -51,7 +51,7 @@
         return tuple(self._told(change) for change in newer)
 
     def not_among(
-        self, newer: tuple[RelayedEntry, ...], part: Iterable[FeedEntry[DirectoryEntry]]
+        self, newer: tuple[RelayedEntry, ...], part: Iterable[LoggedChange[DirectoryEntry]]
     ) -> tuple[RelayedEntry, ...]:
         """Return the documents that aren't told anyway, as changes of the directory."""
         told = [entry.change.change for entry in part]
@@ -69,7 +69,7 @@
         for relayed in answer.newer:
             entry = relayed.entry.read(relayed.entry.era)
             since = sent_at - relayed.age_ms / MILLISECONDS
-            entries.append(FeedEntry(entry.key, entry.place, entry, since))
+            entries.append(LoggedChange(entry.key, entry.place, entry, since))
         self._knowledge.take_documents(entries, source)
 
     def _told(self, change: ConfigurationPublished | WeightsPublished) -> RelayedEntry:
--- a/hopstep/services/exchanges/peers/load_sharing.py
+++ b/hopstep/services/exchanges/peers/load_sharing.py
@@ -71,7 +71,7 @@
         keys = candidate.keys[:-1] or candidate.keys
         if not keys:
             return
-        life = candidate.view.life
+        life = candidate.view.incarnation
         news = SegmentNews(life, keys, round(candidate.read_seconds * MILLISECONDS))
         if candidate.uncached_tokens >= URGENT_TOKENS:
             self._urgent.put_prompt(SentPrompt(news, candidate.uncached_tokens))
@@ -141,17 +141,17 @@
     def _add_prompt(self, node: str, prompt: SentPrompt, now: float) -> None:
         """Add a long prompt to the load that its sender told."""
         [load] = self._listed((InstanceLoad(prompt.segments.life, 1, prompt.tokens),))
-        life = load.life
+        life = load.incarnation
         if self._knowledge.relays.relay() == node:
             self._others.add(ANSWERS, load, now)
         elif self.is_member(node):
             self._members.add(node, load, now)
         else:
             self._others.add(node, load, now)
-        view = self._knowledge.table.of_told(life)
+        view = self._knowledge.table.of_reported(life)
         if view is not None:
             total = self._members.total(life)
-            view.set_others(total.plus(self._others.total(life)), now)
+            view.set_load_of_others(total.plus(self._others.total(life)), now)
             self._take_segments(prompt.segments, now)
 
     def own_hints(self) -> Hints:
@@ -215,17 +215,17 @@
 
     def _listed_load(self, load: InstanceLoad) -> InstanceLoad:
         """Return a told load under the listed life, if it may be of that one."""
-        view = self._knowledge.table.of_told(load.life)
-        if view is None or view.life == load.life:
+        view = self._knowledge.table.of_reported(load.incarnation)
+        if view is None or view.incarnation == load.incarnation:
             return load
-        return msgspec.structs.replace(load, life=view.life)
+        return msgspec.structs.replace(load, incarnation=view.incarnation)
 
     def refresh(self) -> None:
         """Put the loads of other nodes into the views."""
         now = trio.current_time()
         totals = self._totals(now)
         for view in self._knowledge.table:
-            view.set_others(totals.get(view.life), now)
+            view.set_load_of_others(totals.get(view.incarnation), now)
 
     def _totals(self, now: float, without: str = "") -> Loads:
         """Return the loads of all other nodes but one."""
@@ -236,7 +236,7 @@
     def _take(self, node: str, hints: Hints) -> None:
         """Take what another node tells of instances."""
         now = trio.current_time()
-        self._knowledge.table.first_telling.note_told()
+        self._knowledge.table.first_peer_report.note_received()
         for news in hints.segments:
             self.log.append(node, news)
             self._take_segments(news, now)
@@ -250,7 +250,7 @@
 
     def _take_segments(self, news: SegmentNews, now: float) -> None:
         """Put news of an instance's segments into its picture."""
-        view = self._knowledge.table.of_told(news.life)
+        view = self._knowledge.table.of_reported(news.life)
         if view is not None:
             view.segments.drop(news.dropped)
             view.segments.record(news.sent, now + news.read_ms / MILLISECONDS)
@@ -259,7 +259,7 @@
         """Keep requests from an engine that loads weights."""
         until = now + loading.milliseconds / MILLISECONDS
         self._loading[loading.life] = until
-        view = self._knowledge.table.of_told(loading.life)
+        view = self._knowledge.table.of_reported(loading.life)
         if view is not None:
             view.loading_until = until
 
@@ -267,7 +267,7 @@
         """Return this node's own loads."""
         loads = (
             InstanceLoad(
-                view.life,
+                view.incarnation,
                 view.active,
                 view.pending_tokens,
                 int(view.suspended_until > now),
--- a/hopstep/services/exchanges/peers/news_spreading.py
+++ b/hopstep/services/exchanges/peers/news_spreading.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from hopstep.domain.exchanges.gathered_news import GATHER_SECONDS, GatheredNews
+from hopstep.domain.exchanges.pending_updates import SENDING_INTERVAL_SECONDS, PendingUpdates
 from hopstep.ports.node_exchange import (
     MessageTooLongError,
     NodeExchange,
@@ -50,8 +50,8 @@
         self._quarantine = quarantine
         self._exchange = exchange
         self._number = 0
-        self._prompts = GatheredNews[SentPrompt]()
-        self._own_prompts = GatheredNews[SentPrompt]()
+        self._prompts = PendingUpdates[SentPrompt]()
+        self._own_prompts = PendingUpdates[SentPrompt]()
         self._gathering = trio.Event()
 
     async def run(self) -> None:
@@ -103,8 +103,8 @@
             relays = [n for n in self._knowledge.relays.digest_targets() if n not in members]
             for bundle in (*self._prompts.take(members), *self._own_prompts.take(relays)):
                 self._number += 1
-                await self._spread(UrgentNews(self._number, bundle.news), bundle.targets)
-            await trio.sleep(GATHER_SECONDS)
+                await self._spread(UrgentNews(self._number, bundle.updates), bundle.targets)
+            await trio.sleep(SENDING_INTERVAL_SECONDS)
 
     async def _spread(self, news: UrgentNews, names: Iterable[str]) -> None:
         """Send news to nodes; what is too long for a datagram is told with the loads later."""
--- a/hopstep/services/exchanges/peers/relay_answers.py
+++ b/hopstep/services/exchanges/peers/relay_answers.py
@@ -5,8 +5,8 @@
 import msgspec
 import trio
 
-from hopstep.domain.exchanges.directory_feed import FeedEntry
-from hopstep.domain.store_place import NOWHERE
+from hopstep.domain.exchanges.directory_change_log import LoggedChange
+from hopstep.domain.store_position import NO_POSITION
 from hopstep.ports.node_exchange import RelayAnswer, RelayedEntry, RelayQuery, ToldEntry
 from hopstep.ports.serving_directory import ConfigurationPublished, DirectoryEntry
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
@@ -68,7 +68,7 @@
             revision=query.revision,
             age_ms=UNKNOWN_AGE_MS,
             contents=self._store_watch.news_after(query.contents),
-            silence_ms=silence_ms(now, knowledge.contact.heard_at),
+            silence_ms=silence_ms(now, knowledge.contact.last_answer_at),
             after_era=query.era,
             era=query.era,
             keys_age_ms=age_or_unknown(now, knowledge.keys.confirmed_at),
@@ -84,10 +84,10 @@
             return answer
         changes = knowledge.feed.after(asked_after)
         if changes is None:
-            return msgspec.structs.replace(answer, beyond_reach=knowledge.place != NOWHERE)
+            return msgspec.structs.replace(answer, beyond_reach=knowledge.place != NO_POSITION)
         part = _first_part(changes)
         complete = len(part) == len(changes)
-        reached = knowledge.place if complete else part[-1].place
+        reached = knowledge.place if complete else part[-1].position
         return msgspec.structs.replace(
             answer,
             revision=reached.revision,
@@ -113,9 +113,9 @@
         )
 
 
-def _first_part(changes: list[FeedEntry[DirectoryEntry]]) -> list[FeedEntry[DirectoryEntry]]:
+def _first_part(changes: list[LoggedChange[DirectoryEntry]]) -> list[LoggedChange[DirectoryEntry]]:
     """Return the changes of one answer: up to a bound, and a configuration as the last one."""
-    part: list[FeedEntry[DirectoryEntry]] = []
+    part: list[LoggedChange[DirectoryEntry]] = []
     for entry in changes[:MAX_ENTRIES]:
         part.append(entry)
         if isinstance(entry.change.change, ConfigurationPublished):
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -136,7 +136,7 @@
     async def _ask_elsewhere(self) -> None:
         """Ask nodes that may have another way to the store, each time others."""
         self._turn += 1
-        for node in self._knowledge.relays.elsewhere(self._turn, SEEK_NODES):
+        for node in self._knowledge.relays.readers_elsewhere(self._turn, SEEK_NODES):
             await self._ask(node)
 
     def _note_source(self, source: str) -> None:
@@ -186,7 +186,7 @@
         """Take messages."""
         while True:
             received = await self._exchange.receive(self._knowledge.nodes)
-            self._knowledge.relays.note_heard(received.sender)
+            self._knowledge.relays.note_message(received.sender)
             await self._take(received)
 
     async def _take(self, received: Received) -> None:
--- a/hopstep/services/exchanges/peers/told_places.py
+++ b/hopstep/services/exchanges/peers/told_places.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hopstep.domain.exchanges.nodes import FORM_WITH_ERAS
-from hopstep.domain.store_place import NOWHERE, UNTOLD_ERA, StorePlace
+from hopstep.domain.exchanges.nodes import FORMAT_VERSION_WITH_ERAS
+from hopstep.domain.store_position import NO_POSITION, UNSPECIFIED_ERA, StorePosition
 from hopstep.ports.node_exchange import ToldEntry
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 
@@ -15,7 +15,7 @@
         """Use a node's knowledge of the others and of the store."""
         self._knowledge = knowledge
 
-    def read(self, node: str, place: StorePlace) -> StorePlace:
+    def read(self, node: str, place: StorePosition) -> StorePosition:
         """Return the place that a node means.
 
         One without eras means the only one that this node has seen; after a restore that can't be
@@ -26,12 +26,12 @@
             place: As the node told it.
         """
         record = self._knowledge.nodes.get(node)
-        told = record is not None and record.form >= FORM_WITH_ERAS
-        if told or place == NOWHERE or self._knowledge.place == NOWHERE:
+        told = record is not None and record.form >= FORMAT_VERSION_WITH_ERAS
+        if told or place == NO_POSITION or self._knowledge.place == NO_POSITION:
             return place
-        era = UNTOLD_ERA if self._knowledge.history.was_restored else self._knowledge.place.era
-        return StorePlace(era, place.revision)
+        era = UNSPECIFIED_ERA if self._knowledge.history.was_restored else self._knowledge.place.era
+        return StorePosition(era, place.revision)
 
     def era_of(self, node: str, entry: ToldEntry) -> int:
         """Return the era that a node means by an entry."""
-        return self.read(node, StorePlace(entry.era, entry.revision)).era
+        return self.read(node, StorePosition(entry.era, entry.revision)).era
--- a/hopstep/services/exchanges/requests/answer_relay.py
+++ b/hopstep/services/exchanges/requests/answer_relay.py
@@ -114,7 +114,7 @@
                 view.segments.mark_read(candidate.keys, now)
                 view.first_byte(self._request.request_id, candidate.uncached_tokens, now)
                 view.succeeded(now - sent_at)
-            view.heard(now)
+            view.note_received_byte(now)
             await self._send_events(answer, data)
         if self._framer.has_partial or not self.started:
             raise InstanceCallError(
--- a/hopstep/services/exchanges/requests/instance_attempt.py
+++ b/hopstep/services/exchanges/requests/instance_attempt.py
@@ -56,7 +56,7 @@
         self._outcome = outcome
         self._candidate = candidate
         self._view = candidate.view
-        leaves = self._view.standing.leaves
+        leaves = self._view.announced_state.has_announced_leaving
         self._purpose = Purpose.LAST_SENDING if leaves else Purpose.SENDING
         self._permit = parts.limits.hold(self._view)
 
@@ -81,7 +81,7 @@
             self._parts.limits.release(view, self._permit)
             if left_midway and self.proof.sent and not self._relay.finished:
                 look = functools.partial(self._parts.calls.look, view.instance)
-                self._parts.quarantine.note_left(self._name, view.life, look)
+                self._parts.quarantine.note_left(self._name, view.incarnation, look)
         return None
 
     async def _call(self) -> None:
@@ -115,8 +115,8 @@
         view = self._view
         sent_at = trio.current_time()
         async with self._parts.calls.open(self._make_call()) as answer:
-            view.heard(trio.current_time())
-            self._parts.quarantine.note_answer(view.life, sent_at)
+            view.note_received_byte(trio.current_time())
+            self._parts.quarantine.note_answer(view.incarnation, sent_at)
             self._learn_version(answer)
             try:
                 await self._relay.relay(self._candidate, answer, sent_at)
--- a/hopstep/services/exchanges/requests/instance_choice.py
+++ b/hopstep/services/exchanges/requests/instance_choice.py
@@ -108,7 +108,7 @@
         now: float,
     ) -> None:
         """Ask for a permit where the best instance is one under a limit, or a limit is in doubt."""
-        if all(view.standing.limited_sends is None for view in eligible):
+        if all(view.announced_state.limited_sends is None for view in eligible):
             return
         kept = [view for view in eligible if is_limited(view, now)]
         note_wanted(self._best(request, service, [*views, *kept], now), now)
@@ -169,7 +169,7 @@
         return [
             view
             for view, answer in kept
-            if answer.barrier is Barrier.UNHEARD
+            if answer.barrier is Barrier.STATE_UNKNOWN
             and answer.until + view.expected_latency > answer_by
         ]
 
@@ -221,7 +221,7 @@
         openings = [
             answer.until
             for view, answer in kept
-            if answer.barrier in (Barrier.RESTING, Barrier.UNHEARD)
+            if answer.barrier in (Barrier.BACKING_OFF, Barrier.STATE_UNKNOWN)
             and answer.until + view.expected_latency <= answer_by
         ]
         limited = [view for view, answer in kept if answer.barrier is Barrier.LIMITED]
--- a/hopstep/services/exchanges/requests/permit_demand.py
+++ b/hopstep/services/exchanges/requests/permit_demand.py
@@ -27,7 +27,7 @@
 
 def note_wanted(candidate: Candidate | None, now: float) -> None:
     """Ask for a permit if the best instance for a request is one under a limit."""
-    sends = candidate.view.standing.limited_sends if candidate is not None else None
+    sends = candidate.view.announced_state.limited_sends if candidate is not None else None
     if sends is not None:
         sends.note_wanted(now)
 
@@ -52,7 +52,7 @@
             now: Steady clock.
         """
         for view in views:
-            sends = view.standing.limited_sends
+            sends = view.announced_state.limited_sends
             if sends is None or sends.free(now) > 0 or not self._is_doubted(view, now):
                 continue
             if self._doubt(view).wants_permit(now):
@@ -68,7 +68,7 @@
         return [
             view
             for view in views
-            if view.standing.limited_sends is not None
+            if view.announced_state.limited_sends is not None
             and view.is_usable(now)
             and self._is_doubted(view, now)
             and self._doubt(view).may_ask(now)
@@ -85,14 +85,14 @@
 
     def _is_doubted(self, view: InstanceView, now: float) -> bool:
         """Return whether this node is to ask whether a limit holds."""
-        heard_at = view.standing.limit.times.before
+        heard_at = view.announced_state.limit.times.before
         nodes = self._knowledge.count_nodes()
-        return now >= doubted_from(heard_at, view.life, self._knowledge.name, nodes)
+        return now >= doubted_from(heard_at, view.incarnation, self._knowledge.name, nodes)
 
     def _doubt(self, view: InstanceView) -> LimitDoubt:
         """Return the doubt of an instance's limit."""
-        doubt = self._doubts.setdefault(view.life, LimitDoubt())
-        self._doubts.move_to_end(view.life)
+        doubt = self._doubts.setdefault(view.incarnation, LimitDoubt())
+        self._doubts.move_to_end(view.incarnation)
         if len(self._doubts) > MAX_DOUBTS:
             self._doubts.popitem(last=False)
         return doubt
--- a/hopstep/services/exchanges/requests/quarantine_gate.py
+++ b/hopstep/services/exchanges/requests/quarantine_gate.py
@@ -80,9 +80,9 @@
         answered = error.execution is Execution.NOT_RUN or error.code in ANSWERED_CODES
         if not answered:
             look = functools.partial(self._calls.look, view.instance)
-            self._quarantine.note_broken(self.name, view.life, look)
+            self._quarantine.note_broken(self.name, view.incarnation, look)
 
     async def settle(self, view: InstanceView) -> None:
         """Know whether the instance has ended, before a request that may end others goes on."""
         if not self._quarantine.is_idle:
-            await self._quarantine.settle(self.name.fingerprint, view.life)
+            await self._quarantine.settle(self.name.fingerprint, view.incarnation)
--- a/hopstep/services/exchanges/requests/retry_advisor.py
+++ b/hopstep/services/exchanges/requests/retry_advisor.py
@@ -71,7 +71,7 @@
         listed = knowledge.table.of_service(service)
         asked = [(view, view.admission(Purpose.REQUEST, now)) for view in listed]
         views = [view for view, answer in asked if answer.is_open]
-        resting = [a.until - now for _view, a in asked if a.barrier is Barrier.RESTING]
+        resting = [a.until - now for _view, a in asked if a.barrier is Barrier.BACKING_OFF]
         limited = [
             self._limits.expected_seconds(view, LAST_RANK)
             for view, answer in asked
@@ -83,10 +83,10 @@
             code=code,
             other_instance=bool(tried) and any(view.is_usable(now) for view in untried),
             loading_seconds=min(loading, default=None),
-            resting_seconds=None if views else min(resting, default=None),
+            backoff_seconds=None if views else min(resting, default=None),
             limited_seconds=None if views else min(limited, default=None),
             relisting_seconds=None if views else knowledge.contact.relisting_seconds(now),
-            store_silence_seconds=now - knowledge.contact.heard_at,
+            store_silence_seconds=now - knowledge.contact.last_answer_at,
             others_answer=now - knowledge.node_heard_at < ANSWERED_SECONDS,
         )
         return self._spread(facts, now)
@@ -96,6 +96,6 @@
         told = self._told[retry_reason(facts)]
         while told and told[0] < now - LATELY_SECONDS:
             told.popleft()
-        facts = msgspec.structs.replace(facts, told_lately=len(told))
+        facts = msgspec.structs.replace(facts, recent_refusals=len(told))
         told.append(now)
         return advise(facts, self._generator.random())
--- a/hopstep/services/exchanges/requests/silence_watchdog.py
+++ b/hopstep/services/exchanges/requests/silence_watchdog.py
@@ -34,6 +34,6 @@
         while not self.fired:
             await trio.sleep(LOOK_SECONDS)
             self._pauses.look()
-            if self._view.is_silent(trio.current_time()):
+            if self._view.is_unresponsive(trio.current_time()):
                 self.fired = True
                 scope.cancel()
--- a/hopstep/services/exchanges/weights/rollout_lease.py
+++ b/hopstep/services/exchanges/weights/rollout_lease.py
@@ -1,6 +1,7 @@
 """The lease under which one node at a time orders engines to load weights.
 
-``RolloutTenure`` decides when this node may take, keep and use it; here are the calls. While the
+``RolloutLeaseState`` decides when this node may take, keep and use it;
+here are the calls. While the
 store is down nobody becomes holder, and the holder stops when its lease ends.
 
 Leases may wait while the store is down. A node that finds the key with its own name after that,
@@ -19,13 +20,13 @@
 import trio
 
 from hopstep import log_events
-from hopstep.domain.exchanges.rollout_tenure import (
+from hopstep.domain.exchanges.rollout_lease_state import (
     Claim,
     RolloutKey,
-    RolloutTenure,
+    RolloutLeaseState,
     fencing_token,
 )
-from hopstep.domain.store_place import NOWHERE, StoreLease, StorePlace
+from hopstep.domain.store_position import NO_POSITION, StoreLease, StorePosition
 from hopstep.exceptions import (
     ErrorCode,
     StoreConflictError,
@@ -82,7 +83,7 @@
             lease_seconds: Time of the lease.
         """
         self.fencing_token = 0
-        self._tenure = RolloutTenure(name, knowledge.record.address, lease_seconds)
+        self._tenure = RolloutLeaseState(name, knowledge.record.address, lease_seconds)
         self._store = store
         self._knowledge = knowledge
         self._generator = generator
@@ -166,7 +167,7 @@
 
     def _see_era(self) -> None:
         """Take the era that the directory is known to be in, and when a restore was noticed."""
-        if self._knowledge.place != NOWHERE:
+        if self._knowledge.place != NO_POSITION:
             self._tenure.see_era(self._knowledge.place.era, trio.current_time())
         self._tenure.suspect_restore(self._knowledge.history.restored_at)
 
@@ -181,7 +182,7 @@
         """Whether an own lease may still exist, and the store has answered since a call failed."""
         claim = self._claim
         own = claim is not None and claim.resumed is not None
-        return own and self._knowledge.contact.heard_at > self._failed_at
+        return own and self._knowledge.contact.last_answer_at > self._failed_at
 
     async def _take(self) -> None:
         """Acquire or resume; raises ``StoreError`` when that isn't proved."""
@@ -204,7 +205,7 @@
         self._hold(lease, version, sent_at, resumed=False)
 
     def _hold(
-        self, lease: StoreLease, version: StorePlace, sent_at: float, *, resumed: bool
+        self, lease: StoreLease, version: StorePosition, sent_at: float, *, resumed: bool
     ) -> None:
         """Note that this node holds the lease, from when the answered call was sent."""
         self._tenure.begin(lease, version, sent_at, trio.current_time())
@@ -220,13 +221,13 @@
             resumed=resumed,
         )
 
-    def _token(self, version: StorePlace) -> int:
+    def _token(self, version: StorePosition) -> int:
         """Return the fencing token; beside nodes that know no eras one that they may follow."""
         if self._knowledge.node_book.all_know_eras or self._knowledge.history.was_restored:
             return fencing_token(version)
         return version.revision
 
-    async def _write_key(self, lease: StoreLease, expected: StorePlace) -> StorePlace:
+    async def _write_key(self, lease: StoreLease, expected: StorePosition) -> StorePosition:
         """Create the key, or write over one of an earlier era, and return its version.
 
         Without an answer the key is read back: the value names this node and this lease.
--- a/hopstep/services/exchanges/weights/weights_rollout.py
+++ b/hopstep/services/exchanges/weights/weights_rollout.py
@@ -110,15 +110,15 @@
         self, nursery: trio.Nursery, view: InstanceView, weights: NamedWeights, now: float
     ) -> None:
         """Start one load unless it is under way or has just failed."""
-        if view.life in self._loading or now < self._retry_at.get(view.life, 0.0):
+        if view.incarnation in self._loading or now < self._retry_at.get(view.incarnation, 0.0):
             return
-        self._loading.add(view.life)
+        self._loading.add(view.incarnation)
         nursery.start_soon(self._load, view, weights)
 
     async def _load(self, view: InstanceView, weights: NamedWeights) -> None:
         """Load one engine and wait until it is done."""
         try:
-            if view.standing.limited_sends is not None:
+            if view.announced_state.limited_sends is not None:
                 await self._load_limited(view, weights)
                 return
             started_at = trio.current_time()
@@ -126,8 +126,8 @@
                 if await self._order_until_done(view, weights):
                     self._knowledge.weights.record_load(trio.current_time() - started_at)
         finally:
-            self._retry_at[view.life] = trio.current_time() + RETRY_SECONDS
-            self._loading.discard(view.life)
+            self._retry_at[view.incarnation] = trio.current_time() + RETRY_SECONDS
+            self._loading.discard(view.incarnation)
 
     async def _load_limited(self, view: InstanceView, weights: NamedWeights) -> None:
         """Order a load of an engine that takes few requests, and wait until its entry shows it.
@@ -222,7 +222,7 @@
         if not await self._may_ask(view, _patience()):
             return None
         report = await self._orders.report(view.instance, self._notices.listener(view))
-        if report is None or not view.instance.life.may_tell(report.born_ms):
+        if report is None or not view.instance.incarnation.matches_start(report.born_ms):
             return None
         return report
 
@@ -236,7 +236,7 @@
     def _mark_loading(self, view: InstanceView) -> None:
         """Keep requests from an engine for a while, here and at the peers."""
         view.loading_until = trio.current_time() + LOADING_SECONDS
-        self._sharing.announce_loading(view.life, LOADING_SECONDS)
+        self._sharing.announce_loading(view.incarnation, LOADING_SECONDS)
 
 
 def _patience() -> float:
--- a/hopstep/services/leaving_watch.py
+++ b/hopstep/services/leaving_watch.py
@@ -13,7 +13,7 @@
 import trio
 
 from hopstep import log_events
-from hopstep.domain.leaving_machines import LeavingMachines, ToldMachines
+from hopstep.domain.leaving_machines import LeavingMachines, ReportedMachines
 from hopstep.domain.routing.routing_table import RoutingTable
 from hopstep.exceptions import StoreError
 from hopstep.logs import emit
@@ -68,7 +68,7 @@
         self._publish = publish
         self._told = told
         self._machines = LeavingMachines()
-        self._told_machines = ToldMachines()
+        self._told_machines = ReportedMachines()
         self._read: frozenset[str] = frozenset()
         self._shown_live: list[str] = []
         self._published: frozenset[str] = frozenset()
--- a/hopstep/services/quarantine/reader.py
+++ b/hopstep/services/quarantine/reader.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from hopstep.domain.store_place import ABSENT, StorePlace
+from hopstep.domain.store_position import ABSENT, StorePosition
 from hopstep.exceptions import StoreError
 from hopstep.ports.key_value_store import KeyValueStorePort
 from hopstep.services.quarantine.records import QUARANTINE_PREFIX, QuarantineRecords
@@ -43,7 +43,7 @@
         self._store = store
         self._reads = reads
         self._generator = generator
-        self._versions: dict[str, StorePlace] = {}
+        self._versions: dict[str, StorePosition] = {}
         self._has_read = False
 
     async def run(self) -> None:
--- a/hopstep/services/quarantine/records.py
+++ b/hopstep/services/quarantine/records.py
@@ -16,7 +16,7 @@
 from hopstep import log_events
 from hopstep.domain.quarantine.crash_records import MAX_REQUESTS
 from hopstep.domain.quarantine.crashes import Crash, RequestCrashes
-from hopstep.domain.store_place import ABSENT, StoreLease, StorePlace
+from hopstep.domain.store_position import ABSENT, StoreLease, StorePosition
 from hopstep.exceptions import StoreConflictError, StoreError
 from hopstep.logs import emit
 from hopstep.ports.key_value_store import KeyValueStorePort
@@ -83,7 +83,7 @@
 class _Stored(msgspec.Struct, frozen=True):
     """What the store holds of a request; version ``ABSENT`` once the key has lapsed."""
 
-    version: StorePlace
+    version: StorePosition
     crashes: RequestCrashes
     trials: int = 0
 
@@ -166,7 +166,7 @@
             reason=reason,
         )
 
-    def take(self, key: str, value: bytes, version: StorePlace) -> None:
+    def take(self, key: str, value: bytes, version: StorePosition) -> None:
         """Take a key as the store holds it.
 
         Args:
--- a/tests/adapters/test_golden_frames.py
+++ b/tests/adapters/test_golden_frames.py
@@ -1,7 +1,8 @@
 """Messages and records that earlier versions wrote mean the same today, and the other way round.
 
 ``golden/`` holds bytes as each landed form wrote them, under its first commit or its number.
-Whoever changes a form adds a file, and raises ``MESSAGE_FORM`` where older versions read less.
+Whoever changes a form adds a file, and raises ``MESSAGE_FORMAT_VERSION``
+where older versions read less.
 """
 
 import json
@@ -15,13 +16,17 @@
 from hopstep.adapters.node_codec import decode_frame, encode_frame
 from hopstep.domain.exchanges.instances import Instance, NamedWeights
 from hopstep.domain.exchanges.load_ledger import InstanceLoad
-from hopstep.domain.exchanges.nodes import FORM_WITH_ERAS, MESSAGE_FORM, NodeRecord
-from hopstep.domain.exchanges.rollout_tenure import RolloutHolder
+from hopstep.domain.exchanges.nodes import (
+    FORMAT_VERSION_WITH_ERAS,
+    MESSAGE_FORMAT_VERSION,
+    NodeRecord,
+)
+from hopstep.domain.exchanges.rollout_lease_state import RolloutHolder
 from hopstep.domain.exchanges.segments import SegmentKey
 from hopstep.domain.exchanges.store_contents import ContentsPosition
 from hopstep.domain.limits.fleet_usage import Usage
 from hopstep.domain.quarantine.crashes import Crash, RequestCrashes
-from hopstep.domain.store_place import UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import UNSPECIFIED_ERA, StorePosition
 from hopstep.ports.node_exchange import (
     GrantedPermits,
     Hints,
@@ -122,7 +127,7 @@
     ),
 }
 RECORDS = {
-    "node": encode_node(NodeRecord("1.2.3.4:5", "z", b"key-a", 1.5, MESSAGE_FORM, ERA)),
+    "node": encode_node(NodeRecord("1.2.3.4:5", "z", b"key-a", 1.5, MESSAGE_FORMAT_VERSION, ERA)),
     "rollout": encode_holder(RolloutHolder("a", "1.2.3.4:5", "77", ERA)),
     "quarantine": msgspec.json.encode(
         StoredRequest("t1", "r", (Crash("i1@5", "a"),), ("i0@1",), False, 1)
@@ -288,13 +293,13 @@
         answer = messages["answer"]
         entries = tuple(relayed.entry for relayed in answer.entries)
         self.assertEqual(entries, ENTRIES_BEFORE_ERAS)
-        self.assertEqual(messages["query"].place, StorePlace(UNTOLD_ERA, 77))
-        self.assertEqual(answer.after_place, StorePlace(UNTOLD_ERA, 77))
-        self.assertEqual(answer.place, StorePlace(UNTOLD_ERA, 80))
+        self.assertEqual(messages["query"].place, StorePosition(UNSPECIFIED_ERA, 77))
+        self.assertEqual(answer.after_place, StorePosition(UNSPECIFIED_ERA, 77))
+        self.assertEqual(answer.place, StorePosition(UNSPECIFIED_ERA, 80))
         self.assertEqual(messages["query"].hints, HINTS)
 
     def test_todays_frames_are_those_of_the_present_form(self):
-        frames = golden(f"form-{MESSAGE_FORM}")["frames"]
+        frames = golden(f"form-{MESSAGE_FORMAT_VERSION}")["frames"]
         self.assertEqual(frames.keys(), MESSAGES.keys())
         for kind, message in MESSAGES.items():
             with self.subTest(kind):
@@ -332,14 +337,14 @@
             (BEFORE_LEAVING, 0),
             (BEFORE_LIMITS, 1),
             (BEFORE_ERAS, 2),
-            (f"form-{MESSAGE_FORM}", MESSAGE_FORM),
+            (f"form-{MESSAGE_FORMAT_VERSION}", MESSAGE_FORMAT_VERSION),
         )
         for name, form in forms:
             with self.subTest(name):
                 records = golden(name)["records"]
                 node = decode_node(records["node"].encode())
-                knows_eras = form >= FORM_WITH_ERAS
-                era = ERA if knows_eras else UNTOLD_ERA
+                knows_eras = form >= FORMAT_VERSION_WITH_ERAS
+                era = ERA if knows_eras else UNSPECIFIED_ERA
                 self.assertEqual(node, NodeRecord("1.2.3.4:5", "z", b"key-a", 1.5, form, era))
                 holder = decode_holder(records["rollout"].encode())
                 era = ERA if knows_eras else None
@@ -353,7 +358,7 @@
         )
 
     def test_todays_records_are_those_of_the_present_form(self):
-        kept = golden(f"form-{MESSAGE_FORM}")["records"]
+        kept = golden(f"form-{MESSAGE_FORMAT_VERSION}")["records"]
         self.assertEqual({kind: value.decode() for kind, value in RECORDS.items()}, kept)
 
     def test_the_version_before_reads_todays_node(self):
--- a/tests/adapters/test_node_codec.py
+++ b/tests/adapters/test_node_codec.py
@@ -13,7 +13,7 @@
 from hopstep.domain.exchanges.nodes import NodeRecord
 from hopstep.domain.exchanges.segments import SegmentKey
 from hopstep.domain.quarantine.crashes import Crash, RequestCrashes
-from hopstep.domain.store_place import StorePlace
+from hopstep.domain.store_position import StorePosition
 from hopstep.ports.node_exchange import (
     Hints,
     LoadingEngine,
@@ -42,10 +42,10 @@
 )
 INSTANCE = Instance("i1", "llm", "10.0.0.1:80", "z", 4, versions={"m": 3})
 ENTRIES = (
-    DirectoryEntry("c", StorePlace(1, 1), ConfigurationPublished(configuration(7))),
-    DirectoryEntry("i", StorePlace(1, 2), InstanceListed(INSTANCE)),
-    DirectoryEntry("i", StorePlace(1, 3), InstanceRemoved("i1")),
-    DirectoryEntry("r", StorePlace(1, 4), RecordWritten("r", b"\x00\xff", StorePlace(1, 4))),
+    DirectoryEntry("c", StorePosition(1, 1), ConfigurationPublished(configuration(7))),
+    DirectoryEntry("i", StorePosition(1, 2), InstanceListed(INSTANCE)),
+    DirectoryEntry("i", StorePosition(1, 3), InstanceRemoved("i1")),
+    DirectoryEntry("r", StorePosition(1, 4), RecordWritten("r", b"\x00\xff", StorePosition(1, 4))),
 )
 MESSAGES = (
     RelayQuery(1, -1),
--- a/tests/contract/store_contract.py
+++ b/tests/contract/store_contract.py
@@ -5,7 +5,7 @@
 import trio
 
 from emulator.platform.faults import FaultOrder
-from hopstep.domain.store_place import ABSENT, UNTOLD_ERA, StoreLease, StorePlace
+from hopstep.domain.store_position import ABSENT, UNSPECIFIED_ERA, StoreLease, StorePosition
 from hopstep.exceptions import (
     ErrorCode,
     StoreConflictError,
@@ -34,12 +34,12 @@
 CLEARED = FaultOrder(
     outage=False, requests_per_second=0, slow_seconds=0, lost_answers=0, lost_requests=0
 )
-NO_LEASE = StoreLease("none", UNTOLD_ERA)
+NO_LEASE = StoreLease("none", UNSPECIFIED_ERA)
 
 
 def _next(version):
     """Return another version than a key's own."""
-    return StorePlace(version.era, version.revision + 1)
+    return StorePosition(version.era, version.revision + 1)
 
 
 class StoreContract:
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -10,7 +10,7 @@
 from emulator.exchange_platform.store import create_store_app
 from emulator.platform.shared_store import SharedStore
 from hopstep.adapters import key_value_store_wire as wire
-from hopstep.domain.store_place import ABSENT
+from hopstep.domain.store_position import ABSENT
 from hopstep.exceptions import ErrorCode, StoreError, StoreHistoryLostError
 from hopstep.platform.http_client import HttpClient
 from hopstep.platform.store import PlatformStore
--- a/tests/contract/test_store_contract.py
+++ b/tests/contract/test_store_contract.py
@@ -13,7 +13,7 @@
 from hopstep.adapters.key_value_store_http import HttpKeyValueStore
 from hopstep.adapters.key_value_store_wire import STORE_PATH
 from hopstep.adapters.machine_list_http import HttpMachineList
-from hopstep.domain.store_place import ABSENT, UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import ABSENT, UNSPECIFIED_ERA, StorePosition
 from hopstep.exceptions import ErrorCode, StoreError, StoreOutcomeUnknownError
 from hopstep.ports.machine_list import Machine, MachineState
 from tests.contract.store_contract import CLIENT_TIMEOUT_SECONDS, StoreContract
@@ -66,7 +66,7 @@
             cut, whole = InMemoryStore(shared), InMemoryStore(shared)
             cut.cut_off = True
             version = await whole.compare_and_swap("a", ABSENT, b"1")
-            self.assertEqual(version, StorePlace(UNTOLD_ERA, 1))
+            self.assertEqual(version, StorePosition(UNSPECIFIED_ERA, 1))
             await self.check_call(lambda: cut.get("a"), (StoreError, ErrorCode.STORE_UNAVAILABLE))
 
         self.run_async(test)
--- a/tests/ctl/test_quarantine.py
+++ b/tests/ctl/test_quarantine.py
@@ -8,7 +8,7 @@
 from hopstep.ctl.quarantine import release_request, show_quarantine
 from hopstep.ctl.results import ExitCode
 from hopstep.domain.quarantine.crashes import Crash
-from hopstep.domain.store_place import ABSENT
+from hopstep.domain.store_position import ABSENT
 from hopstep.exceptions import ValidationError
 from hopstep.services.quarantine.records import QUARANTINE_PREFIX, StoredRequest
 
--- a/tests/domain/exchanges/rollout_world.py
+++ b/tests/domain/exchanges/rollout_world.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from hopstep.domain.exchanges.rollout_tenure import (
+from hopstep.domain.exchanges.rollout_lease_state import (
     RolloutHolder,
     RolloutKey,
-    RolloutTenure,
+    RolloutLeaseState,
     fencing_token,
 )
-from hopstep.domain.store_place import StoreLease, StorePlace
+from hopstep.domain.store_position import StoreLease, StorePosition
 
 LEASE = 2.0
 WAIT = 1.0
@@ -91,7 +91,7 @@
         self.now = 0.0
         self.store = Store()
         self.kept = self.store
-        self.tenures = {node: RolloutTenure(node, "x", LEASE) for node in NODES}
+        self.tenures = {node: RolloutLeaseState(node, "x", LEASE) for node in NODES}
         self.views = dict.fromkeys(NODES)
         self.cut = dict.fromkeys(NODES, False)
         self.pending = ()
@@ -144,7 +144,7 @@
         self.cut[node] = not self.cut[node]
 
     def _restart(self, node):
-        self.tenures[node] = RolloutTenure(node, "x", LEASE)
+        self.tenures[node] = RolloutLeaseState(node, "x", LEASE)
         self.views[node] = None
 
     def _read(self, node):
@@ -159,7 +159,7 @@
         view = self.views[node]
         key = None
         if view.key is not None:
-            key = RolloutKey(StorePlace(view.era, view.key.revision), view.key.holder)
+            key = RolloutKey(StorePosition(view.era, view.key.revision), view.key.holder)
         return self.tenures[node].claim(key)
 
     def _take(self, node):
@@ -176,7 +176,7 @@
         written = self.store.swap(claim.expected.revision, tenure.holder(lease))
         if written is not None:
             self.store = written
-            version = StorePlace(self.store.era, self.store.revision)
+            version = StorePosition(self.store.era, self.store.revision)
             if claim.expected.revision == 0 or claim.expected.era == self.store.era:
                 tenure.begin(lease, version, self.now, self.now)
 
--- a/tests/domain/exchanges/test_engine_contents.py
+++ b/tests/domain/exchanges/test_engine_contents.py
@@ -8,7 +8,7 @@
     EngineContents,
 )
 from hopstep.domain.exchanges.request import PromptSegment
-from hopstep.domain.exchanges.segments import SegmentPicture, segment_keys
+from hopstep.domain.exchanges.segments import SegmentIndex, segment_keys
 from hopstep.domain.exchanges.store_contents import CacheEvent
 
 MODEL = "m"
@@ -30,60 +30,60 @@
 
 class EngineContentsTest(unittest.TestCase):
     def setUp(self):
-        self.picture = SegmentPicture(100_000)
+        self.index = SegmentIndex(100_000)
         self.contents = EngineContents(0.0)
-        self.contents.take((), self.picture, 0.0)
+        self.contents.take((), self.index, 0.0)
 
     def test_a_dropped_segment_is_told(self):
-        self.picture.record(keys("a", "b"), 1.0)
-        found = self.contents.take([event("a"), event("b"), event("b", 0)], self.picture, 2.0)
+        self.index.record(keys("a", "b"), 1.0)
+        found = self.contents.take([event("a"), event("b"), event("b", 0)], self.index, 2.0)
         self.assertEqual((found.kept, found.dropped), ((), digests("b")))
 
     def test_a_segment_that_was_dropped_and_read_again_is_kept(self):
-        self.picture.record(keys("a"), 1.0)
-        found = self.contents.take([event("a"), event("a", 0), event("a")], self.picture, 2.0)
+        self.index.record(keys("a"), 1.0)
+        found = self.contents.take([event("a"), event("a", 0), event("a")], self.index, 2.0)
         self.assertTrue(found.is_empty)
 
     def test_what_was_dropped_and_is_read_again_is_told(self):
-        self.picture.record(keys("a"), 1.0)
-        self.picture.drop(self.contents.take([event("a", 0)], self.picture, 2.0).dropped)
-        found = self.contents.take([event("a")], self.picture, 2.2)
+        self.index.record(keys("a"), 1.0)
+        self.index.drop(self.contents.take([event("a", 0)], self.index, 2.0).dropped)
+        found = self.contents.take([event("a")], self.index, 2.2)
         self.assertEqual((found.kept, found.dropped), (keys("a"), ()))
 
     def test_a_late_event_says_nothing_of_what_was_sent_since(self):
-        self.contents.take([event("a")], self.picture, 1.0)
-        self.picture.record(keys("a"), 5.0)
+        self.contents.take([event("a")], self.index, 1.0)
+        self.index.record(keys("a"), 5.0)
         for now in (4.9, 5.0 + EVENT_DELAY_SECONDS / 2):
-            found = self.contents.take([event("a", 0)], self.picture, now)
+            found = self.contents.take([event("a", 0)], self.index, now)
             self.assertTrue(found.is_empty)
 
     def test_what_no_event_has_reported_in_time_is_not_kept(self):
-        self.picture.record(keys("a", "b"), 1.0)
-        self.contents.take([event("b")], self.picture, 1.5)
-        self.assertTrue(self.contents.take((), self.picture, 1.0 + CONFIRMED_SECONDS).is_empty)
-        found = self.contents.take((), self.picture, 1.1 + CONFIRMED_SECONDS)
+        self.index.record(keys("a", "b"), 1.0)
+        self.contents.take([event("b")], self.index, 1.5)
+        self.assertTrue(self.contents.take((), self.index, 1.0 + CONFIRMED_SECONDS).is_empty)
+        found = self.contents.take((), self.index, 1.1 + CONFIRMED_SECONDS)
         self.assertEqual(found.dropped, digests("a"))
 
     def test_a_gap_leaves_what_was_sent_before_it(self):
-        self.picture.record(keys("before"), 1.0)
+        self.index.record(keys("before"), 1.0)
         self.contents.note_gap(2.0)
-        self.picture.record(keys("after"), 2.5)
-        found = self.contents.take((), self.picture, 9.0)
+        self.index.record(keys("after"), 2.5)
+        found = self.contents.take((), self.index, 9.0)
         self.assertEqual(found.dropped, digests("after"))
 
     def test_the_first_reading_tells_what_is_kept(self):
         contents = EngineContents(5.0)
-        self.picture.record(keys("a"), 1.0)
-        found = contents.take([event("a"), event("b")], self.picture, 6.0)
+        self.index.record(keys("a"), 1.0)
+        found = contents.take([event("a"), event("b")], self.index, 6.0)
         self.assertEqual((found.kept, found.dropped), (keys("b"), ()))
-        self.assertTrue(contents.take([event("c")], self.picture, 7.0).is_empty)
+        self.assertTrue(contents.take([event("c")], self.index, 7.0).is_empty)
 
     def test_an_engine_that_starts_again_is_empty(self):
-        self.picture.record(keys("a"), 1.0)
-        self.contents.take([event("a")], self.picture, 1.2)
+        self.index.record(keys("a"), 1.0)
+        self.contents.take([event("a")], self.index, 1.2)
         self.contents.restart(3.0)
-        self.picture.record(keys("b"), 3.5)
-        found = self.contents.take((), self.picture, 9.0)
+        self.index.record(keys("b"), 3.5)
+        found = self.contents.take((), self.index, 9.0)
         self.assertEqual(found.dropped, digests("b"))
 
 
@@ -96,7 +96,7 @@
                 self.check(random.Random(seed))
 
     def check(self, generator):
-        picture = SegmentPicture(100_000)
+        index = SegmentIndex(100_000)
         contents = EngineContents(0.0)
         engine = OrderedDict()
         events = deque()
@@ -106,13 +106,13 @@
             now += generator.random() * 0.2
             name = f"s{generator.randrange(20)}"
             ran = generator.random() < 0.9
-            picture.record(keys(name), now)
+            index.record(keys(name), now)
             if ran:
                 self.use(engine, name, room, events, now)
-            self.read(contents, picture, events, now, EVENT_DELAY_SECONDS / 2)
+            self.read(contents, index, events, now, EVENT_DELAY_SECONDS / 2)
         now += CONFIRMED_SECONDS + 1.0
-        self.read(contents, picture, events, now, 0.0)
-        known = {name for name in (f"s{n}" for n in range(20)) if digests(name)[0] in picture}
+        self.read(contents, index, events, now, 0.0)
+        known = {name for name in (f"s{n}" for n in range(20)) if digests(name)[0] in index}
         self.assertLessEqual(known, set(engine))
         self.assertGreaterEqual(len(known), len(engine) - 1)
 
@@ -126,11 +126,11 @@
             gone, _ = engine.popitem(last=False)
             events.append((now, event(gone, 0)))
 
-    def read(self, contents, picture, events, now, delay):
+    def read(self, contents, index, events, now, delay):
         """Read the events that are older than a delay, and correct the picture."""
         due = []
         while events and events[0][0] <= now - delay:
             due.append(events.popleft()[1])
-        found = contents.take(due, picture, now)
-        picture.drop(found.dropped)
-        picture.record(found.kept, now)
+        found = contents.take(due, index, now)
+        index.drop(found.dropped)
+        index.record(found.kept, now)
--- a/tests/domain/exchanges/test_nodes.py
+++ b/tests/domain/exchanges/test_nodes.py
@@ -37,7 +37,9 @@
 class RelayPlanTest(unittest.TestCase):
     def test_a_node_that_knows_no_other_reads_the_store_itself(self):
         plan = RelayPlan("a", NodeRecord("a:1", "z"))
-        self.assertEqual((plan.relay(), plan.elsewhere(0), plan.digest_targets()), ("", [], []))
+        self.assertEqual(
+            (plan.relay(), plan.readers_elsewhere(0), plan.digest_targets()), ("", [], [])
+        )
 
     def test_all_nodes_of_a_zone_agree_on_its_relays(self):
         records = fleet({"x": 20, "y": 60})
@@ -57,7 +59,7 @@
         relay = plan.relay()
         silence(plan, relay)
         self.assertNotIn(plan.relay(), ("", relay))
-        plan.note_heard(relay)
+        plan.note_message(relay)
         self.assertEqual(plan.relay(), relay)
 
     def test_without_any_relay_a_node_reads_the_store_itself(self):
@@ -119,7 +121,7 @@
     def test_other_ways_to_the_store_take_turns_and_never_end_at_the_node_itself(self):
         records = fleet({"x": 3, "y": 3, "z": 3})
         for name, plan in plans(records).items():
-            found = {other for turn in range(20) for other in plan.elsewhere(turn)}
+            found = {other for turn in range(20) for other in plan.readers_elsewhere(turn)}
             self.assertNotIn(name, found)
             self.assertEqual({other[0] for other in found} | {name[0]}, {"x", "y", "z"})
 
@@ -127,7 +129,7 @@
         records = fleet({"x": 20})
         known = plans(records)
         relay = next(name for name, plan in known.items() if not plan.relay())
-        found = {other for turn in range(20) for other in known[relay].elsewhere(turn)}
+        found = {other for turn in range(20) for other in known[relay].readers_elsewhere(turn)}
         self.assertEqual(found, {n for n, p in known.items() if p.is_stand_in} - {relay})
 
     def test_digests_go_to_each_zones_relays_and_past_silent_ones(self):
--- a/tests/domain/exchanges/test_retry_after.py
+++ b/tests/domain/exchanges/test_retry_after.py
@@ -54,7 +54,8 @@
 
     def test_clients_are_spread_the_more_were_told_the_same(self):
         widths = [
-            self.advice(ErrorCode.OVERLOADED, draw=1.0, told_lately=told).seconds - DEFAULT_SECONDS
+            self.advice(ErrorCode.OVERLOADED, draw=1.0, recent_refusals=told).seconds
+            - DEFAULT_SECONDS
             for told in (0, 5, 500)
         ]
         self.assertLess(widths[0], widths[1])
@@ -65,6 +66,6 @@
         for code in ErrorCode:
             for draw in (0.0, 0.5, 1.0):
                 for loading in (None, 0.0, 0.01, 9.0):
-                    found = self.advice(code, draw, loading_seconds=loading, told_lately=50)
+                    found = self.advice(code, draw, loading_seconds=loading, recent_refusals=50)
                     self.assertGreaterEqual(found.seconds, AT_ONCE_SECONDS)
                     self.assertLessEqual(found.seconds, MAX_SECONDS)
--- a/tests/domain/exchanges/test_rollout_tenure.py
+++ b/tests/domain/exchanges/test_rollout_tenure.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from hopstep.domain.exchanges.rollout_tenure import RolloutKey, RolloutTenure
+from hopstep.domain.exchanges.rollout_lease_state import RolloutKey, RolloutLeaseState
 from tests import fuzz_settings
 from tests.domain.exchanges.rollout_world import NODES, World
 
@@ -136,7 +136,7 @@
             self.check_found()
 
     def test_no_wait_for_a_holder_of_before_the_restore(self):
-        with mock.patch.object(RolloutTenure, "suspect_restore", lambda *_: None):
+        with mock.patch.object(RolloutLeaseState, "suspect_restore", lambda *_: None):
             self.check_found()
 
     def test_keys_of_earlier_eras_that_hold(self):
