--- a/tests/domain/exchanges/test_selection.py
+++ b/tests/domain/exchanges/test_selection.py
@@ -6,7 +6,7 @@
 from hopstep.domain.exchanges.load_ledger import InstanceLoad
 from hopstep.domain.exchanges.request import PromptSegment
 from hopstep.domain.exchanges.segment_moves import EngineRequest, StoreSource
-from hopstep.domain.exchanges.segments import SegmentPicture, segment_keys
+from hopstep.domain.exchanges.segments import SegmentIndex, segment_keys
 from hopstep.domain.exchanges.selection import choose_engine, choose_server
 
 MODEL = "m"
@@ -47,10 +47,10 @@
 
     def test_peers_load_counts_until_it_is_old(self):
         views = [view("0"), view("1")]
-        views[0].set_others(InstanceLoad("0", 9, 50_000), NOW - 0.1)
+        views[0].set_load_of_others(InstanceLoad("0", 9, 50_000), NOW - 0.1)
         self.assertIs(choose(views).view, views[1])
-        views[0].set_others(InstanceLoad("0", 9, 50_000), NOW - 5.0)
-        views[1].set_others(InstanceLoad("1", 9, 50_000), NOW - 0.1)
+        views[0].set_load_of_others(InstanceLoad("0", 9, 50_000), NOW - 5.0)
+        views[1].set_load_of_others(InstanceLoad("1", 9, 50_000), NOW - 0.1)
         self.assertIs(choose(views).view, views[0])
 
     def test_nothing_is_brought_from_an_engine_with_other_weights(self):
@@ -101,8 +101,8 @@
     def test_an_engine_that_other_nodes_avoid_gives_way(self):
         views = [view("0"), view("1")]
         for first, second in (views, views[::-1]):
-            first.set_others(InstanceLoad(first.instance.instance_id, avoided_by=2), NOW)
-            second.set_others(None, NOW)
+            first.set_load_of_others(InstanceLoad(first.instance.instance_id, avoided_by=2), NOW)
+            second.set_load_of_others(None, NOW)
             self.assertIs(choose(views).view, second)
 
     def test_no_engines_no_choice(self):
@@ -131,25 +131,25 @@
 
 class SegmentPictureTest(unittest.TestCase):
     def test_a_segment_counts_only_behind_those_before_it(self):
-        picture = SegmentPicture(100_000)
-        picture.record(KEYS[1:])
-        self.assertEqual(picture.cached_tokens(KEYS), 0)
-        picture.record(KEYS[:1])
-        self.assertEqual(picture.cached_tokens(KEYS), TOKENS)
+        index = SegmentIndex(100_000)
+        index.record(KEYS[1:])
+        self.assertEqual(index.cached_tokens(KEYS), 0)
+        index.record(KEYS[:1])
+        self.assertEqual(index.cached_tokens(KEYS), TOKENS)
 
     def test_other_salts_never_match(self):
-        picture = SegmentPicture(100_000)
-        picture.record(KEYS)
+        index = SegmentIndex(100_000)
+        index.record(KEYS)
         for salt in ("2.", "1.t"):
-            self.assertEqual(picture.cached_tokens(segment_keys(MODEL, salt, SEGMENTS)), 0)
+            self.assertEqual(index.cached_tokens(segment_keys(MODEL, salt, SEGMENTS)), 0)
 
     def test_the_least_recently_used_give_way(self):
-        picture = SegmentPicture(10_000)
+        index = SegmentIndex(10_000)
         for number in range(20):
-            picture.record(segment_keys(MODEL, "1.", (PromptSegment(str(number), 1_000),)))
-        self.assertEqual(len(picture), 10)
+            index.record(segment_keys(MODEL, "1.", (PromptSegment(str(number), 1_000),)))
+        self.assertEqual(len(index), 10)
         newest = segment_keys(MODEL, "1.", (PromptSegment("19", 1_000),))
-        self.assertEqual(picture.cached_tokens(newest), 1_000)
+        self.assertEqual(index.cached_tokens(newest), 1_000)
 
 
 class InstanceViewTest(unittest.TestCase):
--- a/tests/domain/exchanges/test_store_contact.py
+++ b/tests/domain/exchanges/test_store_contact.py
@@ -1,6 +1,6 @@
 import unittest
 
-from hopstep.domain.exchanges.store_contact import AWAY_SECONDS, RESTATED_SECONDS, StoreContact
+from hopstep.domain.exchanges.store_contact import AWAY_SECONDS, RELISTING_SECONDS, StoreContact
 
 STARTED_AT = 100.0
 
@@ -14,10 +14,10 @@
 
     def test_an_answer_here_or_elsewhere_counts(self):
         contact = self.contact(101.0)
-        contact.note_told(103.0)
-        contact.note_told(102.0)
+        contact.note_reported(103.0)
+        contact.note_reported(102.0)
         self.assertEqual(
-            (contact.read_at, contact.told_at, contact.heard_at), (101.0, 103.0, 103.0)
+            (contact.read_at, contact.reported_at, contact.last_answer_at), (101.0, 103.0, 103.0)
         )
 
     def test_a_short_silence_is_no_absence(self):
@@ -33,8 +33,8 @@
         contact.note_unanswered(103.0)
         contact.note_return(105.0)
         self.assertEqual(contact.away_until, 104.0)
-        self.assertEqual(contact.relisting_seconds(105.5), RESTATED_SECONDS - 0.5)
-        self.assertIsNone(contact.relisting_seconds(105.0 + RESTATED_SECONDS))
+        self.assertEqual(contact.relisting_seconds(105.5), RELISTING_SECONDS - 0.5)
+        self.assertIsNone(contact.relisting_seconds(105.0 + RELISTING_SECONDS))
 
     def test_a_silence_in_which_no_call_failed_shows_no_absence(self):
         contact = self.contact(101.0)
--- a/tests/domain/exchanges/test_store_contents.py
+++ b/tests/domain/exchanges/test_store_contents.py
@@ -60,7 +60,7 @@
         ]
 
     def follow(self, follower, source, limit=7):
-        follower.take(source.news_after(follower.position, limit))
+        follower.take(source.updates_after(follower.position, limit))
 
     def test_followers_of_followers_end_with_the_same_contents(self):
         generator = random.Random(9)
@@ -87,7 +87,7 @@
         source.clear("one")
         source.reachable = True
         source.apply([kept("s1", 10)])
-        late = source.news_after(follower.position, 9)
+        late = source.updates_after(follower.position, 9)
         source.apply([kept("s1", 0)])
         self.follow(follower, source)
         follower.take(late)
--- a/tests/domain/test_instance_admission.py
+++ b/tests/domain/test_instance_admission.py
@@ -2,6 +2,7 @@
 
 import unittest
 
+from hopstep.domain.announced_state import AnnouncedState
 from hopstep.domain.instance_admission import (
     NEVER,
     AskedInstance,
@@ -9,8 +10,7 @@
     Purpose,
     admission,
 )
-from hopstep.domain.instance_notices import InstanceNotice, LimitWord
-from hopstep.domain.instance_standing import InstanceStanding
+from hopstep.domain.instance_notices import InstanceNotice, LimitNotice
 
 NOW = 10.0
 REQUESTS = {Purpose.REQUEST, Purpose.LAST_REQUEST}
@@ -18,48 +18,53 @@
 EVERYTHING = set(Purpose)
 
 
-def standing(**notice):
-    made = InstanceStanding()
+def announced_state(**notice):
+    made = AnnouncedState()
     made.take(InstanceNotice(**notice), NOW, NOW - 0.1)
     return made
 
 
 CASES = (
-    ("nothing", AskedInstance(InstanceStanding()), None, set()),
+    ("nothing", AskedInstance(AnnouncedState()), None, set()),
     (
         "its entry says that it leaves",
-        AskedInstance(InstanceStanding(), Barrier.DRAINING),
+        AskedInstance(AnnouncedState(), Barrier.DRAINING),
         Barrier.DRAINING,
         EVERYTHING - {Purpose.CACHE_EVENTS},
     ),
     (
         "it says that it leaves",
-        AskedInstance(standing(leaving=True)),
+        AskedInstance(announced_state(leaving=True)),
         Barrier.LEAVING,
         EVERYTHING - {Purpose.CACHE_EVENTS, Purpose.LAST_SENDING},
     ),
     (
         "it says that it leaves, and nobody else serves",
-        AskedInstance(standing(leaving=True), last_requests_seconds=1.0),
+        AskedInstance(announced_state(leaving=True), last_requests_seconds=1.0),
         Barrier.LEAVING,
         EVERYTHING - {Purpose.CACHE_EVENTS, Purpose.LAST_SENDING, Purpose.LAST_REQUEST},
     ),
-    ("it rests", AskedInstance(standing(rest_seconds=3.0)), Barrier.RESTING, EVERYTHING),
+    (
+        "it rests",
+        AskedInstance(announced_state(backoff_seconds=3.0)),
+        Barrier.BACKING_OFF,
+        EVERYTHING,
+    ),
     (
         "it has a limit",
-        AskedInstance(standing(limit=LimitWord(1.5))),
+        AskedInstance(announced_state(limit=LimitNotice(1.5))),
         Barrier.LIMITED,
         REQUESTS | {Purpose.ORDER, Purpose.CACHE_EVENTS},
     ),
     (
         "this node has just started, and one request is under way",
-        AskedInstance(InstanceStanding(), active=1, told_by=NOW + 0.5),
-        Barrier.UNHEARD,
+        AskedInstance(AnnouncedState(), active=1, reports_due_by=NOW + 0.5),
+        Barrier.STATE_UNKNOWN,
         REQUESTS,
     ),
     (
         "this node has just started, and the instance has answered",
-        AskedInstance(standing(limit=LimitWord()), active=1, told_by=NOW + 0.5),
+        AskedInstance(announced_state(limit=LimitNotice()), active=1, reports_due_by=NOW + 0.5),
         None,
         set(),
     ),
@@ -76,19 +81,21 @@
                     self.assertEqual(answer.is_open, purpose not in kept)
 
     def test_only_a_rest_says_when_it_ends(self):
-        resting = admission(AskedInstance(standing(rest_seconds=3.0)), Purpose.REQUEST, NOW)
+        resting = admission(
+            AskedInstance(announced_state(backoff_seconds=3.0)), Purpose.REQUEST, NOW
+        )
         self.assertEqual(resting.until, NOW + 3.0)
-        leaving = admission(AskedInstance(standing(leaving=True)), Purpose.REQUEST, NOW)
+        leaving = admission(AskedInstance(announced_state(leaving=True)), Purpose.REQUEST, NOW)
         self.assertEqual(leaving.until, NEVER)
 
     def test_a_permit_opens_an_instance_with_a_limit_to_one_that_has_not_waited(self):
-        limited = standing(limit=LimitWord(1.5))
+        limited = announced_state(limit=LimitNotice(1.5))
         limited.sends.receive(1, NOW + 1.0, NOW)
         self.assertTrue(admission(AskedInstance(limited), Purpose.REQUEST, NOW).is_open)
         limited.sends.claimed = 1
         self.assertFalse(admission(AskedInstance(limited), Purpose.REQUEST, NOW).is_open)
 
     def test_no_limit_needs_no_permit(self):
-        limited = standing(limit=LimitWord(1.5))
-        limited.take(InstanceNotice(limit=LimitWord()), NOW + 2.0, NOW + 1.0)
+        limited = announced_state(limit=LimitNotice(1.5))
+        limited.take(InstanceNotice(limit=LimitNotice()), NOW + 2.0, NOW + 1.0)
         self.assertTrue(admission(AskedInstance(limited), Purpose.REQUEST, NOW + 2.0).is_open)
--- a/tests/domain/test_instance_limit.py
+++ b/tests/domain/test_instance_limit.py
@@ -3,15 +3,15 @@
 import unittest
 
 from hopstep.domain.instance_limit import NO_LIMIT, HeadTimes, InstanceLimit
-from hopstep.domain.instance_notices import AnswerKind, LimitWord
+from hopstep.domain.instance_notices import AnswerKind, LimitNotice
 
-LIMITED = LimitWord(1.5)
-LIFTED = LimitWord()
+LIMITED = LimitNotice(1.5)
+LIFTED = LimitNotice()
 
 
 class InstanceLimitTest(unittest.TestCase):
     def take(self, limit, per_second, after, before, date=None):
-        return limit.take(LimitWord(per_second, date), HeadTimes(after, before, date))
+        return limit.take(LimitNotice(per_second, date), HeadTimes(after, before, date))
 
     def test_without_a_word_there_is_no_limit(self):
         limit = InstanceLimit()
@@ -56,10 +56,10 @@
 
     def test_an_answer_of_a_kind_that_has_named_no_limit_lifts_none(self):
         limit = InstanceLimit()
-        report = LimitWord(kind=AnswerKind.CONTROL)
+        report = LimitNotice(kind=AnswerKind.CONTROL)
         self.take(limit, 1.5, 0.0, 0.1)
         self.assertFalse(limit.take(report, HeadTimes(1.0, 1.1)))
-        limit.take(LimitWord(1.5, kind=AnswerKind.CONTROL), HeadTimes(2.0, 2.1))
+        limit.take(LimitNotice(1.5, kind=AnswerKind.CONTROL), HeadTimes(2.0, 2.1))
         self.assertTrue(limit.take(report, HeadTimes(3.0, 3.1)))
         self.assertFalse(limit.is_set)
 
--- a/tests/domain/test_membership_stateful.py
+++ b/tests/domain/test_membership_stateful.py
@@ -18,6 +18,7 @@
 from emulator.link_faults import LinkFaults, LinkQuality
 from hopstep.adapters.peer_codec import PeerCodec, ReplayWindow
 from hopstep.adapters.peer_keys import PeerKeys
+from hopstep.domain.entry_table import EntryTable
 from hopstep.domain.membership import MembershipConfig, RevisionHeard, table
 from hopstep.domain.membership.anti_entropy import AntiEntropy
 from hopstep.domain.membership.state import MembershipState
@@ -29,7 +30,6 @@
     MemberStatus,
     Push,
 )
-from hopstep.domain.rumours import EntryTable
 from tests import fuzz_settings
 
 NAMES = tuple(f"n{number}" for number in range(5))
--- a/tests/domain/test_retry_after_header.py
+++ b/tests/domain/test_retry_after_header.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from hopstep.domain.retry_after_header import MAX_REST_SECONDS, rest_seconds
+from hopstep.domain.retry_after_header import MAX_BACKOFF_SECONDS, backoff_seconds
 
 DATE = "Thu, 03 Dec 2026 04:00:00 GMT"
 
@@ -17,8 +17,8 @@
     ("not a number", ["nan"], 0.0),
     ("infinite", ["inf"], 0.0),
     ("an exponent", ["1e3"], 0.0),
-    ("absurdly long", ["9" * 400], MAX_REST_SECONDS),
-    ("longer than the bound", ["86400"], MAX_REST_SECONDS),
+    ("absurdly long", ["9" * 400], MAX_BACKOFF_SECONDS),
+    ("longer than the bound", ["86400"], MAX_BACKOFF_SECONDS),
     ("two fields", ["2", "5"], 5.0),
     ("two fields, one without meaning", ["x", "5"], 5.0),
     ("two values in one field", ["2, 5"], 5.0),
@@ -33,10 +33,10 @@
     def test_each_value_has_one_meaning(self):
         for name, values, expected in CASES:
             with self.subTest(name):
-                self.assertAlmostEqual(rest_seconds(values, DATE), expected)
+                self.assertAlmostEqual(backoff_seconds(values, DATE), expected)
 
     def test_a_date_without_the_date_of_its_answer_means_nothing(self):
-        self.assertEqual(rest_seconds(["Thu, 03 Dec 2026 04:00:07 GMT"]), 0.0)
+        self.assertEqual(backoff_seconds(["Thu, 03 Dec 2026 04:00:07 GMT"]), 0.0)
 
     def test_a_date_beside_one_that_cannot_be_read_means_nothing(self):
-        self.assertEqual(rest_seconds(["Thu, 03 Dec 2026 04:00:07 GMT"], "today"), 0.0)
+        self.assertEqual(backoff_seconds(["Thu, 03 Dec 2026 04:00:07 GMT"], "today"), 0.0)
--- a/tests/domain/test_rumours.py
+++ b/tests/domain/test_rumours.py
@@ -3,9 +3,9 @@
 import unittest
 from unittest import mock
 
-from hopstep.domain import rumours
+from hopstep.domain import entry_table
+from hopstep.domain.entry_table import EntryTable
 from hopstep.domain.peer_message import Entry, EntryKind, LeavingBackEnd
-from hopstep.domain.rumours import EntryTable
 
 KIND = EntryKind.LEAVING_BACK_END
 MINE = 7
@@ -64,7 +64,7 @@
         self.assertNotEqual(one.digest("a"), 0)
 
     def test_number_is_bounded_and_freed(self):
-        with mock.patch.dict(rumours.CAPACITY, {KIND: 2}):
+        with mock.patch.dict(entry_table.CAPACITY, {KIND: 2}):
             table = EntryTable(MINE)
             taken = [table.merge(entry(2, number, f"e{number}")) for number in range(1, 4)]
             self.assertEqual(taken, [True, True, False])
--- a/tests/emulator/soak/test_foreign_entries.py
+++ b/tests/emulator/soak/test_foreign_entries.py
@@ -8,7 +8,7 @@
 
 from emulator.soak.foreign_entries import foreign_entry, whole_document
 from hopstep.domain.exchanges.instance_table import InstanceTable
-from hopstep.domain.store_place import UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import UNSPECIFIED_ERA, StorePosition
 from hopstep.platform.directory import read_change
 from hopstep.ports.key_value_store import StoredValue
 from hopstep.ports.serving_directory import InstanceListed, InstanceRejected
@@ -22,7 +22,9 @@
         reasons = set()
         for _ in range(2_000):
             value = foreign_entry(generator, "plain", "z1", DECOY)
-            change = read_change(StoredValue("servers/foreign-1", value, StorePlace(UNTOLD_ERA, 7)))
+            change = read_change(
+                StoredValue("servers/foreign-1", value, StorePosition(UNSPECIFIED_ERA, 7))
+            )
             if isinstance(change, InstanceListed):
                 # Beside instances that tell their start one that doesn't is left out (next test).
                 self.assertEqual(change.instance.born_ms, 0, value)
@@ -33,7 +35,9 @@
 
     def test_one_without_a_start_is_not_used_beside_others(self):
         entry = json.dumps(whole_document("plain", "z1", DECOY)).encode()
-        telling = read_change(StoredValue("servers/i-1", entry, StorePlace(UNTOLD_ERA, 7))).instance
+        telling = read_change(
+            StoredValue("servers/i-1", entry, StorePosition(UNSPECIFIED_ERA, 7))
+        ).instance
         table = InstanceTable()
         table.put(telling)
         table.put(msgspec.structs.replace(telling, instance_id="foreign-1", born_ms=0))
--- a/tests/emulator/test_store_stateful.py
+++ b/tests/emulator/test_store_stateful.py
@@ -10,13 +10,13 @@
 from emulator.platform.in_memory import InMemoryStore
 from emulator.platform.shared_store import SharedStore
 from emulator.virtual_time import run_in_virtual_time, virtual_clock
-from hopstep.domain.store_place import ABSENT, UNTOLD_ERA, StoreLease, StorePlace
+from hopstep.domain.store_position import ABSENT, UNSPECIFIED_ERA, StoreLease, StorePosition
 from hopstep.exceptions import StoreConflictError, StoreError, StoreOutcomeUnknownError
 from tests import fuzz_settings
 
 KEYS = st.sampled_from(["a", "a/1", "a/2", "b/1"])
 VALUES = st.binary(min_size=1, max_size=3)
-UNKNOWN_LEASE = StoreLease("unknown", UNTOLD_ERA)
+UNKNOWN_LEASE = StoreLease("unknown", UNSPECIFIED_ERA)
 LIVES = st.sampled_from([1.0, 5.0])
 
 
@@ -157,7 +157,7 @@
     def expected_version(self, key, right):
         """Return the version of a key, or one that is wrong: absent for present, or a guess."""
         version = self.version(key)
-        wrong = StorePlace(UNTOLD_ERA, 1) if version == ABSENT else ABSENT
+        wrong = StorePosition(UNSPECIFIED_ERA, 1) if version == ABSENT else ABSENT
         return version if right else wrong
 
     def version(self, key):
@@ -165,7 +165,7 @@
 
     def record(self, key, value, lease):
         self.revision += 1
-        self.values[key] = (value, StorePlace(UNTOLD_ERA, self.revision))
+        self.values[key] = (value, StorePosition(UNSPECIFIED_ERA, self.revision))
         self.lease_of_key[key] = lease
 
     def forget(self, key):
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from hopstep.domain.exchanges.instances import InstanceLife
+from hopstep.domain.exchanges.instances import InstanceIncarnation
 from hopstep.domain.exchanges.serving import RequestKind, ServingIndex
 from hopstep.domain.limits.quota_ledger import TenantQuota
 from hopstep.platform.documents import read_configuration, read_instance, read_weights
@@ -106,5 +106,5 @@
         }
         instance = read_instance("i", json.dumps(entry).encode())
         self.assertTrue(instance.draining)
-        self.assertEqual(instance.life, InstanceLife("i", 1_700_000_000_123))
+        self.assertEqual(instance.incarnation, InstanceIncarnation("i", 1_700_000_000_123))
         self.assertEqual((instance.versions, instance.order_sequence), ({"m": 3}, 5))
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -9,7 +9,7 @@
 import trio
 from hypothesis import strategies
 
-from hopstep.domain.store_place import UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import UNSPECIFIED_ERA, StorePosition
 from hopstep.platform.directory import PlatformDirectory, read_change
 from hopstep.platform.store import PlatformStore
 from hopstep.ports.key_value_store import StoredValue
@@ -120,7 +120,7 @@
 
 def read(document, key=KEY):
     value = document if isinstance(document, bytes) else json.dumps(document).encode()
-    return read_change(StoredValue(key, value, StorePlace(UNTOLD_ERA, 9)))
+    return read_change(StoredValue(key, value, StorePosition(UNSPECIFIED_ERA, 9)))
 
 
 def is_number(value, lowest, highest=2**53):
@@ -222,7 +222,7 @@
         good = json.dumps(GOOD).encode()
         values = [good if item is True else b"{}" if item is False else item for item in drawn]
         stored = [
-            StoredValue(f"servers/i-{n}", value, StorePlace(UNTOLD_ERA, n + 1))
+            StoredValue(f"servers/i-{n}", value, StorePosition(UNSPECIFIED_ERA, n + 1))
             for n, value in enumerate(values)
         ]
         listed = [isinstance(read_change(value), InstanceListed) for value in stored]
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -5,7 +5,7 @@
 import trio
 
 from hopstep.domain.exchanges.instances import Instance, NamedWeights
-from hopstep.domain.instance_notices import AnswerKind, InstanceNotice, LimitWord
+from hopstep.domain.instance_notices import AnswerKind, InstanceNotice, LimitNotice
 from hopstep.exceptions import Execution
 from hopstep.platform.cache_events import PlatformCacheEvents
 from hopstep.platform.http_client import HttpClient
@@ -14,10 +14,10 @@
 from hopstep.ports.weights_orders import WeightsOrder
 from tests.platform.test_instances import RawServer, request
 
-NO_LIMIT = LimitWord()
-REFUSED = LimitWord(kind=AnswerKind.REFUSAL)
-CONTROL = LimitWord(kind=AnswerKind.CONTROL)
-EVENTS = LimitWord(kind=AnswerKind.CACHE_EVENTS)
+NO_LIMIT = LimitNotice()
+REFUSED = LimitNotice(kind=AnswerKind.REFUSAL)
+CONTROL = LimitNotice(kind=AnswerKind.CONTROL)
+EVENTS = LimitNotice(kind=AnswerKind.CACHE_EVENTS)
 UNLIMITED = InstanceNotice(limit=NO_LIMIT)
 """What an answer to a request that names no limit says: there is none any more."""
 
@@ -27,7 +27,7 @@
 WAIT = b"Retry-After: 3\r\n"
 BODY = b"Response-Stamp: s\r\nContent-Length: 4\r\n\r\nbody"
 LIMIT = b"Server-Limit: 1.5\r\n"
-LIMITED = InstanceNotice(limit=LimitWord(1.5))
+LIMITED = InstanceNotice(limit=LimitNotice(1.5))
 
 ANSWERS = (
     ("a success", b"HTTP/1.1 200 OK\r\n" + OWN + WORD + BODY, InstanceNotice(True, 0.0, NO_LIMIT)),
@@ -56,7 +56,7 @@
     (
         "a refusal with a limit, no id",
         b"HTTP/1.1 503 X\r\n" + LIMIT + NOT_RUN,
-        InstanceNotice(limit=LimitWord(1.5, None, AnswerKind.REFUSAL)),
+        InstanceNotice(limit=LimitNotice(1.5, None, AnswerKind.REFUSAL)),
     ),
     (
         "a surplus answer with a limit",
@@ -66,7 +66,7 @@
     (
         "a limit with its date",
         b"HTTP/1.1 200 OK\r\nDate: Thu, 01 Jan 1970 00:01:00 GMT\r\n" + OWN + LIMIT + BODY,
-        InstanceNotice(limit=LimitWord(1.5, 60.0)),
+        InstanceNotice(limit=LimitNotice(1.5, 60.0)),
     ),
     (
         "a limit that can't be read",
@@ -110,7 +110,7 @@
     (
         "a limit",
         b"HTTP/1.1 200 OK\r\n" + LIMIT + b"Content-Length: 43\r\n\r\n" + REPORT,
-        InstanceNotice(limit=LimitWord(1.5, None, AnswerKind.CONTROL)),
+        InstanceNotice(limit=LimitNotice(1.5, None, AnswerKind.CONTROL)),
     ),
     (
         "no word",
--- a/tests/platform/test_vocabulary.py
+++ b/tests/platform/test_vocabulary.py
@@ -6,7 +6,7 @@
 import trio
 
 from hopstep.domain.exchanges.instances import Instance
-from hopstep.domain.store_place import ABSENT, UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import ABSENT, UNSPECIFIED_ERA, StorePosition
 from hopstep.platform.cache_events import PlatformCacheEvents
 from hopstep.platform.directory import PlatformDirectory
 from hopstep.platform.http_client import HttpClient
@@ -32,7 +32,7 @@
     "season": "wet",
 }
 
-PLACE = StorePlace(UNTOLD_ERA, 1)
+PLACE = StorePosition(UNSPECIFIED_ERA, 1)
 
 
 class StoredDocuments:
--- a/tests/processes/test_exchange_node.py
+++ b/tests/processes/test_exchange_node.py
@@ -21,7 +21,7 @@
 from emulator.exchange_platform.store import create_store_app
 from emulator.platform.shared_store import SharedStore
 from hopstep.adapters import key_value_store_wire as wire
-from hopstep.domain.store_place import ABSENT
+from hopstep.domain.store_position import ABSENT
 
 START_SECONDS = 20.0
 LOGGED_SECONDS = 5.0
--- a/tests/services/configuration/test_sync.py
+++ b/tests/services/configuration/test_sync.py
@@ -14,7 +14,7 @@
 from hopstep.domain.configuration.document import AcceptedConfiguration, Configuration
 from hopstep.domain.configuration.encoding import decode_transfer, encode
 from hopstep.domain.configuration.log import AcceptedChange, ConfigurationTransfer
-from hopstep.domain.store_place import ABSENT
+from hopstep.domain.store_position import ABSENT
 from hopstep.exceptions import ErrorCode, PeerMessageError
 from hopstep.ports.peer_configuration import PeerConfigurationPort
 from hopstep.services.configuration.holder import ConfigurationHolder
--- a/tests/services/exchanges/emulated_directory.py
+++ b/tests/services/exchanges/emulated_directory.py
@@ -3,7 +3,7 @@
 import msgspec
 import trio
 
-from hopstep.domain.store_place import UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import UNSPECIFIED_ERA, StorePosition
 from hopstep.exceptions import ErrorCode, StoreError, StoreHistoryLostError
 from hopstep.platform.store import ANSWER_SECONDS
 from hopstep.ports.key_value_store import require_era
@@ -43,9 +43,9 @@
     return msgspec.msgpack.encode(change)
 
 
-def read_entry(stored, era=UNTOLD_ERA):
+def read_entry(stored, era=UNSPECIFIED_ERA):
     """Return the entry that a stored value stands for; records of nodes are values as they are."""
-    key, value, place = stored.key, stored.value, StorePlace(era, stored.version)
+    key, value, place = stored.key, stored.value, StorePosition(era, stored.version)
     if not key.startswith(PUBLISHED_PREFIXES):
         return DirectoryEntry(key, place, RecordWritten(key, value, place))
     if not value:
@@ -105,7 +105,7 @@
         self._check()
         model = self._world.shared.model
         entries = tuple(read_entry(item, model.era) for item in model.snapshot().values())
-        return DirectoryBatch(StorePlace(model.era, model.revision), entries)
+        return DirectoryBatch(StorePosition(model.era, model.revision), entries)
 
     async def changes(self, after, wait_seconds):
         self._world.calls += 1
@@ -125,7 +125,7 @@
         require_era(after.era, model.era)
         batch = model.changes("", after.revision)
         entries = tuple(read_entry(item, model.era) for item in batch.values)
-        return DirectoryBatch(StorePlace(model.era, batch.revision), entries)
+        return DirectoryBatch(StorePosition(model.era, batch.revision), entries)
 
     def _hears_nothing(self, after):
         model = self._world.shared.model
--- a/tests/services/exchanges/restore_scale.py
+++ b/tests/services/exchanges/restore_scale.py
@@ -18,7 +18,7 @@
 import structlog
 import trio
 
-from hopstep.domain.store_place import NOWHERE
+from hopstep.domain.store_position import NO_POSITION
 from hopstep.ports.serving_directory import InstanceListed
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.directory.records import NODES_PREFIX
@@ -43,7 +43,7 @@
     knowledge.feed.__init__()
     knowledge.configuration.index = None
     knowledge.table.retain(set())
-    knowledge.history.place = NOWHERE
+    knowledge.history.place = NO_POSITION
 
 
 class Measured(msgspec.Struct):
--- a/tests/services/exchanges/test_engine_cache_watch.py
+++ b/tests/services/exchanges/test_engine_cache_watch.py
@@ -99,7 +99,7 @@
                     self.say(world, InstanceNotice(leaving=True))
                     await trio.sleep(4.0)
                     view = world.nodes[0].knowledge.table.get("e0")
-                    self.assertIs(view.standing.leaves, leaves)
+                    self.assertIs(view.announced_state.has_announced_leaving, leaves)
 
                 self.run_world(script, born_ms=5)
 
@@ -107,7 +107,7 @@
         async def script(world):
             address = world.listed["e0"].address
             await trio.sleep(2.0)
-            self.say(world, InstanceNotice(rest_seconds=5.0))
+            self.say(world, InstanceNotice(backoff_seconds=5.0))
             del world.cache_events.events[address]
             await trio.sleep(2.0)
             reads = world.cache_events.reads[address]
--- a/tests/services/exchanges/test_instance_limits.py
+++ b/tests/services/exchanges/test_instance_limits.py
@@ -117,7 +117,7 @@
             await self.load(world, 3.0)
             for services in world.nodes:
                 view = services.knowledge.table.get("i1")
-                self.assertFalse(view.standing.limit.is_set, services.knowledge.name)
+                self.assertFalse(view.announced_state.limit.is_set, services.knowledge.name)
             since = trio.current_time()
             await self.load(world, 2.0)
             self.assertGreater(len(self.arrived(world, since)), 2 * allowed(1.5))
@@ -175,7 +175,7 @@
             self.check_bound(world, since, 0.0)
             world.instances.servers["i1"].names_limit = None
             await self.load(world, 3 * WINDOW_SECONDS)
-            self.assertFalse(world.nodes[0].knowledge.table.get("i1").standing.limit.is_set)
+            self.assertFalse(world.nodes[0].knowledge.table.get("i1").announced_state.limit.is_set)
 
         world.run(script)
 
@@ -186,7 +186,9 @@
             since = await self.name_limit(world, 1.5)
             started = world.start_node(world.nursery, "n9")
             await trio.sleep(1.0)
-            self.assertEqual(started.knowledge.table.get("i1").standing.limit.per_second, 1.5)
+            self.assertEqual(
+                started.knowledge.table.get("i1").announced_state.limit.per_second, 1.5
+            )
             await self.load(world, 2 * WINDOW_SECONDS)
             self.check_bound(world, since, 1.5)
 
@@ -277,7 +279,7 @@
             await self.load(world, 3 * WINDOW_SECONDS, name="stream")
             self.assertEqual(server.versions, {"m": 3})
             for services in world.nodes:
-                self.assertFalse(services.knowledge.table.get("e0").standing.limit.is_set)
+                self.assertFalse(services.knowledge.table.get("e0").announced_state.limit.is_set)
 
         world.run(script)
 
@@ -323,7 +325,9 @@
                         await trio.sleep(TOLD_SECONDS)
                         for services in world.nodes:
                             view = services.knowledge.table.get("i1")
-                            self.assertFalse(view.standing.limit.is_set, services.knowledge.name)
+                            self.assertFalse(
+                                view.announced_state.limit.is_set, services.knowledge.name
+                            )
 
                     self.run_limited(limit, nodes, script, asking)
 
@@ -400,15 +404,17 @@
             await self.name_limit(world, 0.0, INSTANCES)
             services = world.nodes[0]
             view = services.knowledge.table.get("i1")
-            lifted = LimitedInstance(view.life, LIMIT_LIFTED, asked_ms=-1_000, heard_ms=-1_000)
+            lifted = LimitedInstance(
+                view.incarnation, LIMIT_LIFTED, asked_ms=-1_000, heard_ms=-1_000
+            )
             with trio.fail_after(1.0):
                 async with trio.open_nursery() as nursery:
                     for _waiter in range(20):
                         nursery.start_soon(services.limits.wait, [view], 0, float("inf"))
                     await trio.testing.wait_all_tasks_blocked()
                     services.notices.take_told_limit(lifted, "n1")
-            self.assertFalse(view.standing.limit.is_set)
-            self.assertEqual(view.standing.sends.claimed, 0)
+            self.assertFalse(view.announced_state.limit.is_set)
+            self.assertEqual(view.announced_state.sends.claimed, 0)
 
         world.run(script)
 
@@ -425,7 +431,7 @@
 
             async def wait(rank):
                 await limits.wait([view], rank, trio.current_time() + 30.0)
-                view.standing.sends.permits.take_one(trio.current_time())
+                view.announced_state.sends.permits.take_one(trio.current_time())
                 served.append(rank)
 
             async with trio.open_nursery() as nursery:
@@ -433,7 +439,7 @@
                     nursery.start_soon(wait, rank)
                     await trio.sleep(0.001)
                 for _permit in range(len(waiting)):
-                    limits.receive(view.life, 1, trio.current_time() + 1.0)
+                    limits.receive(view.incarnation, 1, trio.current_time() + 1.0)
                     await trio.sleep(0.001)
             by_age = 0
             for rank in served:
--- a/tests/services/exchanges/test_instance_lives.py
+++ b/tests/services/exchanges/test_instance_lives.py
@@ -10,7 +10,7 @@
 import trio
 
 from emulator.exchange_platform.instances import Behaviour
-from hopstep.domain.exchanges.instances import InstanceLife
+from hopstep.domain.exchanges.instances import InstanceIncarnation
 from hopstep.domain.exchanges.load_ledger import InstanceLoad
 from hopstep.domain.exchanges.segments import SegmentKey
 from hopstep.domain.exchanges.store_contents import CacheEvent
@@ -76,7 +76,7 @@
             for _ in range(4):
                 await world.request("stream")
             view = self.views(world)[0]
-            view.set_others(InstanceLoad(view.life, 9, 9_000), trio.current_time())
+            view.set_load_of_others(InstanceLoad(view.incarnation, 9, 9_000), trio.current_time())
             self.assertFalse(view.is_usable(trio.current_time()))
             world.restart("e0", SECOND)
             await trio.sleep(HEARD_SECONDS / 2)
@@ -129,7 +129,7 @@
             world.publish(InstanceListed(msgspec.structs.replace(born, born_ms=0, slots=9)))
             await trio.sleep(HEARD_SECONDS)
             view = self.views(world)[0]
-            self.assertEqual(view.instance.life, InstanceLife("e0", FIRST))
+            self.assertEqual(view.instance.incarnation, InstanceIncarnation("e0", FIRST))
             self.assertEqual(view.instance.slots, 9)
             world.publish(InstanceListed(born))
             await trio.sleep(HEARD_SECONDS)
@@ -151,7 +151,7 @@
 class LateWordTest(InstanceLivesCase):
     async def second_life(self, world):
         """Start the second life, and return the text form of the first."""
-        first = self.views(world)[0].life
+        first = self.views(world)[0].incarnation
         world.restart("e0", SECOND)
         await trio.sleep(HEARD_SECONDS)
         return first
--- a/tests/services/exchanges/test_instance_notices.py
+++ b/tests/services/exchanges/test_instance_notices.py
@@ -16,10 +16,10 @@
 import msgspec
 import trio
 
+from hopstep.domain.announced_state import OPENING_STEP_SECONDS
 from hopstep.domain.exchanges.retry_after import RetryReason
 from hopstep.domain.instance_admission import Purpose
 from hopstep.domain.instance_notices import InstanceNotice
-from hopstep.domain.instance_standing import OPENING_STEP_SECONDS
 from hopstep.exceptions import ErrorCode
 from hopstep.ports.serving_directory import InstanceListed, InstanceRemoved
 from tests.services.exchanges.exchange_world import BOUNDS, ExchangeWorld
@@ -180,7 +180,9 @@
             earlier = world.nodes[0].knowledge.table.get("i1")
             world.restart("i1", born_ms=2)
             await trio.sleep(1.0)
-            world.nodes[0].notices.listener(earlier)(InstanceNotice(leaving=True, rest_seconds=9.0))
+            world.nodes[0].notices.listener(earlier)(
+                InstanceNotice(leaving=True, backoff_seconds=9.0)
+            )
             later = world.nodes[0].knowledge.table.get("i1")
             self.assertIsNot(earlier, later)
             self.assertTrue(later.takes(Purpose.REQUEST, trio.current_time()))
@@ -257,12 +259,12 @@
             await trio.sleep(1.5)
             for services in world.nodes:
                 view = services.knowledge.table.get("i1")
-                self.assertTrue(view.standing.leaves, services.knowledge.name)
+                self.assertTrue(view.announced_state.has_announced_leaving, services.knowledge.name)
             for directory in world.directories:
                 directory.down = False
             started = world.start_node(world.nursery, "n9")
             await trio.sleep(2.0)
-            self.assertTrue(started.knowledge.table.get("i1").standing.leaves)
+            self.assertTrue(started.knowledge.table.get("i1").announced_state.has_announced_leaving)
 
         world.run(script)
 
@@ -287,7 +289,7 @@
         """Let a node have been asked for rest."""
         services = world.nodes[node]
         view = services.knowledge.table.get(instance_id)
-        services.notices.listener(view)(InstanceNotice(rest_seconds=seconds))
+        services.notices.listener(view)(InstanceNotice(backoff_seconds=seconds))
 
     def test_a_later_rest_does_not_shorten_an_earlier_one(self):
         world = self.make_world()
@@ -342,7 +344,7 @@
             self.assertLessEqual(answer.error.retry_after_seconds, 2.0 * 1.3)
             advisor = world.nodes[0].exchanges._advisor
             advice = advisor.advise(ErrorCode.OVERLOADED, "plain")
-            self.assertIs(advice.reason, RetryReason.RESTING)
+            self.assertIs(advice.reason, RetryReason.BACKING_OFF)
 
         world.run(script)
 
--- a/tests/services/exchanges/test_mixed_versions.py
+++ b/tests/services/exchanges/test_mixed_versions.py
@@ -5,11 +5,11 @@
 
 import structlog.testing
 
-from hopstep.domain.exchanges.directory_feed import FeedEntry
+from hopstep.domain.exchanges.directory_change_log import LoggedChange
 from hopstep.domain.exchanges.load_ledger import InstanceLoad
-from hopstep.domain.exchanges.nodes import MESSAGE_FORM
+from hopstep.domain.exchanges.nodes import MESSAGE_FORMAT_VERSION
 from hopstep.domain.exchanges.segments import SegmentKey
-from hopstep.domain.store_place import UNTOLD_ERA, StorePlace
+from hopstep.domain.store_position import UNSPECIFIED_ERA, StorePosition
 from hopstep.ports.node_exchange import Hints, LoadingEngine, SegmentNews
 from hopstep.ports.serving_directory import DirectoryEntry, RecordWritten
 from hopstep.services.exchanges.directory.records import NODES_PREFIX
@@ -66,13 +66,13 @@
             record = json.dumps({"address": "10.0.0.9:1", "zone": "z1", "key": "aw=="}).encode()
             with structlog.testing.capture_logs() as lines:
                 for revision, value in ((98, record), (99, b"")):
-                    place = StorePlace(UNTOLD_ERA, revision)
+                    place = StorePosition(UNSPECIFIED_ERA, revision)
                     written = RecordWritten(f"{NODES_PREFIX}n9", value, place)
                     entry = DirectoryEntry(written.key, place, written)
-                    knowledge.take_entries([FeedEntry(entry.key, place, entry, 0.0)], "n8")
+                    knowledge.take_entries([LoggedChange(entry.key, place, entry, 0.0)], "n8")
             logged = [line for line in lines if line["event"] == "node_forms_changed"]
             own = knowledge.record.form
-            self.assertEqual(own, MESSAGE_FORM)
+            self.assertEqual(own, MESSAGE_FORMAT_VERSION)
             self.assertEqual([line["nodes_by_form"].get("0") for line in logged], [1, None])
 
         self.run_world(script)
--- a/tests/services/exchanges/test_store_watch.py
+++ b/tests/services/exchanges/test_store_watch.py
@@ -24,7 +24,7 @@
         world.publish(ConfigurationPublished(configuration))
 
         async def script(world):
-            world.cache_events.notices[STORE] = InstanceNotice(rest_seconds=REST_SECONDS)
+            world.cache_events.notices[STORE] = InstanceNotice(backoff_seconds=REST_SECONDS)
             await trio.sleep(1.0)
             reads = world.cache_events.reads[STORE]
             self.assertGreater(reads, 0)
--- a/tests/services/exchanges/test_weights.py
+++ b/tests/services/exchanges/test_weights.py
@@ -7,7 +7,7 @@
 
 from emulator.platform.faults import FaultOrder
 from hopstep.domain.exchanges.instances import NamedWeights
-from hopstep.domain.exchanges.weights import WeightsBook, WeightsBounds
+from hopstep.domain.exchanges.weights import NamedWeightsTable, WeightsBounds
 from hopstep.exceptions import ErrorCode, StoreOutcomeUnknownError
 from hopstep.ports.serving_directory import InstanceListed
 from tests.services.exchanges.exchange_world import BOUNDS, MODEL, ExchangeWorld
@@ -18,7 +18,7 @@
 
 class WeightsBookTest(unittest.TestCase):
     def book(self):
-        book = WeightsBook(WeightsBounds(8.0, reserve_seconds=1.5))
+        book = NamedWeightsTable(WeightsBounds(8.0, reserve_seconds=1.5))
         book.put(NamedWeights(MODEL, 2), 100.0)
         return book
 
@@ -45,7 +45,7 @@
         self.assertLessEqual(due + 3 * book.load_seconds, 106.5)
 
     def test_a_version_of_unknown_age_is_not_overdue_at_once(self):
-        book = WeightsBook(WeightsBounds(8.0, reserve_seconds=1.5))
+        book = NamedWeightsTable(WeightsBounds(8.0, reserve_seconds=1.5))
         now = 500.0
         book.put(NamedWeights(MODEL, 2), book.oldest_since(now))
         self.assertEqual(book.required(MODEL, now), 0)
--- a/tests/services/quarantine/test_quarantine.py
+++ b/tests/services/quarantine/test_quarantine.py
@@ -19,7 +19,7 @@
     RequestCrashes,
     RequestName,
 )
-from hopstep.domain.store_place import StorePlace
+from hopstep.domain.store_position import StorePosition
 from hopstep.services.quarantine.quarantine import EXPIRY_SECONDS, HEARING_SECONDS, Quarantine
 from hopstep.services.quarantine.records import (
     QUARANTINE_PREFIX,
@@ -208,7 +208,7 @@
         key = QUARANTINE_PREFIX + FATAL.hex()
         stored = await store.get(key)
         if stored is None:
-            return key, b"", StorePlace(store._shared.model.era, store._shared.model.revision)
+            return key, b"", StorePosition(store._shared.model.era, store._shared.model.revision)
         return key, stored.value, stored.version
 
     def test_a_try_whose_client_leaves_is_followed_by_another_one(self):
--- a/tests/simulation/test_leaving.py
+++ b/tests/simulation/test_leaving.py
@@ -7,7 +7,7 @@
 from emulator.simulation.deployment import sample_deployment
 from emulator.simulation.history import Call, Outcome
 from hopstep.domain.configuration.log import Section
-from hopstep.domain.leaving_machines import LeavingMachines, ToldMachines
+from hopstep.domain.leaving_machines import LeavingMachines, ReportedMachines
 from hopstep.domain.routing.routing_table import RoutingTable
 from hopstep.services.cluster import Cluster
 from tests.simulation.harness import STEADY, SimulationTest, alone_and_in_pairs, under_load
@@ -107,7 +107,7 @@
 
     def test_what_peers_told_outlives_them(self):
         self.run_clean(cut_off_and_its_tellers_killed)
-        variant = (ToldMachines, "update", lambda machines, told, *_: frozenset(told))
+        variant = (ReportedMachines, "update", lambda machines, told, *_: frozenset(told))
         self.assert_caught("leaving", cut_off_and_its_tellers_killed, variant)
 
     def test_wrong_variants_are_caught(self):
