--- a/hopstep/domain/exchanges/__init__.py
+++ b/hopstep/domain/exchanges/__init__.py
@@ -1,1 +1,1 @@
-"""Routed exchanges: opaque requests passed to instances of services, and their answers."""
+"""Routed exchanges: opaque HTTP requests passed to instances of services, and the responses."""
--- a/hopstep/domain/exchanges/attempt_rules.py
+++ b/hopstep/domain/exchanges/attempt_rules.py
@@ -1,4 +1,4 @@
-"""What follows an attempt that gave no whole answer."""
+"""Decides how a request goes on after an attempt without a complete response."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hopstep.exceptions import Execution
 
 MIN_REMAINING_SECONDS = 0.05
-"""Less time than this isn't worth another attempt."""
+"""Seconds; with less time to the deadline no further attempt is made."""
 
 
 class NextStep(enum.StrEnum):
-    """What to do next."""
+    """What to do next with a request."""
 
     RETRY = "retry"
     RESUME = "resume"
@@ -23,18 +23,18 @@
 
 
 class ExchangeProgress(msgspec.Struct, frozen=True):
-    """How far a request has come.
+    """Progress of a request over all its attempts.
 
     Attributes:
         idempotent: Whether it may run more than once.
         resumable: Whether its stream may go on at another instance.
-        answer_started: Whether the head of an answer went to the client.
-        last: What is known of the last attempt's execution.
+        answer_started: Whether the head of a response was sent to the client.
+        last: What is known about the execution of the last attempt.
         may_have_run: Whether any attempt may have run.
-        attempts: Attempts of which a byte was sent.
-        max_attempts: Most of these.
-        within_budget: Whether the retry budget allows another one.
-        remaining_seconds: Time to the deadline.
+        attempts: Number of attempts of which at least one byte was sent.
+        max_attempts: Highest allowed number of attempts.
+        within_budget: Whether the retry budget allows another attempt.
+        remaining_seconds: Seconds to the deadline.
     """
 
     idempotent: bool
@@ -49,7 +49,7 @@
 
 
 def decide_step(progress: ExchangeProgress) -> NextStep:
-    """Return what to do after an attempt without a whole answer."""
+    """Return what to do after an attempt without a complete response."""
     another = (
         progress.attempts < progress.max_attempts
         and progress.remaining_seconds > MIN_REMAINING_SECONDS
--- a/hopstep/domain/exchanges/directory_change_log.py
+++ b/hopstep/domain/exchanges/directory_change_log.py
@@ -1,6 +1,7 @@
-"""The newest change of every directory key, in the order of the store's history, for other nodes.
+"""Log of the latest change of each directory key, ordered by store position.
 
-Removals are kept too, a bounded number of them: a reader that lacks older ones must read the store.
+Other nodes are updated from it. It also keeps a bounded number of removals; a reader that lacks
+older removals must read the store.
 """
 
 from __future__ import annotations
@@ -13,20 +14,23 @@
 from hopstep.domain.store_position import NO_POSITION, StorePosition
 
 MAX_REMOVALS = 2_000
+"""Removals that are kept."""
+
 MAX_ENDED_ERAS = 64
+"""Eras whose last known position is kept."""
 
 Change = TypeVar("Change")
 
 
 class LoggedChange(msgspec.Struct, Generic[Change], frozen=True):
-    """One key's newest change.
+    """The latest change of one key.
 
     Attributes:
         key: The key.
-        place: Place of the change.
+        position: Store position of the change.
         change: The change.
-        since: Steady clock, seconds: not later than when the change was acknowledged.
-        removed: Whether the key is gone.
+        since: Steady clock, seconds: a time no later than the acknowledgement of the change.
+        removed: Whether the key was removed.
     """
 
     key: str
@@ -37,28 +41,28 @@
 
 
 class DirectoryChangeLog(Generic[Change]):
-    """Changes by key."""
+    """Latest change of each key, oldest position first."""
 
     def __init__(self) -> None:
-        """Know nothing yet; ``start`` says from which place on nothing is missing."""
+        """Start empty; ``start`` sets the position from which on the log is complete."""
         self._entries: OrderedDict[str, LoggedChange[Change]] = OrderedDict()
         self._removals: deque[tuple[str, StorePosition]] = deque()
         self._complete_from: StorePosition | None = None
         self._era_ends: dict[int, StorePosition] = {}
 
     def start(self, position: StorePosition) -> None:
-        """Note the place of the first snapshot; later ones change nothing."""
+        """Note the position of the first snapshot; later calls change nothing."""
         if self._complete_from is None:
             self._complete_from = position
 
     def end_era(self, position: StorePosition) -> None:
-        """Note where an era is left: what was written in it after this place isn't known."""
+        """Note the last known position of an era that has ended; later writes in it are unknown."""
         self._era_ends[position.era] = position
         while len(self._era_ends) > MAX_ENDED_ERAS:
             del self._era_ends[next(iter(self._era_ends))]
 
     def put(self, entry: LoggedChange[Change]) -> bool:
-        """Take a change; return False when a newer one of its key is known."""
+        """Add a change; return False when the log has one of its key that is as new or newer."""
         known = self._entries.get(entry.key)
         if known is not None and known.position >= entry.position:
             return False
@@ -70,7 +74,7 @@
         return True
 
     def get(self, key: str) -> LoggedChange[Change] | None:
-        """Return a key's newest change."""
+        """Return the latest change of a key; None when there is none."""
         return self._entries.get(key)
 
     def existing(self) -> list[LoggedChange[Change]]:
@@ -78,13 +82,13 @@
         return [entry for entry in self._entries.values() if not entry.removed]
 
     def newest(self) -> list[LoggedChange[Change]]:
-        """Return the newest change of every key, also of those that are gone."""
+        """Return the latest change of every key, including removed keys."""
         return list(self._entries.values())
 
     def after(self, position: StorePosition) -> list[LoggedChange[Change]] | None:
-        """Return the changes after a place, oldest first; None when some aren't known.
+        """Return the changes after a position, oldest first; None when the log lacks some of them.
 
-        A place of an earlier era counts as long as that era was left behind it.
+        A position in an earlier era is accepted if it isn't after the last known one of that era.
         """
         if self._complete_from is None or position < self._complete_from:
             return None
@@ -100,12 +104,12 @@
         return newer[::-1]
 
     def _newest_era(self) -> int:
-        """Return the era of the newest change."""
+        """Return the era of the latest change."""
         newest = next(reversed(self._entries.values()), None)
         return newest.position.era if newest is not None else NO_POSITION.era
 
     def _forget_removals(self) -> None:
-        """Drop the oldest removals beyond the bound."""
+        """Drop the oldest removals beyond ``MAX_REMOVALS``."""
         while len(self._removals) > MAX_REMOVALS:
             key, position = self._removals.popleft()
             entry = self._entries.get(key)
--- a/hopstep/domain/exchanges/engine_contents.py
+++ b/hopstep/domain/exchanges/engine_contents.py
@@ -1,8 +1,8 @@
-"""What an engine keeps by its cache events, and how a picture of it must be corrected.
+"""Cache contents of an engine by its cache events, and the corrections of its segment index.
 
-A picture gains what is sent to the engine, by whichever node. It can't see that segments give way
-to others or to running requests, that a request never ran, or what was kept before the node
-started. The engine's events tell these, late and with a few missing.
+A segment index records the segments that any node sends to the engine. It can't see evictions,
+requests that never ran, or segments that were cached before the node started. The engine's cache
+events report these, with a delay and with a few events missing.
 """
 
 from __future__ import annotations
@@ -16,27 +16,29 @@
 from hopstep.domain.exchanges.store_contents import CacheEvent
 
 CONFIRMED_SECONDS = 2.0
-"""A segment that no event has reported so long after it should have been read isn't kept.
+"""Seconds from the expected end of a segment's prefill after which it counts as not cached if no
+event has reported it.
 
-Events come within 0.3 s, and prompts wait at most a second or two at an engine that works.
+Events arrive within 0.3 s, and prompts wait at most a second or two at a working engine.
 """
 
 EVENT_DELAY_SECONDS = 0.3
-"""An event that a segment was dropped may be this old; what was sent since is kept."""
+"""Highest age of an event, in seconds: segments sent later than that are kept in the index although
+an event reports them as dropped."""
 
 MAX_KEPT = 65_536
-"""Most segments: ten times what an engine's memory holds. Lost events leave some behind."""
+"""Segments: ten times what an engine's memory holds. Lost events leave stale segments behind."""
 
 MAX_DROPPED = 1_024
-"""Most segments that are remembered as dropped: those of several seconds."""
+"""Segments that are remembered as dropped: those of several seconds."""
 
 
 class Corrections(msgspec.Struct, frozen=True):
-    """What a picture lacks and what it has too much.
+    """Corrections of a segment index.
 
     Attributes:
-        kept: Segments that the engine keeps and the picture doesn't have.
-        dropped: Digests of segments that the picture has and the engine doesn't keep.
+        kept: Segments that the engine has cached and the index lacks.
+        dropped: Digests of segments in the index that the engine doesn't have.
     """
 
     kept: tuple[SegmentKey, ...] = ()
@@ -44,15 +46,15 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the picture is right."""
+        """Whether there is nothing to correct."""
         return not (self.kept or self.dropped)
 
 
 class EngineContents:
-    """Segments of one engine as its events tell them."""
+    """Segments of one engine as its cache events report them."""
 
     def __init__(self, now: float) -> None:
-        """Know nothing yet.
+        """Start without any event.
 
         Args:
             now: Steady clock, seconds.
@@ -63,20 +65,20 @@
         self._read_first = False
 
     def note_gap(self, now: float) -> None:
-        """Note that events are missing: of what was sent before, nothing more can be told."""
+        """Note that events are missing: nothing can be concluded about segments sent before."""
         self._complete_since = now
 
     def restart(self, now: float) -> None:
-        """Note that the engine has started empty."""
+        """Note that the engine has started with an empty cache."""
         self._kept.clear()
         self._complete_since = now
 
     def take(self, events: Iterable[CacheEvent], index: SegmentIndex, now: float) -> Corrections:
-        """Take events, oldest first, and return how a picture has to change.
+        """Apply events, oldest first, and return the corrections of the index.
 
         Args:
             events: The events.
-            index: What nodes believe of the engine.
+            index: The nodes' segment index of the engine.
             now: Steady clock, seconds.
         """
         if len(self._kept) > MAX_KEPT:
@@ -90,7 +92,7 @@
         return Corrections(found + self._first_found(index), dropped)
 
     def _apply(self, events: Iterable[CacheEvent]) -> list[int]:
-        """Take events; return the segments that they are about."""
+        """Apply events; return the digests of the segments that they name."""
         touched: dict[int, None] = {}
         for event in events:
             digest = event.digest
@@ -102,13 +104,13 @@
         return list(touched)
 
     def _is_gone(self, digest: int, index: SegmentIndex, now: float) -> bool:
-        """Return whether a segment of the picture was dropped and not sent again since."""
+        """Return whether a segment of the index was dropped and not sent again since."""
         if digest in self._kept or digest not in index:
             return False
         return index.read_at(digest) < now - EVENT_DELAY_SECONDS
 
     def _remember_dropped(self, kept: Iterable[int], dropped: Iterable[int]) -> None:
-        """Remember what nodes were told was dropped: they must hear if it is read again."""
+        """Remember segments reported as dropped: nodes need a report if they are cached again."""
         for digest in kept:
             del self._dropped[digest]
         for digest in dropped:
@@ -118,7 +120,7 @@
             self._dropped.popitem(last=False)
 
     def _first_found(self, index: SegmentIndex) -> tuple[SegmentKey, ...]:
-        """Return, the first time, what is kept and not in the picture."""
+        """Return, on the first call only, the cached segments that aren't in the index."""
         if self._read_first:
             return ()
         self._read_first = True
@@ -126,6 +128,6 @@
         return tuple(SegmentKey(*item) for item in found if item[0] not in index)
 
     def _unconfirmed(self, index: SegmentIndex, now: float) -> list[int]:
-        """Return segments that should have been read by now and that no event has reported."""
+        """Return segments that should be prefilled by now and that no event has reported."""
         expected = index.read_between(self._complete_since, now - CONFIRMED_SECONDS)
         return [digest for digest in expected if digest not in self._kept]
--- a/hopstep/domain/exchanges/event_stream.py
+++ b/hopstep/domain/exchanges/event_stream.py
@@ -1,7 +1,7 @@
-"""Whole events out of the bytes of an event stream, in order and without repeats.
+"""Splits the bytes of an event stream into complete events, in order and without duplicates.
 
-Fields are those of the ``text/event-stream`` format; only ``id`` is read. An event that was cut
-off is never passed on, so that a stream can go on after the last whole event.
+Fields are those of the ``text/event-stream`` format; only ``id`` is read. A truncated event is
+never passed on, so that a stream can be resumed after the last complete event.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 
 class StreamOrderError(Exception):
-    """An event that doesn't follow the last one, or one that never ends."""
+    """An event id out of sequence, or an event that exceeds ``MAX_EVENT_BYTES``."""
 
 
 class EventFramer:
-    """Splits bytes into whole events and follows their ids."""
+    """Splits bytes into complete events and checks that their ids are consecutive."""
 
     def __init__(self, last_id: int | None = None) -> None:
         """Start a stream.
 
         Args:
-            last_id: Id of the event before the first one; None when it isn't known.
+            last_id: Id of the event before the first one; None when unknown.
         """
         self.last_id = last_id
         self.events = 0
         self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of the events that are whole with ``data``.
+        """Return the bytes of the events that are complete once ``data`` is added.
 
-        Either all of them count as passed on, or none of them.
+        On an error none of them counts as passed on.
 
         Raises:
-            StreamOrderError: When an id doesn't follow the last one.
+            StreamOrderError: When an id isn't the successor of the last, or an event is too long.
         """
         end_of_data = self._partial + data if self._partial else data
         end = end_of_data.rfind(EVENT_END)
@@ -51,39 +51,39 @@
         return whole
 
     def restart(self) -> None:
-        """Forget a partial event: another instance goes on after the last whole one."""
+        """Drop a partial event: another instance resumes after the last complete one."""
         self._partial = b""
 
     @property
     def has_partial(self) -> bool:
-        """Whether an event has begun and isn't whole."""
+        """Whether an event has begun and isn't complete."""
         return bool(self._partial.strip())
 
     def _keep(self, partial: bytes) -> None:
-        """Hold what isn't whole yet."""
+        """Keep the bytes of an incomplete event."""
         if len(partial) > MAX_EVENT_BYTES:
-            raise StreamOrderError("an event is too long")
+            raise StreamOrderError("an event is longer than the limit")
         self._partial = partial
 
 
 def _follow(last_id: int | None, events: list[bytes]) -> int | None:
-    """Return the id of the last one of some events, or the one before them if they have none.
+    """Return the id of the last event with an id, or ``last_id`` when no event has one.
 
     Raises:
-        StreamOrderError: When an id doesn't follow the one before it.
+        StreamOrderError: When an id isn't the successor of the one before it.
     """
     for event in events:
         event_id = _event_id(event)
         if event_id is None:
             continue
         if last_id is not None and event_id != last_id + 1:
-            raise StreamOrderError(f"event {event_id} after {last_id}")
+            raise StreamOrderError(f"event id {event_id} isn't the successor of {last_id}")
         last_id = event_id
     return last_id
 
 
 def _event_id(event: bytes) -> int | None:
-    """Return the number in an event's ``id`` field, or None."""
+    """Return the number in an event's ``id`` field, or None without a valid one."""
     for line in event.split(b"\n"):
         if line.startswith(ID_FIELD):
             try:
--- a/hopstep/domain/exchanges/freshness.py
+++ b/hopstep/domain/exchanges/freshness.py
@@ -1,9 +1,9 @@
-"""How long a node may rely on others for what the store says, by the operators' bounds.
+"""How long a node may rely on other nodes for the store's contents, within the operators' bounds.
 
-Age and silence differ. The age of what a node knows proves what it can't have missed, and grows
-while a watch waits. Silence counts from the last answer of the store to whoever read it: while its
-answers come, a waiting watch would have told a change at once. So silence tells that a way to the
-store is lost long before the age does.
+Age and silence are different. The age of a node's view bounds the changes that it can have missed;
+it grows while a watch waits. Silence is the time since the store last answered the node that reads
+it: while it answers, a waiting watch returns any change at once. So silence shows a lost connection
+to the store long before the age does.
 """
 
 from __future__ import annotations
@@ -11,25 +11,29 @@
 import msgspec
 
 MAX_ANSWER_INTERVAL_SECONDS = 0.9
-"""A reader asks the store so often, also where operators allow much more: keys age by it."""
+"""Longest interval of a reader's calls to the store, also where operators allow a longer one, since
+the age of keys grows with it."""
 
 ANSWER_INTERVAL_SHARE = 0.4
-"""Of the bound. The rest is for noticing a loss, and for two hops of 0.2 s between nodes."""
+"""Share of the bound. The remainder is for detecting a lost store and for two hops of 0.2 s between
+nodes."""
 
 ANSWER_SLACK_SECONDS = 0.4
-"""For an answer that is due: a store that is a hundred times slower than its 4 ms takes so long."""
+"""Seconds that an answer may be overdue: a store takes this long when it is a hundred times slower
+than its usual 4 ms."""
 
 OWN_READING_SHARE = 0.8
-"""Of the bound, after which a node trusts no other: the rest is enough for a call to the store."""
+"""Share of the bound after which a node no longer relies on others: the remainder is enough for a
+call to the store."""
 
 
 class FreshnessLimits(msgspec.Struct, frozen=True):
-    """Limits on silence, in seconds.
+    """Limits on the time without answers, in seconds.
 
     Attributes:
-        answer_interval: Longest time between two answers of the store at a node that reads it.
-        silence: A reader that was answered nothing for longer has lost the store.
-        own_reading: A node that others have told nothing newer reads the store itself.
+        answer_interval: Longest time between two answers of the store to a node that reads it.
+        silence: A reader without an answer for longer than this has lost the store.
+        own_reading: A node without newer reports of others for longer reads the store itself.
     """
 
     answer_interval: float
@@ -38,10 +42,10 @@
 
 
 def freshness_limits(bound_seconds: float) -> FreshnessLimits:
-    """Return the limits under which every change is known in time.
+    """Return the limits under which every node knows every change in time.
 
     Args:
-        bound_seconds: From a change's acknowledgement until every node must act by it.
+        bound_seconds: Time from the acknowledgement of a change until every node must apply it.
     """
     answer_interval = min(MAX_ANSWER_INTERVAL_SECONDS, ANSWER_INTERVAL_SHARE * bound_seconds)
     return FreshnessLimits(
--- a/hopstep/domain/exchanges/instance_table.py
+++ b/hopstep/domain/exchanges/instance_table.py
@@ -1,4 +1,4 @@
-"""All instances that a node knows, by service."""
+"""All instances that a node knows, by id."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def is_same_incarnation(known: Instance, newer: Instance) -> bool:
-    """Return whether a newer entry is of the known life: so is one that tells no start."""
+    """Return whether a newer entry is of the known incarnation; so is one without a start time."""
     return not newer.born_ms or newer.born_ms == known.born_ms
 
 
 class InstanceTable:
-    """Views of instances; entries come and go as the directory tells.
+    """Views of instances, updated from the directory's entries.
 
     Attributes:
-        standings: What lives have said of themselves in answers.
-        first_telling: When this node may first hear what others know of instances.
+        announced_states: What incarnations have announced in response headers.
+        first_peer_report: Until when the first report of another node may arrive.
     """
 
     def __init__(self) -> None:
@@ -37,13 +37,13 @@
         return iter(tuple(self._views.values()))
 
     def set_cache_tokens(self, cache_tokens: dict[str, int]) -> None:
-        """Take the memory of each service's instances, for instances that come later."""
+        """Set the cache size in tokens of each service's instances, for instances added later."""
         self._cache_tokens = cache_tokens
 
     def put(self, instance: Instance) -> bool:
-        """Take an entry, newer than those before; return whether it is of a new life.
+        """Add an entry, newer than earlier ones; return whether it is of a new incarnation.
 
-        A new life begins without experience: it holds nothing of what was believed of the last.
+        A new incarnation gets an empty view: nothing known of the last one holds for it.
         """
         self._expected_back.pop(instance.instance_id, None)
         if instance.born_ms:
@@ -60,15 +60,16 @@
         return True
 
     def reject(self, instance_id: str) -> None:
-        """Take an instance out of use until its next good entry: this one can't be trusted."""
+        """Stop using an instance until its next valid entry: the newest one can't be trusted."""
         view = self._views.get(instance_id)
         if view is not None:
             view.rejected = True
 
     def expect_back(self, instance_id: str, until: float) -> bool:
-        """Expect the entry of an instance back until a time; return whether that is done.
+        """Keep an instance without an entry until a time; return whether it is kept.
 
-        Instances that aren't known, or that have said that they leave, aren't expected back.
+        Its entry, which has expired with its lease, is expected back. Unknown instances and those
+        that are shutting down aren't kept.
         """
         view = self._views.get(instance_id)
         if view is None or self.is_leaving(view.instance):
@@ -77,35 +78,35 @@
         return True
 
     def is_leaving(self, instance: Instance) -> bool:
-        """Return whether an instance leaves by its entry or by its own word."""
+        """Return whether an instance is shutting down by its entry or its own notices."""
         return (
             instance.draining
             or self.announced_states.of_incarnation(str(instance.incarnation)).has_announced_leaving
         )
 
     def expire(self, now: float) -> list[Instance]:
-        """Forget the instances whose entries have not come back in time, and return them."""
+        """Remove the instances whose entries haven't come back in time, and return them."""
         expired = [name for name, until in self._expected_back.items() if now >= until]
         removed = [self.remove(instance_id) for instance_id in expired]
         return [instance for instance in removed if instance is not None]
 
     def remove(self, instance_id: str) -> Instance | None:
-        """Forget an instance and return it; None when it isn't known."""
+        """Remove an instance and return it; None when it is unknown."""
         self._expected_back.pop(instance_id, None)
         view = self._views.pop(instance_id, None)
         return view.instance if view is not None else None
 
     def retain(self, instance_ids: set[str]) -> None:
-        """Forget all instances but these."""
+        """Remove all instances except those with the given ids."""
         for instance_id in self._views.keys() - instance_ids:
             self.remove(instance_id)
 
     def get(self, instance_id: str) -> InstanceView | None:
-        """Return one view."""
+        """Return the view of an instance; None when it is unknown."""
         return self._views.get(instance_id)
 
     def of_incarnation(self, incarnation: str) -> InstanceView | None:
-        """Return the view of a life; None when it isn't the one that is listed.
+        """Return the view of an incarnation; None when another one is listed, or none.
 
         Args:
             incarnation: As ``str(InstanceIncarnation)``.
@@ -114,32 +115,32 @@
         return view if view is not None and view.incarnation == incarnation else None
 
     def of_reported(self, incarnation: str) -> InstanceView | None:
-        """Return the view that another node's hint is of; None for another life.
+        """Return the view that another node's report is about; None for another incarnation.
 
-        A hint without a start may be of the listed life: nodes of versions before lives were told
-        name instances by their ids alone, and without this all that they tell would be lost.
+        A report without a start time may be about the listed incarnation: nodes of older versions
+        name instances by their ids alone, and otherwise all their reports would be lost.
         """
         instance_id = instance_id_of(incarnation)
         view = self._views.get(instance_id)
         return view if view is not None and incarnation in (view.incarnation, instance_id) else None
 
     def discount_pause(self, seconds: float) -> None:
-        """Leave out a time in which this node couldn't hear any instance."""
+        """Disregard a time in which this node was paused and received nothing from instances."""
         for view in self._views.values():
             view.discount_pause(seconds)
 
     def trusted(self) -> list[InstanceView]:
-        """Return the views whose newest entry names an instance to use, draining ones included.
+        """Return the views whose newest entry can be trusted, draining instances included.
 
-        Nothing is sent to the address of any other.
+        Nothing is sent to the address of any other instance.
         """
         return [view for view in self._views.values() if self._is_trusted(view)]
 
     def is_trusted(self, view: InstanceView) -> bool:
-        """Return whether a view is still listed, and its newest entry names an instance to use.
+        """Return whether a view is still listed and its newest entry can be trusted.
 
-        Looked up before each call that comes later than the view was chosen: its address may have
-        become another one meanwhile.
+        Checked before each call made later than the choice of the view: the instance's address may
+        have changed since.
         """
         return self._views.get(view.instance.instance_id) is view and self._is_trusted(view)
 
@@ -152,9 +153,9 @@
         ]
 
     def _is_trusted(self, view: InstanceView) -> bool:
-        """Return whether an entry is good.
+        """Return whether the newest entry of a view can be trusted.
 
-        Where any instance of a service tells its start, an entry without one is incomplete.
+        If any instance of a service states its start time, an entry without one is incomplete.
         """
         if view.rejected:
             return False
--- a/hopstep/domain/exchanges/instance_view.py
+++ b/hopstep/domain/exchanges/instance_view.py
@@ -1,4 +1,4 @@
-"""What a node believes of one instance: load, health, cached segments, weights."""
+"""A node's view of one instance: load, health, cached segments, weights."""
 
 from __future__ import annotations
 
@@ -21,21 +21,29 @@
 from hopstep.domain.rendezvous import hash_name
 
 FIRST_SUSPENSION_SECONDS = 0.4
+"""Suspension after a first failure; each consecutive failure doubles it."""
+
 MAX_SUSPENSION_SECONDS = 4.0
 UNRESPONSIVE_SECONDS = 1.0
-"""An instance that has let requests wait this long without a byte to anyone counts as silent."""
+"""Time for which requests wait without a byte of any response, after which an instance counts as
+unresponsive."""
 
 UNRESPONSIVE_SECONDS_PER_TOKEN = 1.0 / 10_000
-"""An engine that reads long prompts says nothing meanwhile: a quarter of the usual speed."""
+"""Further time for each pending prompt token, as an engine sends nothing during the prefill of long
+prompts: a quarter of the usual speed."""
 
 SMOOTHING = 0.2
+"""Weight of the latest observation in moving averages."""
+
 DEFAULT_LATENCY_SECONDS = 0.1
+"""Expected latency without any observation."""
+
 INDEXED_SHARE = 0.8
-"""Part of an instance's memory that is expected to be left for kept segments."""
+"""Part of an instance's cache that is expected to be available for cached segments."""
 
 
 class InstanceView:
-    """Beliefs about one instance. Times are of the steady clock, in seconds."""
+    """One instance as this node knows it. Times are of the steady clock, in seconds."""
 
     def __init__(
         self,
@@ -44,13 +52,15 @@
         announced_state: AnnouncedState | None = None,
         first_peer_report: FirstPeerReport | None = None,
     ) -> None:
-        """Start without experience.
+        """Start without observations.
 
         Args:
-            instance: As it publishes itself.
-            cache_tokens: Memory of the instance for segments.
-            announced_state: What this life has said of itself in answers; None for nothing yet.
-            first_peer_report: When this node may first hear what others know; None for no others.
+            instance: The instance's published entry.
+            cache_tokens: Tokens that fit into the instance's cache.
+            announced_state: What this incarnation has announced in response headers; None for
+                nothing yet.
+            first_peer_report: Until when the first report of another node may arrive; None when
+                none is expected.
         """
         self.instance = instance
         self.announced_state = announced_state or AnnouncedState()
@@ -80,21 +90,21 @@
         self._shown_sequence = instance.order_sequence
 
     def update(self, instance: Instance) -> None:
-        """Take a newer entry of the same life; one that tells no start keeps the known one."""
+        """Apply a newer entry of the same incarnation; without a start time the known one stays."""
         self.rejected = False
         self.has_start_time = bool(instance.born_ms)
         self.instance = msgspec.structs.replace(instance, born_ms=self.instance.born_ms)
         self.show_versions(instance.versions, instance.order_sequence)
 
     def show_versions(self, versions: Mapping[str, int], order_sequence: int) -> None:
-        """Take the weights that the instance itself shows.
+        """Apply the weights versions that the instance itself reports.
 
-        Lower ones than known are older news, unless it has taken another order since: one that was
-        given up may be carried out late.
+        Lower versions than the known ones are outdated reports, unless the instance has accepted
+        another order since: an abandoned order may be carried out late.
 
         Args:
             versions: Weights version by model.
-            order_sequence: Orders that it had taken by then.
+            order_sequence: Orders that it had accepted by then.
         """
         for model, version in versions.items():
             known = self.versions.get(model, 0)
@@ -106,17 +116,17 @@
 
     @property
     def order_sequence(self) -> int:
-        """Orders that the instance has taken, as it showed last."""
+        """Orders that the instance has accepted, by its latest report."""
         return self._shown_sequence
 
     def _lower_version(self, model: str, version: int) -> None:
-        """Take a version below the known one; what was kept is gone."""
+        """Set a version below the known one; the cached segments are gone."""
         self.segments.clear()
         self.versions[model] = version
         self._assumed.pop(model, None)
 
     def learn_version(self, model: str, version: int) -> None:
-        """Take a weights version that an answer tells; it never goes down."""
+        """Apply a weights version that a response states; the known version never decreases."""
         if version > self.versions.get(model, 0):
             if model in self.versions and version != self._assumed.get(model):
                 self.segments.clear()
@@ -126,9 +136,9 @@
             self._assumed.pop(model, None)
 
     def assume_version(self, model: str, version: int) -> bool:
-        """Send requests under a version that no answer has shown yet; return whether it is newer.
+        """Send requests under a version not reported yet; return whether it is newer.
 
-        The rollout goes by what was shown (``versions``) alone.
+        The rollout uses the reported versions (``versions``) only.
         """
         if version <= self.serving_version(model):
             return False
@@ -137,7 +147,7 @@
         return True
 
     def drop_assumption(self, model: str) -> bool:
-        """Go back to the version that was shown; return whether another one had been assumed."""
+        """Return to the reported version; return whether another one had been assumed."""
         return self._assumed.pop(model, None) is not None
 
     def serving_version(self, model: str) -> int:
@@ -149,45 +159,45 @@
         return self.active + self._others_now(now).active
 
     def total_pending_tokens(self, now: float) -> int:
-        """Return the prompt tokens of all nodes that aren't read yet, as far as known."""
+        """Return the prompt tokens of all nodes still to be prefilled, as far as known."""
         return self.pending_tokens + self._others_now(now).pending_tokens
 
     def avoided_by(self, now: float) -> int:
-        """Return how many other nodes send the instance nothing for now."""
+        """Return how many other nodes avoid the instance now."""
         return self._others_now(now).avoided_by
 
     def set_load_of_others(self, load: InstanceLoad | None, now: float) -> None:
-        """Take the load of all other nodes; None for none."""
+        """Set the load of all other nodes; None for none."""
         self._others = load or self._no_load
         self._others_at = now
 
     def begin(self, request_id: str, uncached_tokens: int, now: float) -> None:
-        """Count a request in."""
+        """Count a request that is sent to the instance."""
         self.active += 1
         self.pending_tokens += uncached_tokens
         self._waiting_since[request_id] = now
 
     def first_byte(self, request_id: str, uncached_tokens: int, now: float) -> None:
-        """Note the first byte of an answer's body."""
+        """Note the first byte of a response's body."""
         if self._waiting_since.pop(request_id, None) is not None:
             self.pending_tokens -= uncached_tokens
         self.note_received_byte(now)
 
     def end(self, request_id: str, uncached_tokens: int) -> None:
-        """Count a request out."""
+        """Count a request that has ended."""
         self.active -= 1
         if self._waiting_since.pop(request_id, None) is not None:
             self.pending_tokens -= uncached_tokens
 
     def note_received_byte(self, now: float) -> None:
-        """Note a byte from the instance."""
+        """Note that a byte has arrived from the instance."""
         self._last_byte_at = now
 
     def succeeded(self, seconds: float) -> None:
-        """Learn from a whole answer.
+        """Update the statistics after a complete response.
 
         Args:
-            seconds: From sending to the first byte.
+            seconds: Time from sending the request to the first byte.
         """
         self._failures = 0
         self.suspended_until = 0.0
@@ -196,11 +206,12 @@
         self.latency_seconds = known + SMOOTHING * (seconds - known)
 
     def failed(self, now: float, *, unreachable: bool) -> None:
-        """Learn from a failure.
+        """Update the statistics after a failure.
 
         Args:
             now: Steady clock.
-            unreachable: Whether it couldn't be reached or broke off; else it answered.
+            unreachable: Whether it couldn't be reached or the connection broke; otherwise it
+                answered.
         """
         self.failure_rate += SMOOTHING * (1.0 - self.failure_rate)
         if not unreachable:
@@ -210,11 +221,11 @@
         self.suspended_until = now + min(MAX_SUSPENSION_SECONDS, pause)
 
     def suspend(self, until: float) -> None:
-        """Send nothing there before a time, as long as there are others."""
+        """Send it nothing before a time, as long as there are other instances."""
         self.suspended_until = max(self.suspended_until, until)
 
     def discount_pause(self, seconds: float) -> None:
-        """Leave out a time in which this node couldn't hear anything."""
+        """Disregard a time in which this node was paused and received nothing."""
         self._last_byte_at += seconds
         for request_id in self._waiting_since:
             self._waiting_since[request_id] += seconds
@@ -222,13 +233,13 @@
     def admission(
         self, purpose: Purpose, now: float, last_requests_seconds: float = 0.0
     ) -> Admission:
-        """Return whether something may be sent to the instance by all that the node knows.
+        """Return whether something may be sent to the instance, by this node's view of it.
 
         Args:
             purpose: What would be sent.
             now: Steady clock.
-            last_requests_seconds: For so long after its word that it leaves it takes what no other
-                instance may serve.
+            last_requests_seconds: Time after its leaving notice during which it still accepts
+                requests that no other instance may serve.
         """
         asked = AskedInstance(
             self.announced_state,
@@ -245,11 +256,11 @@
 
     @property
     def expected_latency(self) -> float:
-        """Time from sending a request to its first byte, as observed; a guess without any."""
+        """Time from sending a request to its first byte, as observed, or a default."""
         return self.latency_seconds or DEFAULT_LATENCY_SECONDS
 
     def _listed(self, now: float) -> Barrier | None:
-        """Return what the directory has against sending anything; None for nothing."""
+        """Return the barrier that follows from the directory's entry; None for none."""
         if self.rejected:
             return Barrier.UNTRUSTED
         if self.replaced or now < self.presumed_ended_until:
@@ -257,7 +268,7 @@
         return Barrier.DRAINING if self.instance.draining else None
 
     def is_unresponsive(self, now: float) -> bool:
-        """Return whether requests wait although nothing came from the instance for long."""
+        """Return whether requests wait and nothing has arrived from the instance for too long."""
         if not self._waiting_since:
             return False
         oldest = min(self._waiting_since.values())
@@ -267,7 +278,7 @@
         return now - max(oldest, self._last_byte_at) > patience
 
     def is_usable(self, now: float) -> bool:
-        """Return whether a new request may be sent with good hope."""
+        """Return whether the instance is likely to serve a new request."""
         return (
             now >= self.suspended_until
             and now >= self.loading_until
@@ -275,5 +286,5 @@
         )
 
     def _others_now(self, now: float) -> InstanceLoad:
-        """Return the load of other nodes, as long as it is recent."""
+        """Return the load of other nodes, or no load when the report is too old."""
         return self._others if now - self._others_at <= REPORT_SECONDS else self._no_load
--- a/hopstep/domain/exchanges/instances.py
+++ b/hopstep/domain/exchanges/instances.py
@@ -1,4 +1,4 @@
-"""Instances of services as they publish themselves."""
+"""Instances of services, as they publish themselves in the directory."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 import msgspec
 
 INCARNATION_SEPARATOR = "@"
-"""Between id and start in the text form of a life."""
+"""Separates id and start time in the text form of an incarnation."""
 
 
 class InstanceIncarnation(msgspec.Struct, frozen=True):
-    """One start of an instance: a later one under the same id holds nothing of this one.
+    """One run of an instance; a later run under the same id shares no state with it.
 
     Attributes:
         instance_id: Id of the instance.
-        born_ms: Unix time of the start in milliseconds, as it tells; 0 when it tells none.
+        born_ms: Unix time of the start in milliseconds, as it states; 0 when it states none.
     """
 
     instance_id: str
     born_ms: int = 0
 
     def __str__(self) -> str:
-        """Return the life as nodes tell and log it."""
+        """Return the text form, as nodes report and log it."""
         return (
             f"{self.instance_id}{INCARNATION_SEPARATOR}{self.born_ms}"
             if self.born_ms
@@ -30,33 +30,33 @@
         )
 
     def matches_start(self, born_ms: int) -> bool:
-        """Return whether a word with a start is of this life; one without may be.
+        """Return whether a message with this start time is of this incarnation; 0 matches any.
 
-        Starts are compared for equality only: which of two lives is the later follows from the
-        store's revisions, since the clocks of machines may step back.
+        Start times are compared for equality only: the store's revisions decide which of two
+        incarnations is later, since the clocks of machines may step back.
         """
         return not (born_ms and self.born_ms) or born_ms == self.born_ms
 
 
 def instance_id_of(incarnation: str) -> str:
-    """Return the id of the instance that a life in its text form is of."""
+    """Return the instance id in the text form of an incarnation."""
     instance_id, separator, born_ms = incarnation.rpartition(INCARNATION_SEPARATOR)
     return instance_id if separator and born_ms.isdecimal() else incarnation
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One life of a server of a service.
+    """One incarnation of a server of a service.
 
     Attributes:
-        instance_id: Its id; it may start again under it.
+        instance_id: Its id; later incarnations may have the same one.
         service: Name of its service.
         address: ``ip:port``.
         zone: Its zone.
-        slots: Requests that it works on at once.
-        draining: Whether it is about to leave and takes nothing new.
+        slots: Requests that it processes concurrently.
+        draining: Whether it is about to shut down and accepts nothing new.
         versions: Weights version of each of its models.
-        order_sequence: Orders that it has taken.
-        born_ms: Unix time of its start in milliseconds, as it tells; 0 when it tells none.
+        order_sequence: Number of orders that it has accepted.
+        born_ms: Unix time of its start in milliseconds, as it states; 0 when it states none.
     """
 
     instance_id: str
@@ -71,16 +71,16 @@
 
     @property
     def incarnation(self) -> InstanceIncarnation:
-        """Which start of the instance this is."""
+        """The incarnation that published this entry."""
         return InstanceIncarnation(self.instance_id, self.born_ms)
 
 
 class NamedWeights(msgspec.Struct, frozen=True):
-    """Weights that the operators named for a model.
+    """Weights version that the operators have set for a model.
 
     Attributes:
         model: Name of the model.
-        version: Rises with every naming.
+        version: Rises with every change.
     """
 
     model: str
--- a/hopstep/domain/exchanges/load_ledger.py
+++ b/hopstep/domain/exchanges/load_ledger.py
@@ -1,4 +1,4 @@
-"""Load of other nodes at instances, summed over the nodes that reported lately."""
+"""Load of other nodes at instances, summed over the recent reports of nodes."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import msgspec
 
 REPORT_SECONDS = 1.0
-"""A node's report is forgotten after this time."""
+"""Time after which a node's report is dropped."""
 
 
 class InstanceLoad(msgspec.Struct, frozen=True, array_like=True):
     """Requests of one or more nodes at an instance.
 
     Attributes:
-        life: The instance's life, as ``str(InstanceIncarnation)``.
-        active: Requests under way.
-        pending_tokens: Prompt tokens not read yet.
-        avoided_by: Nodes that send it nothing for now, because it failed.
+        incarnation: The instance's incarnation, as ``str(InstanceIncarnation)``.
+        active: Requests in progress.
+        pending_tokens: Prompt tokens still to be prefilled.
+        avoided_by: Nodes that send it nothing now, because it failed.
     """
 
     incarnation: str = msgspec.field(name="life")
@@ -26,7 +26,7 @@
     avoided_by: int = 0
 
     def plus(self, other: InstanceLoad, sign: int = 1) -> InstanceLoad:
-        """Return the sum with another load of the same instance, or the difference."""
+        """Return the sum with another load of the same instance, or the difference for -1."""
         return InstanceLoad(
             self.incarnation,
             self.active + sign * other.active,
@@ -36,7 +36,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to tell."""
+        """Whether there is nothing to report."""
         return not (self.active or self.pending_tokens or self.avoided_by)
 
 
@@ -61,7 +61,7 @@
 
         Args:
             node: The node.
-            loads: Its loads; instances that are missing have none.
+            loads: Its loads; instances that aren't named have none.
             now: Steady clock, seconds.
         """
         self._withdraw(node)
@@ -73,7 +73,7 @@
 
         Args:
             node: The node.
-            load: What has come since.
+            load: Load that was added since the report.
             now: Steady clock, seconds.
         """
         known = self._reports.get(node)
@@ -82,7 +82,7 @@
         self._add((load,), 1)
 
     def nodes(self, now: float) -> list[str]:
-        """Return the nodes with fresh reports."""
+        """Return the nodes with recent reports."""
         self._forget(now)
         return list(self._reports)
 
@@ -91,11 +91,11 @@
         return self._totals.get(incarnation, InstanceLoad(incarnation))
 
     def totals(self, now: float, without: str = "") -> Loads:
-        """Return the sums over fresh reports.
+        """Return the sums over recent reports.
 
         Args:
             now: Steady clock, seconds.
-            without: A node that is left out.
+            without: A node whose report is left out.
         """
         self._forget(now)
         totals = dict(self._totals)
@@ -111,18 +111,18 @@
             self._withdraw(node)
 
     def _withdraw(self, node: str) -> None:
-        """Take a node's report out of the sums."""
+        """Remove a node's report and its loads from the sums."""
         report = self._reports.pop(node, None)
         if report is not None:
             self._add(report.loads, -1)
 
     def _add(self, loads: tuple[InstanceLoad, ...], sign: int) -> None:
-        """Add loads to the sums, or take them away."""
+        """Add loads to the sums, or subtract them."""
         add_loads(self._totals, loads, sign)
 
 
 def add_loads(totals: Loads, loads: Iterable[InstanceLoad], sign: int = 1) -> None:
-    """Add loads to sums, or take them away; empty sums are dropped."""
+    """Add loads to sums, or subtract them for -1; empty sums are dropped."""
     for load in loads:
         known = totals.get(load.incarnation)
         total = load if known is None and sign > 0 else _sum(known, load, sign)
--- a/hopstep/domain/exchanges/nodes.py
+++ b/hopstep/domain/exchanges/nodes.py
@@ -1,7 +1,7 @@
-"""Nodes as they register themselves, and which of them relay for the others of their zone.
+"""Registered nodes, and which of them are relays for the other nodes of their zone.
 
-Every node ranks the registered nodes of its zone alike, so the choice needs no election. Views may
-differ for a moment: any node answers any other with what it knows and how old that is.
+Every node ranks the registered nodes of its zone in the same order, so relays need no election.
+Views may differ briefly: any node answers any other with its state and the age of that state.
 """
 
 from __future__ import annotations
@@ -15,27 +15,30 @@
 
 NODES_PER_RELAY = 24
 MAX_UNANSWERED = 3
-"""A node that has let so many queries in a row unanswered isn't asked, only probed."""
+"""Consecutive unanswered queries after which a node is no longer asked, only probed."""
 
 PROBE_SECONDS = 2.0
+"""Shortest time between two probes of a node."""
 
 STAND_INS = 2
-"""Nodes of a zone behind its relays, by rank, that read the store when all relays have lost it."""
+"""Nodes of a zone, next in rank to its relays, that read the store when all relays have lost it."""
 
 
 MESSAGE_FORMAT_VERSION = 3
-"""Form of the messages and records that this version writes. It rises with each change after which
-an older version reads less of them; 0 is all before nodes told it (design 0029)."""
+"""Format version of the messages and records that this version writes. It rises with each change
+after which an older version can't read all of them; 0 means a node that doesn't state it (design
+0029)."""
 
 FORMAT_VERSION_WITH_ERAS = 3
-"""From this form on nodes tell the era of each place in the store's history."""
+"""First format version in which nodes state the era of each store position."""
 
 
 REWRITES_PER_SECOND = 150.0
-"""Entries that all nodes together write a second after a restore, on average: below the fewest
-writes a second that a store takes (400), beside those of others."""
+"""Entries a second that all nodes together write after a restore, on average: with the writes of
+others this is below the lowest write rate that a store accepts (400 a second)."""
 
 MIN_REWRITING_SECONDS = 0.2
+"""Shortest time over which nodes spread the writing of their entries."""
 
 
 def rewriting_seconds(nodes: int) -> float:
@@ -49,9 +52,9 @@
     Attributes:
         address: ``ip:port`` of its datagrams.
         zone: Its zone.
-        key: Secret of this process, under which its messages are signed.
-        capacity: Processor cores; larger nodes relay.
-        form: ``MESSAGE_FORM`` of its version; 0 from versions that don't tell it.
+        key: Secret of this process that signs its messages.
+        capacity: Processor cores; the nodes with most cores become relays.
+        form: ``MESSAGE_FORMAT_VERSION`` of the node; 0 when it doesn't state it.
         era: Era of the store in which the entry was written.
     """
 
@@ -64,10 +67,10 @@
 
 
 class RelayPlan:
-    """Whom this node asks, by who has answered and who has lost the store."""
+    """Which nodes this node asks, by their answers and by whether they have lost the store."""
 
     def __init__(self, name: str, record: NodeRecord) -> None:
-        """Know no other node.
+        """Start without other nodes.
 
         Args:
             name: Name of this node.
@@ -97,7 +100,7 @@
         self._unanswered[name] = self._unanswered.get(name, 0) + 1
 
     def note_message(self, name: str) -> None:
-        """Note a message of a node."""
+        """Note that a message of a node has arrived."""
         self._unanswered.pop(name, None)
 
     def note_store(self, name: str, *, lost: bool) -> None:
@@ -108,16 +111,16 @@
             self._without_store.discard(name)
 
     def relay(self) -> str:
-        """Return the node to ask; empty when none before this one in its zone answers.
+        """Return the node to ask; empty when none ranked before this one in its zone answers.
 
-        One that has lost the store is asked only when no other answers: it still tells loads.
+        A node that has lost the store is asked only when no other answers, for its load reports.
         """
         live = [name for name in self._preferred() if self._is_live(name)]
         return next((name for name in live if self._has_store(name)), next(iter(live), ""))
 
     @property
     def has_source(self) -> bool:
-        """Whether the node to ask is one that hasn't lost the store, as far as known."""
+        """Whether there is a node to ask that hasn't lost the store, as far as known."""
         relay = self.relay()
         return bool(relay) and self._has_store(relay)
 
@@ -128,7 +131,7 @@
         return ranked.index(self._name) < self._relays(ranked) + STAND_INS
 
     def probe(self, now: float) -> str:
-        """Return a preferred node that isn't asked and is due to be asked again; or empty."""
+        """Return a preferred node that isn't asked and is due for a probe; empty for none."""
         for name in self._preferred():
             if self._is_live(name) and self._has_store(name):
                 return ""
@@ -138,34 +141,34 @@
         return ""
 
     def readers_elsewhere(self, turn: int, count: int = 1) -> list[str]:
-        """Return nodes that may have another way to the store; each turn the next ones."""
+        """Return nodes that may have another route to the store, the next ones at each turn."""
         readers = [name for zone in self._zones for name in self._may_read(zone)]
         others = sorted(name for name in readers if name != self._name)
         first = turn * count
         return [others[(first + n) % len(others)] for n in range(min(count, len(others)))]
 
     def _may_read(self, zone: str) -> list[str]:
-        """Return the nodes of a zone that may read the store: its relays, and some behind them.
+        """Return the nodes of a zone that may read the store: its relays and some ranked next.
 
-        In this node's own zone that is all stand-ins, since there may be no other zone.
+        In this node's own zone these are all stand-ins, since there may be no other zone.
         """
         ranked = self._zones[zone]
         behind = STAND_INS if zone == self._record.zone else 1
         return ranked[: self._relays(ranked) + behind]
 
     def digest_targets(self) -> list[str]:
-        """Return the relays of all zones but this node, with stand-ins for silent ones."""
+        """Return the relays of all zones except this node, and stand-ins for unresponsive ones."""
         targets: list[str] = []
         for ranked in self._zones.values():
             targets += self._first_live(ranked)
         return [name for name in targets if name != self._name]
 
     def live_relays(self) -> list[str]:
-        """Return the relays that answer, as this one knows them, itself included."""
+        """Return the relays that answer, as far as this node knows, and itself."""
         return [self._name, *(name for name in self.digest_targets() if self._is_live(name))]
 
     def _first_live(self, ranked: list[str]) -> list[str]:
-        """Return a zone's relays; behind silent ones also the next in rank."""
+        """Return a zone's relays, and for each unresponsive one also the next in rank."""
         chosen: list[str] = []
         live = 0
         for name in ranked:
@@ -176,7 +179,7 @@
         return chosen
 
     def _preferred(self) -> Iterable[str]:
-        """Return the nodes before this one in its zone, its own relay first."""
+        """Return the nodes ranked before this one in its zone, its own relay first."""
         ranked = self._zones[self._record.zone]
         own = ranked.index(self._name)
         relays = self._relays(ranked)
@@ -191,7 +194,7 @@
         return (ranked[index] for index in others)
 
     def _is_live(self, name: str) -> bool:
-        """Return whether a node has answered lately, or wasn't asked."""
+        """Return whether a node has fewer than ``MAX_UNANSWERED`` queries unanswered."""
         return self._unanswered.get(name, 0) < MAX_UNANSWERED
 
     def _has_store(self, name: str) -> bool:
@@ -200,5 +203,5 @@
 
     @staticmethod
     def _relays(ranked: list[str]) -> int:
-        """Return how many nodes of a zone relay."""
+        """Return how many nodes of a zone are relays."""
         return -(-len(ranked) // NODES_PER_RELAY)
--- a/hopstep/domain/exchanges/repeat_budget.py
+++ b/hopstep/domain/exchanges/repeat_budget.py
@@ -1,8 +1,8 @@
 """A node's share of the retries that all nodes together may make for a service.
 
-Over every window the repeats of all nodes must stay under ``ratio`` of the requests plus a
-constant. Each node holds that for its own requests and its part of the constant, so the sum holds
-whether nodes hear each other or not.
+In every window the repeats of all nodes must stay under ``ratio`` times the requests plus a
+constant. Each node keeps this bound for its own requests and its part of the constant, so the sum
+holds even when nodes can't reach each other.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class RepeatBounds(msgspec.Struct, frozen=True):
-    """Bounds that hold over all nodes together.
+    """Bounds for all nodes together.
 
     Attributes:
-        ratio: Repeats for each request.
-        extra: Repeats that are always allowed in a window.
+        ratio: Allowed repeats for each request.
+        extra: Further repeats that are allowed in each window.
         window_seconds: Length of the window.
     """
 
@@ -27,7 +27,7 @@
 
 
 SAFETY = 0.8
-"""Part of the bounds that is used: a restarted node has forgotten what it spent."""
+"""Part of the bounds that is used: a restarted node has lost the count of its repeats."""
 
 
 class RepeatBudget:
@@ -49,7 +49,7 @@
         self._forget(now)
 
     def allows(self, now: float, nodes: int) -> bool:
-        """Return whether one more repeat is inside this node's share.
+        """Return whether one more repeat is within this node's share.
 
         Args:
             now: Steady clock, seconds.
@@ -64,7 +64,7 @@
         self._repeats.append(now)
 
     def _forget(self, now: float) -> None:
-        """Drop what has left the window."""
+        """Drop times before the window."""
         start = now - self._bounds.window_seconds
         for times in (self._requests, self._repeats):
             while times and times[0] < start:
--- a/hopstep/domain/exchanges/request.py
+++ b/hopstep/domain/exchanges/request.py
@@ -1,4 +1,4 @@
-"""A request on its way through a node."""
+"""A request that a node routes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MAX_PRIORITY = 9
 PRIORITIES_OF_A_TENANT = 3
-"""Routes' ranks that fit between two ranks of tenants."""
+"""Route priorities that fit between two tenant priorities."""
 
 
 class PromptSegment(msgspec.Struct, frozen=True):
@@ -29,13 +29,13 @@
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """What a request says of its prompt.
+    """What a request states about its prompt.
 
     Attributes:
         model: Name of the model.
-        segments: Parts in order; the last is the request's own or its session's.
+        segments: Parts in order; the last is specific to the request or its session.
         prompt_tokens: Length of the whole prompt.
-        answer_tokens: Most tokens of the answer.
+        answer_tokens: Highest number of tokens in the answer.
     """
 
     model: str
@@ -45,22 +45,22 @@
 
 
 class ExchangeRequest(msgspec.Struct, frozen=True):
-    """A request that was read whole and admitted.
+    """A request that was received completely and admitted.
 
     Attributes:
-        request_id: Unique for each attempt of a client.
+        request_id: Unique for each request that a client sends, retries included.
         method: HTTP method.
         target: Raw path and query.
         headers: Headers that are passed on.
-        body: Whole body.
+        body: Complete body.
         route: Its route.
-        tenant: Whose key it carries; None on public routes.
+        tenant: Tenant of its API key; None on public routes.
         received_at: When its head was read, by the steady clock in seconds.
         deadline: When the final answer is due, by the same clock.
         client_deadline: When the client gives up, by the same clock.
-        prompt: What it says of its prompt; None for other services.
+        prompt: What it states about its prompt; None for services without prompts.
         resume_after: Last event that the client has; empty for a new stream.
-        usage_tokens: Tokens of its prompt and longest answer; None when it doesn't say.
+        usage_tokens: Tokens of its prompt and longest answer; None when not stated.
     """
 
     request_id: str
@@ -79,7 +79,7 @@
 
     @property
     def rank(self) -> int:
-        """Rank at an instance, 0 first: its tenant's, and within that its route's."""
+        """Priority at an instance, 0 first: by its tenant's, then by its route's."""
         priority = self.route.priority
         if self.tenant is not None and self.tenant.priority is not None:
             priority = min(priority, PRIORITIES_OF_A_TENANT - 1)
@@ -87,7 +87,7 @@
         return max(0, min(MAX_PRIORITY, priority))
 
     def name(self) -> RequestName:
-        """Return what it shares with equal requests of its caller; digests the whole body."""
+        """Return the name it shares with equal requests of its caller; hashes the whole body."""
         caller = self.tenant.name if self.tenant is not None else ""
         fingerprint = request_fingerprint(caller, self.target, self.body)
         return RequestName(fingerprint, caller, self.route.name)
--- a/hopstep/domain/exchanges/restored_backup.py
+++ b/hopstep/domain/exchanges/restored_backup.py
@@ -1,8 +1,8 @@
-"""From when on answers of a restored store confirm that no key was taken away unnoticed.
+"""From when on answers of a restored store confirm that no API key was revoked unnoticed.
 
-The copy proves nothing of what was written after it was made: a configuration that took a key away
-may be gone, and nobody may have read it. Operators write what is gone again. They are done when the
-configuration is seen written in the new era, or else when the time that they may take is over.
+A backup proves nothing about later writes: a configuration that revoked a key may be lost, and
+possibly nobody has read it. Operators write lost entries again. They count as done when a
+configuration written in the new era is seen, or when the time allowed for that is over.
 
 All times are of the steady clock, in seconds.
 """
@@ -16,10 +16,10 @@
 
 
 class RestoredBackup:
-    """What a node knows of the copy from which the store came back last."""
+    """What a node knows about the backup from which the store was restored last."""
 
     def __init__(self) -> None:
-        """Know of no restore."""
+        """Start without a known restore."""
         self._position = NO_POSITION
         self._settled_at = SETTLED
         self._lacks_configuration = False
@@ -38,13 +38,13 @@
     def note_configuration(
         self, position: StorePosition, version: int, known_version: int, known_at: StorePosition
     ) -> None:
-        """Take a configuration as the store holds it.
+        """Note a configuration that the store holds.
 
         Args:
-            position: Its place.
+            position: Its store position.
             version: Its version.
-            known_version: Version of the newest one known; 0 for none.
-            known_at: Place at which that was seen first; ``NO_POSITION`` for none.
+            known_version: Version of the newest known configuration; 0 for none.
+            known_at: Position at which that one was first seen; ``NO_POSITION`` for none.
         """
         if position.era != self._position.era:
             return
@@ -57,13 +57,13 @@
             self._settled_at = SETTLED
 
     def may_hold(self, position: StorePosition) -> bool:
-        """Return whether what is shown at a place may be of the copy, not written since."""
+        """Return whether an entry at a position may be of the backup, not written since."""
         return position.era == self._position.era and position <= self._position
 
     def confirms(self, sent_at: float) -> bool:
-        """Return whether an answer confirms keys as of when its call was sent."""
+        """Return whether an answer confirms keys as of the time its call was sent."""
         return sent_at >= self._settled_at
 
     def is_settling(self, now: float) -> bool:
-        """Return whether operators may still have something to write again."""
+        """Return whether operators may still have to write lost entries again."""
         return now < self._settled_at
--- a/hopstep/domain/exchanges/retry_after.py
+++ b/hopstep/domain/exchanges/retry_after.py
@@ -1,8 +1,8 @@
-"""When a client should come back after a refusal, by what the node observes.
+"""The ``Retry-After`` time of a refusal, by what the node observes.
 
-Clients come back once or twice, to another node, and heed a wait of up to a third of the time that
-they have left. So a wait that is too long costs them their answer in time, and one that is too
-short costs them one of their few tries.
+Clients retry once or twice, at another node, and obey a wait of up to a third of their remaining
+time. So a wait that is too long makes them miss their deadline, and one that is too short costs
+them one of their few retries.
 """
 
 from __future__ import annotations
@@ -14,28 +14,29 @@
 from hopstep.exceptions import ErrorCode
 
 AT_ONCE_SECONDS = 0.03
-"""The next try meets another node or instance, so only what the client needs itself."""
+"""Wait when the retry reaches another node or instance: only the client's own delay."""
 
 DEFAULT_SECONDS = 0.4
-"""When nothing tells more: about the time in which a page or a first token is owed."""
+"""Wait without a better estimate: about the time within which a page or first token is due."""
 
 MAX_SECONDS = 1.5
-"""Clients with four to five seconds heed no longer wait."""
+"""Longest wait: clients with a deadline of four to five seconds obey no longer one."""
 
 OUTAGE_SHARE = 0.25
-"""An outage that has lasted a while is expected to last this part of it longer."""
+"""An outage is expected to last this part of its duration so far longer."""
 
 MIN_SPREAD = 0.3
-"""Part of a wait by which clients are spread at least, so that they don't return together."""
+"""Smallest spread, as a part of the wait, so that clients don't return together."""
 
 SPREAD_PER_REFUSAL = 0.05
-"""Further part for each client that was told the same lately."""
+"""Further spread, as a part of the wait, for each recent refusal for the same reason."""
 
 MAX_SPREAD = 1.0
+"""Largest spread, as a part of the wait."""
 
 
 class RetryReason(enum.StrEnum):
-    """What the wait is for."""
+    """What a refused client waits for."""
 
     OTHER_NODE = "other_node"
     OTHER_INSTANCE = "other_instance"
@@ -50,24 +51,25 @@
 
 
 CERTAIN_REASONS = frozenset({RetryReason.BACKING_OFF})
-"""Reasons whose end is known, so that an earlier return is certain to be refused."""
+"""Reasons whose end is known, so that an earlier retry is certain to be refused."""
 
 
 class RefusalFacts(msgspec.Struct, frozen=True):
-    """What the node observes as it refuses; times in seconds.
+    """What the node observes when it refuses a request; times in seconds.
 
     Attributes:
-        code: Why it refuses.
-        other_instance: Whether an instance that the request wasn't sent to would take it now.
-        loading_seconds: Until the first engine of the service has loaded weights; None for none.
-        resting_seconds: Until the first instance wants requests again; None unless all that may
-            serve have asked this node for rest.
-        limited_seconds: Until a permit is likely to come for the first instance under a limit; None
-            unless all that may serve rest or are limited.
-        relisting_seconds: Until lapsed entries are back or gone; None when none are expected.
-        store_silence_seconds: Time since the store answered this node or whoever told it.
-        others_answer: Whether other nodes answer this one, so that it isn't cut off alone.
-        told_lately: Clients that were told the same reason within the last moments.
+        code: Reason of the refusal.
+        other_instance: Whether an instance that the request wasn't sent to would accept it now.
+        loading_seconds: Until the first engine of the service has loaded weights; None when none is
+            loading.
+        backoff_seconds: Until the first instance accepts requests again; None unless all that may
+            serve have asked this node to back off.
+        limited_seconds: Until a permit for an instance under a limit is likely; None unless all
+            that may serve are backing off or limited.
+        relisting_seconds: Until expired entries are back or dropped; None when none are expected.
+        store_silence_seconds: Time since the store answered this node or one that reports to it.
+        others_answer: Whether other nodes answer this one, so that it isn't isolated.
+        recent_refusals: Clients that were refused for the same reason within the last moments.
     """
 
     code: ErrorCode
@@ -82,11 +84,11 @@
 
 
 class RetryAdvice(msgspec.Struct, frozen=True):
-    """When to come back, and why then.
+    """When a client should retry, and why.
 
     Attributes:
         seconds: Value of ``Retry-After``.
-        reason: What the wait is for.
+        reason: What the client waits for.
     """
 
     seconds: float
@@ -120,11 +122,11 @@
 
 
 def advise(facts: RefusalFacts, draw: float) -> RetryAdvice:
-    """Return when a client should come back.
+    """Return when a client should retry.
 
     Args:
         facts: What is observed.
-        draw: Random number from 0 to 1 that spreads clients.
+        draw: Random number from 0 to 1 that spreads the waits of clients.
     """
     reason = retry_reason(facts)
     longest = float("inf") if reason in CERTAIN_REASONS else MAX_SECONDS
--- a/hopstep/domain/exchanges/rollout_lease_state.py
+++ b/hopstep/domain/exchanges/rollout_lease_state.py
@@ -1,13 +1,13 @@
-"""When one node may take, keep and use the lease of the rollout.
+"""When a node may take, keep and use the lease of the weights rollout.
 
-The lease's key is created where nobody holds it. Its version is the fencing token. A holder counts
-the lease from when the grant or renewal was sent, and a new one lets one lease time pass before its
-first order.
+A node takes the lease by creating its key where there is none. The key's version is the fencing
+token. A holder counts the lease from when it sent the grant or renewal call, and a new holder waits
+for one lease duration before its first order.
 
-A store that is restored from a copy may have lost the key, or show that of an earlier holder again,
-whose lease may by then be another node's. So a key holds in the era that it names itself, and in no
-other one, and whoever takes the lease soon after a restore waits for one lease time more: the last
-holder before the restore may not have heard of it, and renewed right before.
+A store that is restored from a backup may have lost the key, or show that of an earlier holder,
+whose lease name may by then belong to another node. So a key is valid only in the era that it
+names, and a node that takes the lease soon after a restore waits for one more lease duration: the
+last holder before the restore may not know of it and may have renewed right before.
 
 All times are of the steady clock, in seconds.
 """
@@ -19,19 +19,19 @@
 from hopstep.domain.store_position import ABSENT, StoreLease, StorePosition
 
 ERA_BITS = 40
-"""Bits of a fencing token below the era: a store that changes 1,000 times a second for 30 years."""
+"""Bits of a fencing token below the era: enough for 1,000 changes a second over 30 years."""
 
 NEVER = -float("inf")
 
 
 class RolloutHolder(msgspec.Struct, frozen=True):
-    """Who holds the rollout of weights; value of its key.
+    """The holder of the rollout lease; value of its key.
 
     Attributes:
         name: Name of the node.
-        address: ``ip:port`` of its datagrams: a machine that replaces another may take its name.
+        address: ``ip:port`` of its datagrams; a machine that replaces another may have its name.
         lease: Name of the lease to which the key is bound.
-        era: Era of that lease; None from versions that know none.
+        era: Era of that lease; None when an older version wrote the key.
     """
 
     name: str
@@ -41,11 +41,11 @@
 
 
 class RolloutKey(msgspec.Struct, frozen=True):
-    """The rollout's key as the store shows it.
+    """The key of the rollout lease as the store shows it.
 
     Attributes:
         version: Its version, in the era in which it was seen.
-        holder: Who it names; None for a value that can't be read.
+        holder: The holder that it names; None for a value that can't be decoded.
     """
 
     version: StorePosition
@@ -53,17 +53,17 @@
 
     @property
     def is_void(self) -> bool:
-        """Whether it was written in an earlier era than the one in which it was seen."""
+        """Whether it was written in another era than the one in which it was seen."""
         holder = self.holder
         return holder is not None and holder.era is not None and holder.era != self.version.era
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """What a node may do to hold the lease.
+    """The step by which a node may obtain the lease.
 
     Attributes:
-        expected: Version of the key to write over, ``ABSENT`` to create it.
-        resumed: The own lease to renew instead; None to take a new one.
+        expected: Version of the key to overwrite; ``ABSENT`` to create it.
+        resumed: The node's own earlier lease to renew; None to take a new one.
     """
 
     expected: StorePosition = ABSENT
@@ -71,15 +71,15 @@
 
 
 class RolloutLeaseState:
-    """One node's hold on the lease."""
+    """One node's state of the lease."""
 
     def __init__(self, name: str, address: str, lease_seconds: float) -> None:
-        """Hold nothing.
+        """Start without the lease.
 
         Args:
             name: Name of the node.
             address: ``ip:port`` of its datagrams.
-            lease_seconds: Time of the lease.
+            lease_seconds: Duration of the lease.
         """
         self.lease: StoreLease | None = None
         self.version = ABSENT
@@ -99,11 +99,11 @@
         return self._holding
 
     def holder(self, lease: StoreLease) -> RolloutHolder:
-        """Return how the node names itself as the holder."""
+        """Return the key's value that names this node as the holder."""
         return RolloutHolder(self._name, self._address, lease.name, lease.era)
 
     def see_era(self, era: int, now: float) -> None:
-        """Note the era of an answer of the store, or of whoever tells of it.
+        """Note the era of an answer of the store, or of another node's report.
 
         A lease of an earlier era is lost.
         """
@@ -114,14 +114,14 @@
         self._era = era
 
     def suspect_restore(self, now: float) -> None:
-        """Note that the store has been restored now or before, without all nodes knowing it."""
+        """Note that the store was restored by now, and that some nodes may not know it."""
         self._restored_at = max(self._restored_at, now)
 
     def claim(self, key: RolloutKey | None) -> Claim | None:
-        """Return what the node may do to hold the lease; None while another node holds it.
+        """Return the step to obtain the lease; None while another node holds it.
 
         Args:
-            key: The key as the store has shown it last; None when there is none.
+            key: The key as the store showed it last; None when there is none.
         """
         if key is None:
             return Claim()
@@ -135,12 +135,12 @@
         return Claim(key.version, lease)
 
     def begin(self, lease: StoreLease, version: StorePosition, sent_at: float, now: float) -> None:
-        """Hold the lease.
+        """Note that the node holds the lease.
 
         Args:
             lease: The lease.
             version: Version of its key.
-            sent_at: When the call that granted or renewed it was sent.
+            sent_at: When the grant or renewal call was sent.
             now: Steady clock.
         """
         self.see_era(lease.era, now)
@@ -153,15 +153,15 @@
         self._holding = True
 
     def renew(self, sent_at: float) -> None:
-        """Note that the lease was renewed by a call that was sent at a time."""
+        """Note that the lease was renewed by a call sent at ``sent_at``."""
         self.valid_until = max(self.valid_until, sent_at + self._lease_seconds)
 
     def end(self) -> None:
-        """Hold the lease no more; it may still be valid in the store."""
+        """Stop holding the lease; it may still be valid in the store."""
         self._holding = False
 
     def give_up(self) -> None:
-        """Leave the lease for good: an engine has seen a higher token."""
+        """Abandon the lease: an engine has seen a higher fencing token."""
         self.valid_until = NEVER
         self._refused = self.version
         self._holding = False
@@ -171,7 +171,7 @@
 
         Args:
             now: Steady clock.
-            reserve_seconds: The lease must hold at least this much longer.
+            reserve_seconds: The lease must be valid for at least this much longer.
         """
         if not self._holding or self.lease is None or self.lease.era != self._era:
             return False
@@ -179,5 +179,5 @@
 
 
 def fencing_token(version: StorePosition) -> int:
-    """Return the number that engines compare; it rises with the version, through restores too."""
+    """Return the number that engines compare; it rises with the version, also across restores."""
     return version.era << ERA_BITS | version.revision
--- a/hopstep/domain/exchanges/segment_moves.py
+++ b/hopstep/domain/exchanges/segment_moves.py
@@ -1,7 +1,7 @@
-"""From where an engine best brings prompt segments: another engine or a cache store.
+"""Best source of cached prompt segments for an engine: another engine or a cache store.
 
 The sources of one request are looked up once, by weights version and zone, so that rating all
-engines takes time in proportion to their number.
+engines takes time linear in their number.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from hopstep.domain.exchanges.segments import SegmentKey
 
 MOVE_SECONDS = 0.004
-"""Fixed time of bringing segments from another instance."""
+"""Fixed part of the time to move segments from another instance."""
 
 OTHER_ZONE_FACTOR = 2.0
-"""Between zones a move takes this much longer."""
+"""Factor on the time for each token of a move between zones."""
 
 MIN_MOVED_TOKENS = 64
-"""Fewer tokens are read rather than moved."""
+"""Fewer tokens are recomputed instead of moved."""
 
 KeysOf = Callable[[InstanceView], tuple[SegmentKey, ...]]
 
 
 class StoreSource(msgspec.Struct, frozen=True):
-    """A cache store from which segments may be brought.
+    """A cache store from which segments may be moved.
 
     Attributes:
         address: ``ip:port``.
         zone: Its zone.
-        move_seconds_per_token: Time to bring one token to an instance of the same zone.
-        tokens_for: Returns the tokens of the prompt that it keeps for an instance's weights.
+        move_seconds_per_token: Time to move one token to an instance of the same zone.
+        tokens_for: Returns the tokens of the prompt that it stores for an instance's weights.
     """
 
     address: str
@@ -42,17 +42,17 @@
 
 
 class EngineRequest(msgspec.Struct, frozen=True):
-    """What the choice of an engine depends on.
+    """Input to the choice of an engine.
 
     Attributes:
         keys_of: Returns the prompt's keys for an instance.
         model: Name of the model.
         prompt_tokens: Length of the prompt.
-        move_seconds_per_token: Time to bring one token from an instance of the same zone.
+        move_seconds_per_token: Time to move one token from an instance of the same zone.
         stores: Cache stores.
         zone: Zone of this node.
-        other_zone_seconds: Delay that a request to another zone counts for.
-        preferred_version: Engines with older weights give way.
+        other_zone_seconds: Cost of sending a request to another zone, as a delay.
+        preferred_version: Engines with older weights are penalized.
     """
 
     keys_of: KeysOf
@@ -66,11 +66,11 @@
 
 
 class Move(msgspec.Struct, frozen=True):
-    """A way to bring segments.
+    """A move of cached segments to an engine.
 
     Attributes:
         address: ``ip:port`` of the source; empty for none.
-        tokens: Tokens that come.
+        tokens: Tokens that are moved.
         seconds: Time that it takes.
     """
 
@@ -80,13 +80,13 @@
 
 
 class _Source(msgspec.Struct, frozen=True):
-    """What a place keeps of the prompt.
+    """An engine or cache store that holds a part of the prompt.
 
     Attributes:
         address: ``ip:port``.
         zone: Its zone.
-        tokens: Leading tokens that it keeps.
-        seconds_per_token: Time to bring one to an instance of the same zone.
+        tokens: Leading tokens that it holds.
+        seconds_per_token: Time to move one token to an instance of the same zone.
         instance_id: The instance; empty for a cache store.
     """
 
@@ -98,13 +98,13 @@
 
 
 class SegmentSources:
-    """All sources of one request, by weights version, those that keep most first."""
+    """All sources of one request, by weights version, those with most tokens first."""
 
     def __init__(self, sources: Sequence[InstanceView], request: EngineRequest, now: float) -> None:
-        """Look up what each source has read.
+        """Look up what each source holds.
 
         Args:
-            sources: Instances from which segments may be brought.
+            sources: Instances from which segments may be moved.
             request: The request.
             now: Steady clock, seconds.
         """
@@ -118,11 +118,11 @@
             self._by_version.setdefault(version, []).extend(found)
 
     def best_move(self, view: InstanceView, cached: int) -> Move:
-        """Return the way that brings the most tokens, the fastest among equals.
+        """Return the move with most tokens, the fastest among equals.
 
         Args:
-            view: The instance to which they are brought.
-            cached: Tokens that it keeps itself.
+            view: The instance to which they are moved.
+            cached: Tokens in its own cache.
         """
         best = Move()
         for source in self._of_version(view):
@@ -137,7 +137,7 @@
         return best
 
     def _of_version(self, view: InstanceView) -> list[_Source]:
-        """Return the sources for an instance's weights, those that keep most first."""
+        """Return the sources for an instance's weights, those with most tokens first."""
         version = view.serving_version(self._request.model)
         found = self._by_version.setdefault(version, [])
         if version not in self._stored:
@@ -149,7 +149,7 @@
     def _add_engine(
         self, view: InstanceView, best: dict[tuple[int, str], list[_Source]], now: float
     ) -> None:
-        """Take an engine if it is among the two best of its version and zone."""
+        """Add an engine if it is among the two best of its version and zone."""
         request = self._request
         movable = view.segments.movable_tokens(request.keys_of(view), now)
         tokens = min(movable, request.prompt_tokens)
@@ -165,7 +165,7 @@
         del found[2:]
 
     def _cache_stores(self, view: InstanceView) -> Iterable[_Source]:
-        """Yield the cache stores that keep something for an instance's weights."""
+        """Yield the cache stores with enough tokens for an instance's weights."""
         for store in self._request.stores:
             tokens = min(store.tokens_for(view), self._request.prompt_tokens)
             if tokens >= MIN_MOVED_TOKENS:
--- a/hopstep/domain/exchanges/segments.py
+++ b/hopstep/domain/exchanges/segments.py
@@ -1,7 +1,7 @@
-"""Which prompt segments an instance probably keeps: hints, never truth.
+"""Index of the prompt segments that an instance probably has cached; it is only an estimate.
 
-A segment counts as kept only behind all segments before it. Model and salt go into its key, so
-segments of another isolation group or weights version never match.
+A segment counts as cached only if all segments before it are. Model and salt are part of its key,
+so segments of another isolation group or weights version never match.
 """
 
 from __future__ import annotations
@@ -46,17 +46,17 @@
 
 
 class SegmentIndex:
-    """Segments of one instance by least recent use, bounded by its memory.
+    """Segments of one instance in order of use, least recent first, bounded by its memory.
 
-    It has what was sent to the instance, also while that is still being read, less what the
-    instance's cache events took away.
+    It holds the segments that were sent to the instance, including those still being prefilled,
+    without those that the instance's cache events report as dropped.
     """
 
     def __init__(self, capacity_tokens: int) -> None:
         """Start empty.
 
         Args:
-            capacity_tokens: Tokens that the instance may keep.
+            capacity_tokens: Tokens that the instance can cache.
         """
         self._capacity = capacity_tokens
         self._kept: OrderedDict[int, int] = OrderedDict()
@@ -68,11 +68,11 @@
         return len(self._kept)
 
     def __contains__(self, digest: int) -> bool:
-        """Return whether a segment is kept or being read."""
+        """Return whether a segment is cached or being prefilled."""
         return digest in self._kept
 
     def cached_tokens(self, keys: Iterable[SegmentKey]) -> int:
-        """Return the tokens of the leading segments that a new prompt would find."""
+        """Return the tokens of the leading segments that a new prompt would find cached."""
         tokens = 0
         for key in keys:
             if key.digest not in self._kept:
@@ -81,7 +81,7 @@
         return tokens
 
     def movable_tokens(self, keys: Iterable[SegmentKey], now: float) -> int:
-        """Return the tokens of the leading segments that are read by now.
+        """Return the tokens of the leading segments that are prefilled by now.
 
         Args:
             keys: The prompt.
@@ -95,11 +95,11 @@
         return tokens
 
     def read_between(self, start: float, end: float) -> list[int]:
-        """Return the segments that were expected to be read in a span of the steady clock."""
+        """Return the segments whose expected prefill end is in a span of the steady clock."""
         return [digest for digest, at in self._read_at.items() if start <= at < end]
 
     def read_at(self, digest: int) -> float:
-        """Return when a kept segment is, or was, expected to be read; steady clock, seconds."""
+        """Return the expected prefill end of a segment in the index; steady clock, seconds."""
         return self._read_at[digest]
 
     def record(self, keys: Iterable[SegmentKey], read_at: float = 0.0) -> None:
@@ -107,7 +107,7 @@
 
         Args:
             keys: The prompt.
-            read_at: When those that it didn't keep are read, by the steady clock.
+            read_at: When the segments that it hadn't cached are prefilled; steady clock, seconds.
         """
         for key in keys:
             known = self._kept.pop(key.digest, None)
@@ -119,7 +119,7 @@
             self._forget(next(iter(self._kept)))
 
     def mark_read(self, keys: Iterable[SegmentKey], now: float) -> None:
-        """Note that these segments are read.
+        """Note that these segments are prefilled.
 
         Args:
             keys: The prompt.
@@ -130,18 +130,18 @@
                 self._read_at[key.digest] = now
 
     def drop(self, digests: Iterable[int]) -> None:
-        """Note that the instance doesn't keep these segments."""
+        """Remove segments that the instance has dropped from its cache."""
         for digest in digests:
             if digest in self._kept:
                 self._forget(digest)
 
     def clear(self) -> None:
-        """Forget everything: the instance was emptied."""
+        """Remove all segments: the instance's cache was emptied."""
         self._kept.clear()
         self._read_at.clear()
         self._tokens = 0
 
     def _forget(self, digest: int) -> None:
-        """Forget one segment."""
+        """Remove one segment."""
         self._tokens -= self._kept.pop(digest)
         del self._read_at[digest]
--- a/hopstep/domain/exchanges/selection.py
+++ b/hopstep/domain/exchanges/selection.py
@@ -12,47 +12,49 @@
 from hopstep.domain.exchanges.segments import SegmentKey
 
 READ_SECONDS_PER_TOKEN = 1.0 / 40_000
-"""First guess of the time to read one prompt token; each instance's slowness corrects it."""
+"""Assumed time to prefill one prompt token; each instance's slowness scales it."""
 
 ACTIVE_SECONDS = 0.002
-"""Delay by each request that decodes beside a new one."""
+"""Delay of a new request by each request that is decoding."""
 
 SHARED_WEIGHT = 1.5
-"""Weight of reading again a segment that may be kept elsewhere, against waiting."""
+"""Weight of prefilling a segment again that may be cached elsewhere, relative to waiting."""
 
 INTERFERENCE = 0.1
-"""Part of the time to read a prompt that each request which decodes beside it counts as lost."""
+"""Part of a prompt's prefill time that is added as cost for each request that is decoding."""
 
 FAILURE_SECONDS = 1.0
-"""What a certain failure would cost."""
+"""Cost of a failure rate of 1."""
 
 AVOIDED_SECONDS = 0.25
-"""What each other node that avoids an instance counts for, up to ``MAX_AVOIDED`` of them."""
+"""Cost of each other node that avoids an instance, for up to ``MAX_AVOIDED`` of them."""
 
 MAX_AVOIDED = 4
 
 OLDER_WEIGHTS_SECONDS = 0.25
-"""What older weights than the preferred ones count for."""
+"""Cost of weights older than the preferred ones."""
 
 HOME_SECONDS = 0.010
-"""Advantage of a first segment's home instance, so that equal prompts meet when all is equal."""
+"""Largest cost by distance from the home instance of the last shared segment, so that prompts with
+equal shared segments go to the same instance when other costs are equal."""
 
 JITTER_SECONDS = 0.001
+"""Largest random cost, which breaks ties."""
 
 MASK = (1 << 64) - 1
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """An instance with what it would mean for a request.
+    """An instance with its expected cost for a request.
 
     Attributes:
         view: The instance.
         keys: The prompt's segments under the salt for this instance; empty without a prompt.
         cost_seconds: Expected time to the first byte, with penalties.
-        uncached_tokens: Prompt tokens that it would read.
-        source: ``ip:port`` from which it would bring segments; empty for none.
-        kept_tokens: Prompt tokens that it keeps itself.
-        read_seconds: Expected time until it has read the prompt.
+        uncached_tokens: Prompt tokens that it would prefill.
+        source: ``ip:port`` from which segments would be moved to it; empty for none.
+        kept_tokens: Prompt tokens in its own cache.
+        read_seconds: Expected time until it has prefilled the prompt.
     """
 
     view: InstanceView
@@ -75,7 +77,7 @@
 
     Args:
         views: Instances that may serve the request.
-        sources: Instances from which segments may be brought.
+        sources: Instances from which segments may be moved.
         request: The request.
         now: Steady clock.
         generator: Breaks ties.
@@ -99,7 +101,7 @@
         now: Steady clock.
         generator: Breaks ties.
         zone: Zone of this node.
-        other_zone_seconds: Delay that a request to another zone counts for.
+        other_zone_seconds: Cost of sending a request to another zone, as a delay.
     """
 
     def cost(view: InstanceView) -> float:
@@ -141,7 +143,7 @@
 
 
 def _distance(view: InstanceView, keys: tuple[SegmentKey, ...]) -> float:
-    """Return 0 to 1, lowest at the home of the prompt's last shared segment."""
+    """Return 0 to 1, lowest at the home instance of the prompt's last shared segment."""
     if len(keys) < 2:
         return 0.0
     hashed = view.hashed
@@ -157,6 +159,6 @@
 
 
 def _failure_cost(view: InstanceView, now: float) -> float:
-    """Return what this node's and other nodes' failures at an instance count for."""
+    """Return the cost of this node's and other nodes' failures at an instance."""
     avoided = min(MAX_AVOIDED, view.avoided_by(now))
     return view.failure_rate * FAILURE_SECONDS + avoided * AVOIDED_SECONDS
--- a/hopstep/domain/exchanges/sent_log.py
+++ b/hopstep/domain/exchanges/sent_log.py
@@ -1,4 +1,4 @@
-"""Prompts that were sent lately, numbered, so that each reader gets each of them about once."""
+"""Numbered log of recently sent prompts, from which each reader gets each prompt about once."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import msgspec
 
 MAX_KEPT = 2_048
+"""Items in the log."""
 
 Item = TypeVar("Item")
 
@@ -25,7 +26,7 @@
         """Start empty.
 
         Args:
-            identity: Tells this log from others; numbers of other logs mean nothing here.
+            identity: Identifies this log; positions in other logs are meaningless here.
         """
         self.identity = identity
         self._items: deque[_Numbered[Item]] = deque(maxlen=MAX_KEPT)
@@ -35,7 +36,7 @@
         """Add an item.
 
         Args:
-            origin: The node that told it, which isn't told again.
+            origin: The node that reported it; it isn't sent back there.
             item: The item.
         """
         self._last += 1
@@ -44,12 +45,12 @@
     def after(
         self, identity: str, position: int, reader: str, limit: int
     ) -> tuple[tuple[Item, ...], int]:
-        """Return the newest items behind a position, oldest first, and the last position.
+        """Return the newest items after a position, oldest first, and the last position.
 
         Args:
-            identity: Log that the position belongs to; of another log nothing is returned.
-            position: Items up to it are known.
-            reader: Whose own items are left out.
+            identity: Log that the position belongs to; for another log nothing is returned.
+            position: The reader has all items up to it.
+            reader: The reading node; its own items are left out.
             limit: Most items.
         """
         if identity != self.identity:
--- a/hopstep/domain/exchanges/serving.py
+++ b/hopstep/domain/exchanges/serving.py
@@ -1,4 +1,4 @@
-"""What operators publish about routed exchanges: routes, services, tenants and limits."""
+"""The operators' configuration of routed exchanges: routes, services, tenants and limits."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of one host and path prefix go, and what is promised for them.
+    """Where requests of one host and path prefix go, and how they are handled.
 
     Attributes:
         name: Unique name.
         host: Value of the ``Host`` header, lower case, without a port.
-        path_prefix: Begins the path; begins and ends with a slash.
+        path_prefix: Start of the path; begins and ends with a slash.
         kind: How often a request may run.
         timeout_seconds: Longest time from request to final answer.
-        objective_seconds: Time to the answer, or to a stream's first event, that is aimed at.
+        objective_seconds: Target time to the answer, or to a stream's first event.
         priority: Rank; 0 is the most urgent.
-        shares: Services; several split the traffic by weight.
-        max_attempts: Most instances that one request may be sent to.
+        shares: Services that split the traffic by weight.
+        max_attempts: Highest number of instances that one request may be sent to.
         public: Whether no key is needed.
-        resumable: Whether a stream may go on at another instance after its last event.
+        resumable: Whether a stream may be resumed at another instance after its last event.
     """
 
     name: str
@@ -67,7 +67,7 @@
         return self.kind is RequestKind.REPEATABLE
 
     def choose_service(self, generator: random.Random) -> str:
-        """Return a service by the shares' weights; empty when the route has none."""
+        """Return a random service by the shares' weights; empty when the route has none."""
         if len(self.shares) == 1:
             return self.shares[0].service
         weights = [max(0.0, share.weight) for share in self.shares]
@@ -77,11 +77,11 @@
 
 
 class EngineTraits(msgspec.Struct, frozen=True):
-    """What a service of language-model engines is told about its instances.
+    """Configured properties of a service's language-model engines.
 
     Attributes:
-        slots: Requests that run together in one instance.
-        cache_tokens: Tokens that fit into an instance's memory.
+        slots: Requests that run concurrently in one instance.
+        cache_tokens: Tokens that fit into an instance's cache.
         token_bytes: Bytes of one cached token.
         link_megabits: Megabits a second of an instance's link for cached tokens.
         models: Names of the models.
@@ -94,10 +94,10 @@
     models: tuple[str, ...] = ()
 
     def move_seconds_per_token(self, link_megabits: float) -> float:
-        """Return the time to move one cached token from a link to an instance's own.
+        """Return the time to move one cached token from another link to an instance's link.
 
         Args:
-            link_megabits: Megabits a second of the other link; infinite time without a link.
+            link_megabits: Megabits a second of the other link; 0 gives infinite time.
         """
         slower = min(self.link_megabits, link_megabits)
         return self.token_bytes * 8 / (slower * 1e6) if slower > 0 else float("inf")
@@ -124,8 +124,8 @@
 
     Attributes:
         name: Unique name.
-        connection_limit: Connections that one instance takes from all callers together.
-        engine: Traits of language-model engines; None for other services.
+        connection_limit: Connections that one instance accepts from all callers together.
+        engine: Properties of language-model engines; None for other services.
         cache_store: Set for a cache store, which has no instances.
     """
 
@@ -141,9 +141,9 @@
     Attributes:
         name: Unique name.
         keys: API keys.
-        priority: Rank that goes before the route's; None for none.
-        isolated: Whether no cached segment may be shared with other tenants.
-        quota: What it may use over all nodes; None for no limit.
+        priority: Priority that precedes the route's; None for none.
+        isolated: Whether cached segments must not be shared with other tenants.
+        quota: Quota over all nodes; None for no limit.
     """
 
     name: str
@@ -154,10 +154,10 @@
 
 
 class RequestLimits(msgspec.Struct, frozen=True):
-    """Bounds of what clients may send.
+    """Bounds on client requests.
 
     Attributes:
-        max_body_bytes: Longest body.
+        max_body_bytes: Longest request body.
     """
 
     max_body_bytes: int = 4 * 1024 * 1024
@@ -170,7 +170,7 @@
         version: Rises with every change.
         routes: Routes.
         services: Services.
-        tenants: Tenants; empty when no keys are asked for.
+        tenants: Tenants; empty when no keys are required.
         limits: Bounds of requests.
     """
 
--- a/hopstep/domain/exchanges/store_contact.py
+++ b/hopstep/domain/exchanges/store_contact.py
@@ -1,4 +1,4 @@
-"""When the store last answered a node, or those that told it what they know, and when it was away.
+"""When the store last answered a node or the nodes that report to it, and when it was unavailable.
 
 All times are of the node's steady clock, in seconds.
 """
@@ -6,36 +6,36 @@
 from __future__ import annotations
 
 AWAY_SECONDS = 2.0
-"""A store that was silent for longer was away: entries of instances that live may have lapsed.
+"""A store without answers for longer was unavailable: entries of live instances may have expired.
 
-Less than three of the instances' heartbeats of 1.2 s, after which an entry lapses.
+Less than three of the instances' heartbeats of 1.2 s, after which an entry expires with its lease.
 """
 
 RELISTING_SECONDS = 2.0
-"""What operators and instances had in the store, and it has lost, is back so long after its return:
-entries that lapsed while it was away, and what a copy lacks."""
+"""Time after the store's return until operators and instances have written lost entries again: those
+that expired while it was unavailable, and those that a backup lacks."""
 
 PROPAGATION_SECONDS = 0.6
-"""Until all nodes have heard of what is written: from the store, and from whoever reads it."""
+"""Time until all nodes know of a write, from the store or from a node that reads it."""
 
 ENTRY_LAPSE_SECONDS = 4.0
-"""The entry of an instance that has ended lapses after three heartbeats of 1.2 s."""
+"""Time after which the entry of a terminated instance has expired: three heartbeats of 1.2 s."""
 
 NEVER = -float("inf")
 
 
 class StoreContact:
-    """What a node knows of the store's answers.
+    """What a node knows about the store's answers.
 
     Attributes:
         read_at: When the store last answered this node.
-        told_at: When it last answered a node that has told this one all it knows.
-        away_until: How long its last absence has lasted at least, as this node's own calls show.
-        relisting_until: Until when entries that lapsed in its last absence may come back.
+        reported_at: When it last answered a node that has reported its whole state to this one.
+        away_until: Until when at least its last outage has lasted, by this node's own calls.
+        relisting_until: Until when entries that expired in its last outage may come back.
     """
 
     def __init__(self, started_at: float) -> None:
-        """Know of no answer.
+        """Start without any answer.
 
         Args:
             started_at: Start of the node.
@@ -49,11 +49,11 @@
 
     @property
     def last_answer_at(self) -> float:
-        """When the store last answered this node or whoever told it."""
+        """When the store last answered this node or a node that reported to it."""
         return max(self.read_at, self.reported_at)
 
     def note_unanswered(self, sent_at: float) -> None:
-        """Note a call that failed, or whose answer is overdue.
+        """Note a call that failed or whose answer is overdue.
 
         Args:
             sent_at: When it was sent.
@@ -61,12 +61,12 @@
         self._unanswered_at = max(self._unanswered_at, sent_at)
 
     def note_return(self, answered_at: float) -> None:
-        """Note whether an answer ends an absence; call this before the answer is noted itself.
+        """Note whether an answer ends an outage; call this before the answer itself is noted.
 
-        A node that stood still heard nothing either; but then no call of its own has failed.
+        A node that was paused got no answers either; but then none of its own calls has failed.
 
         Args:
-            answered_at: When the store answered, here or elsewhere.
+            answered_at: When the store answered this or another node.
         """
         away_since = max(self.last_answer_at, self._started_at)
         if answered_at - away_since <= AWAY_SECONDS:
@@ -76,7 +76,7 @@
             self.away_until = self._unanswered_at
 
     def note_restore(self, now: float) -> None:
-        """Note that the store has come back from a copy, which may lack entries."""
+        """Note that the store was restored from a backup, which may lack entries."""
         until = now + RELISTING_SECONDS + PROPAGATION_SECONDS
         self.relisting_until = max(self.relisting_until, until)
 
@@ -85,10 +85,10 @@
         self.read_at = max(self.read_at, answered_at)
 
     def note_reported(self, answered_at: float) -> None:
-        """Note an answer to a node that has told this one all it knows."""
+        """Note an answer to a node that has reported its whole state to this one."""
         self.reported_at = max(self.reported_at, answered_at)
 
     def relisting_seconds(self, now: float) -> float | None:
-        """Return for how long entries that lapsed may still come back; None when it is over."""
+        """Return for how long expired entries may still come back; None when that time is over."""
         left = self.relisting_until - now
         return left if left > 0 else None
--- a/hopstep/domain/exchanges/store_contents.py
+++ b/hopstep/domain/exchanges/store_contents.py
@@ -1,7 +1,7 @@
-"""What a cache store keeps, as its events tell: late, and with a few missing.
+"""Contents of a cache store by its events, which are delayed and incomplete.
 
-One node reads the events and numbers the changes; others follow by number. Contents have an
-identity: under another one everything is learned anew.
+One node reads the events and numbers the changes; others follow by number. The contents have an
+identity: when it changes, followers start again from empty contents.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from hopstep.domain.exchanges.segments import SegmentKey, segment_digest
 
 PUSH_SECONDS = 2.0
-"""A segment that an instance was asked to save isn't saved by another one for so long."""
+"""Time after asking an instance to save a segment in which no other one is asked to."""
 
 MAX_KEPT = 65_536
-"""Most segments, those that were dropped included."""
+"""Segments that are recorded, including dropped ones."""
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """One change of what a cache store or an engine keeps.
+    """One change of the contents of a cache store or of an engine's cache.
 
     Attributes:
-        salt: Text under which the segment is kept.
-        segment_id: The segment.
-        tokens: Tokens kept now; 0 when it was dropped.
-        model: Its model.
+        salt: Salt of the segment's key.
+        segment_id: Id of the segment.
+        tokens: Tokens cached now; 0 when it was dropped.
+        model: Model of the segment.
     """
 
     salt: str
@@ -37,16 +37,16 @@
 
     @property
     def digest(self) -> int:
-        """Key of the segment."""
+        """64-bit hash of model, salt and segment."""
         return segment_digest(self.model, self.salt, self.segment_id)
 
 
 class StoredSegment(msgspec.Struct, frozen=True, array_like=True):
-    """A segment as it is kept now.
+    """Latest state of a segment.
 
     Attributes:
         digest: 64-bit hash of model, salt and segment.
-        tokens: Tokens kept; 0 when it was dropped.
+        tokens: Tokens stored; 0 when it was dropped.
     """
 
     digest: int
@@ -54,12 +54,12 @@
 
 
 class ContentsPosition(msgspec.Struct, frozen=True, array_like=True):
-    """How far a node knows the contents of a store.
+    """Position up to which a node knows the contents of a store.
 
     Attributes:
         address: ``ip:port`` of the store.
         identity: Identity of the contents.
-        number: Changes up to it are known.
+        number: Number of the last known change.
     """
 
     address: str
@@ -68,11 +68,12 @@
 
 
 class ContentsUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """Changes of a store's contents behind a position.
+    """Changes of a store's contents after a position.
 
     Attributes:
-        after: The position; under another identity than ``now`` nothing of it holds.
-        now: The position behind the changes.
+        after: The position; if its identity differs from that of ``now``, earlier contents are
+            void.
+        now: The position after the changes.
         reachable: Whether the store answers.
         changes: Oldest first.
     """
@@ -87,7 +88,7 @@
     """Segments of one cache store."""
 
     def __init__(self, address: str = "") -> None:
-        """Start empty and out of reach.
+        """Start empty and unreachable.
 
         Args:
             address: ``ip:port`` of the store.
@@ -100,16 +101,16 @@
         self._pushed: dict[int, float] = {}
 
     def __len__(self) -> int:
-        """Return the number of segments that are kept."""
+        """Return the number of stored segments."""
         return sum(1 for tokens, _ in self._kept.values() if tokens > 0)
 
     @property
     def position(self) -> ContentsPosition:
-        """How far the contents are known."""
+        """Position up to which the contents are known."""
         return ContentsPosition(self._address, self._identity, self._number)
 
     def clear(self, identity: str = "") -> None:
-        """Forget everything: the store was emptied, or events were lost.
+        """Remove everything: the store was emptied, or events were lost.
 
         Args:
             identity: Identity of the contents from now on.
@@ -120,17 +121,17 @@
         self._number = 0
 
     def apply(self, events: Iterable[CacheEvent]) -> None:
-        """Take events, oldest first."""
+        """Apply events, oldest first."""
         for event in events:
             self._number += 1
             self._put(StoredSegment(event.digest, max(0, event.tokens)))
 
     def updates_after(self, position: ContentsPosition, limit: int) -> ContentsUpdate:
-        """Return the changes behind a position, the oldest up to a limit.
+        """Return the changes after a position, the oldest up to a limit.
 
         Args:
-            position: Where the asking node stands.
-            limit: Most changes.
+            position: Position of the asking node.
+            limit: Highest number of changes.
         """
         known = position.number if position.identity == self._identity else 0
         newer: list[tuple[int, StoredSegment]] = []
@@ -144,19 +145,19 @@
         changes = tuple(segment for _, segment in part)
         return ContentsUpdate(position, now, self.reachable, changes)
 
-    def take(self, news: ContentsUpdate) -> None:
-        """Take changes that another node tells, unless they don't follow what is known."""
-        self.reachable = news.reachable
-        if news.after != self.position:
+    def take(self, update: ContentsUpdate) -> None:
+        """Apply an update of another node, unless it doesn't continue at the known position."""
+        self.reachable = update.reachable
+        if update.after != self.position:
             return
-        if news.now.identity != self._identity:
-            self.clear(news.now.identity)
-        self._number = news.now.number
-        for segment in news.changes:
+        if update.now.identity != self._identity:
+            self.clear(update.now.identity)
+        self._number = update.now.number
+        for segment in update.changes:
             self._put(segment)
 
     def cached_tokens(self, keys: Iterable[SegmentKey]) -> int:
-        """Return the tokens of the leading segments that are kept whole."""
+        """Return the tokens of the leading segments that are stored."""
         if not self.reachable:
             return 0
         tokens = 0
@@ -167,7 +168,7 @@
         return tokens
 
     def claim_push(self, keys: Iterable[SegmentKey], now: float) -> bool:
-        """Return whether an instance should save these segments, and note that it will.
+        """Return whether an instance should save these segments, and record that it was asked to.
 
         Args:
             keys: Shared segments of a prompt.
@@ -186,11 +187,11 @@
         return bool(missing)
 
     def _keeps(self, digest: int) -> bool:
-        """Return whether a segment is kept."""
+        """Return whether a segment is stored."""
         return self._kept.get(digest, (0, 0))[0] > 0
 
     def _put(self, segment: StoredSegment) -> None:
-        """Take a segment's newest state under the number reached."""
+        """Record a segment's latest state under the current number."""
         self._kept[segment.digest] = (segment.tokens, self._number)
         self._kept.move_to_end(segment.digest)
         if len(self._kept) > MAX_KEPT:
@@ -200,7 +201,7 @@
 def _oldest(
     changes: list[tuple[int, StoredSegment]], limit: int
 ) -> list[tuple[int, StoredSegment]]:
-    """Return the first changes up to a limit, and all that share the last one's number."""
+    """Return the first changes up to a limit, and all others with the last one's number."""
     part = changes[:limit]
     for number, segment in changes[limit:]:
         if number != part[-1][0]:
--- a/hopstep/domain/exchanges/watch_plan.py
+++ b/hopstep/domain/exchanges/watch_plan.py
@@ -1,7 +1,8 @@
-"""Which node follows the cache events of which engine.
+"""Assignment of nodes to engines whose cache events they read.
 
-Each node ranks the registered nodes alike, so nobody needs to agree. While two nodes' views differ
-an engine is followed by two nodes or by none, for a moment; pictures bear both.
+Each node ranks the registered nodes in the same order, so no agreement is needed. While the views
+of nodes differ, an engine may briefly be followed by two nodes or by none; the segment indexes
+tolerate both.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 
 
 class WatchPlan:
-    """The following node of each engine, one of the engine's zone where there are any."""
+    """The node that follows each engine, in the engine's zone if that has nodes."""
 
     def __init__(self) -> None:
-        """Know no nodes."""
+        """Start without nodes."""
         self._nodes: dict[str, NodeRecord] = {}
         self._zones: dict[str, Rendezvous] = {}
         self._all = Rendezvous({})
 
     def set_nodes(self, nodes: Mapping[str, NodeRecord]) -> None:
-        """Take the registered nodes; larger ones follow more engines."""
+        """Set the registered nodes; larger ones follow more engines."""
         if nodes == self._nodes:
             return
         self._nodes = dict(nodes)
--- a/hopstep/domain/exchanges/weights.py
+++ b/hopstep/domain/exchanges/weights.py
@@ -1,4 +1,4 @@
-"""Which weights versions are named, from when on they are required, and which engines to load."""
+"""Weights versions named by operators: when they become required, and which engines load them."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 from hopstep.domain.rendezvous import hash_name
 
 LOAD_SMOOTHING = 0.3
+"""Weight of the latest load time in the mean."""
+
 MIN_TOGETHER = 2
+"""Engines of a model that may always load at once."""
+
 FIRST_WAVE = 0.5
-"""Part of a model's engines that load a named version at once; the rest waits for the bound."""
+"""Part of a model's engines that load a named version immediately; the others may wait."""
 
 PREFERRED_FROM_SECONDS = 1.0
-"""So long after its naming engines with a version are preferred to those with older ones."""
+"""Time after naming from which engines with a version are preferred to those with older ones."""
 
 START_SECONDS = 2.5
-"""For so long a node that has just started sends requests to engines with older weights."""
-
+"""Time in which a node that has just started still sends requests to engines with older weights."""
 
 DIGEST_MASK = 2**32 - 1
 
@@ -31,10 +34,10 @@
     """Bounds of a rollout.
 
     Attributes:
-        propagation_seconds: From the naming until no request may start on an older version.
-        reserve_seconds: Time kept in reserve before that bound for requests that wait.
-        together: Part of a model's engines that load at once.
-        load_seconds: First guess of the time of one load.
+        propagation_seconds: Time from naming a version until no request may start on an older one.
+        reserve_seconds: Part of that time reserved for waiting requests.
+        together: Part of a model's engines that may load at once.
+        load_seconds: Initial estimate of the duration of one load.
     """
 
     propagation_seconds: float = 8.0
@@ -44,11 +47,11 @@
 
 
 class NamedVersion(msgspec.Struct, frozen=True):
-    """A version with the time from which its bound counts.
+    """A version with the start of its propagation time.
 
     Attributes:
         version: The version.
-        since: Steady clock, seconds: not later than the naming as far as is known.
+        since: Steady clock, seconds: a time no later than the naming, as far as known.
     """
 
     version: int
@@ -69,11 +72,11 @@
         self._named: dict[str, list[NamedVersion]] = {}
 
     def put(self, weights: NamedWeights, since: float) -> bool:
-        """Take a named version; return whether it is the newest of its model.
+        """Add a named version; return whether it is the newest of its model.
 
         Args:
             weights: The version.
-            since: Time from which its bound counts.
+            since: Start of its propagation time.
         """
         versions = self._named.setdefault(weights.model, [])
         if versions and weights.version <= versions[-1].version:
@@ -82,20 +85,20 @@
         return True
 
     def record_load(self, seconds: float) -> None:
-        """Learn how long a load takes, from the order until it is known to be done."""
+        """Update the mean load time, from the order until the load is known to be done."""
         self.load_seconds += LOAD_SMOOTHING * (seconds - self.load_seconds)
 
     def oldest_since(self, now: float) -> float:
-        """Return from when a bound counts for a version of unknown age.
+        """Return the start of the propagation time for a version of unknown age.
 
-        A node that has just started isn't held to the bound at once, and has little time left.
+        A node that has just started gets ``START_SECONDS`` until the version is required.
         """
         bounds = self.bounds
         return now - (bounds.propagation_seconds - bounds.reserve_seconds - START_SECONDS)
 
     @property
     def digest(self) -> int:
-        """A number of 32 bits that is the same at nodes which know the same weights; 0 for none."""
+        """32-bit hash, equal at nodes that know the same weights; 0 without any."""
         if not self._named:
             return 0
         named = sorted((model, versions[-1].version) for model, versions in self._named.items())
@@ -111,7 +114,7 @@
         return versions[-1].version if versions else 0
 
     def newest_since(self, model: str) -> float:
-        """Return from when the bound of the newest version counts."""
+        """Return the start of the newest version's propagation time."""
         return self._named[model][-1].since
 
     def required(self, model: str, now: float) -> int:
@@ -125,7 +128,7 @@
         return required
 
     def preferred(self, model: str, now: float) -> int:
-        """Return the newest version that isn't just named; 0 when there is none."""
+        """Return the newest version named long enough ago to be preferred; 0 for none."""
         versions = [
             named.version
             for named in self._named.get(model, ())
@@ -134,10 +137,10 @@
         return max(versions, default=0)
 
     def first_wave(self, engines: int) -> int:
-        """Return how many of a model's engines load a named version at once.
+        """Return how many of a model's engines load a named version immediately.
 
-        The oldest go first, so that versions named in turn alternate between two halves: one serves
-        the version before while the other loads the newest.
+        Engines with the oldest version go first, so consecutive versions alternate between two
+        halves: one serves the previous version while the other loads the newest.
         """
         return math.ceil(engines * FIRST_WAVE)
 
@@ -148,13 +151,13 @@
     def due_at(self, model: str, behind: int, together: int, oldest: int) -> float:
         """Return when loading must begin so that all engines are done in time.
 
-        Waiting until then loads once for versions that follow each other closely.
+        Waiting until then needs only one load for versions named in quick succession.
 
         Args:
             model: The model.
-            behind: Engines that aren't at the newest version.
-            together: How many load at once.
-            oldest: Lowest version among them.
+            behind: Number of engines that don't have the newest version.
+            together: Number of engines that load at once.
+            oldest: Lowest version among those engines.
         """
         bounds = self.bounds
         batches = -(-behind // together)
@@ -167,7 +170,7 @@
 
 
 def _may_be_ordered(view: InstanceView, now: float) -> bool:
-    """Return whether an engine may get an order now, or as soon as there is a permit for it."""
+    """Return whether an engine may get an order now or once there is a permit for it."""
     barrier = view.admission(Purpose.ORDER, now).barrier
     return barrier is None or barrier is Barrier.LIMITED
 
@@ -175,7 +178,7 @@
 def engines_behind(
     views: Iterable[InstanceView], model: str, version: int, now: float
 ) -> list[InstanceView]:
-    """Return the engines with a lower version of a model, those with least work first."""
+    """Return the engines with an older version: lowest version first, then fewest requests."""
     behind = [
         view
         for view in views
