--- a/hopstep/domain/addresses.py
+++ b/hopstep/domain/addresses.py
@@ -1,4 +1,4 @@
-"""Socket addresses by number: ``ip:port``, or ``[ip]:port`` for version 6."""
+"""Numeric socket addresses: ``ip:port``, or ``[ip]:port`` for IPv6."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class SocketAddress(msgspec.Struct, frozen=True):
-    """An IP number and a port.
+    """An IP address and a port.
 
     Attributes:
-        host: IP number, without brackets.
+        host: IP address, without brackets.
         port: 0 to 65535; 0 lets the operating system choose when listening.
     """
 
@@ -23,19 +23,19 @@
     port: int
 
     def __str__(self) -> str:
-        """Return the address as operators write it."""
+        """Return the text form that operators write."""
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
 
 def parse_address(text: str, field: str = "") -> SocketAddress:
-    """Read an address; names are refused, since hopstep resolves none.
+    """Parse an address; host names are refused, since hopstep doesn't resolve names.
 
     Args:
         text: ``ip:port``.
-        field: Path of the field, for the error.
+        field: Path of the field, for the error text.
 
     Raises:
-        ValidationError: When ``text`` isn't an IP number and a port.
+        ValidationError: When ``text`` isn't an IP address and a port.
     """
     host, separator, port_text = text.rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
--- a/hopstep/domain/attempts.py
+++ b/hopstep/domain/attempts.py
@@ -1,10 +1,10 @@
-"""What is known of an attempt at an engine, and what to do next when it doesn't go on.
+"""State of an attempt at an engine, and the next action when it is interrupted.
 
 A request makes one or more attempts, each with its own nonce. ``decide_next`` takes a snapshot
 of the request and returns one action, without side effects:
 
-* a repeatable request resumes where the engine still has the stream, is retried elsewhere while
-  nothing was delivered, and is continued elsewhere after the tokens that were delivered;
+* a repeatable request resumes where the engine still has the stream; otherwise it is retried at
+  another engine if nothing was delivered, or continued there after the delivered tokens;
 * a request that must run at most once resumes at the same incarnation only, and is dispatched
   again only when it is proved that no earlier attempt ran.
 """
@@ -21,14 +21,14 @@
 """Dispatches of one request, the first one included."""
 
 MAX_FRUITLESS_RESUMES = 2
-"""Resumes in a row without a new token before a repeatable request goes elsewhere."""
+"""Consecutive resumes without a new token before a repeatable request goes to another engine."""
 
 MAX_FRUITLESS_RESUMES_ONCE = 6
-"""The same for a request that has nowhere else to go."""
+"""The same for a request that must run at most once, which no other engine may serve."""
 
 
 class AttemptState(enum.StrEnum):
-    """What is proved of an attempt."""
+    """Proved state of an attempt."""
 
     NOT_RUN = "not_run"
     RUNNING = "running"
@@ -49,7 +49,7 @@
     """Result of checking one frame.
 
     Attributes:
-        verdict: Accept, drop (duplicate or foreign) or interrupt (gap).
+        verdict: Accept, drop (duplicate or foreign) or interrupt the stream (gap).
         skip: Leading tokens of an accepted frame that were delivered before.
     """
 
@@ -58,12 +58,12 @@
 
 
 class FrameChecker:
-    """Lets through each token of one attempt exactly once and in order.
+    """Accepts each token of one attempt exactly once and in order.
 
     Args:
         nonce: Nonce of the attempt.
-        next_sequence: Index of the first token that is still to be delivered.
-        incarnation: Incarnation that must make the frames; empty to learn it from the first.
+        next_sequence: Index of the next token to deliver.
+        incarnation: Incarnation that must send the frames; empty to take that of the first one.
     """
 
     def __init__(self, nonce: str, next_sequence: int, incarnation: str = "") -> None:
@@ -74,14 +74,14 @@
     def check(
         self, nonce: str, incarnation: str, sequence: int, token_count: int, last: bool
     ) -> FrameCheck:
-        """Return what to do with a frame, and advance past it if it is accepted.
+        """Return the verdict on a frame, and advance past it if it is accepted.
 
         Args:
             nonce: Nonce that the frame carries.
             incarnation: Incarnation that the frame carries.
             sequence: Index of its first token in the answer.
             token_count: Number of its tokens.
-            last: Whether it ends the stream.
+            last: Whether the frame ends the stream.
         """
         if nonce != self.nonce:
             return FrameCheck(FrameVerdict.FOREIGN)
@@ -99,28 +99,28 @@
 
 
 class RequestSnapshot(msgspec.Struct, frozen=True):
-    """All that a decision about a request depends on.
+    """Input to a decision about a request.
 
     Attributes:
         now: Time in seconds.
-        deadline: Time after which the answer is of no use.
+        deadline: Time after which the answer is useless.
         repeatable: Whether the request may run more than once.
-        state: What is proved of the latest attempt.
-        cause: Why the latest attempt didn't go on.
-        delivered_tokens: Tokens of the answer that the caller has.
+        state: Proved state of the latest attempt.
+        cause: Why the latest attempt was interrupted.
+        delivered_tokens: Tokens of the answer that were delivered to the caller.
         earlier_ran: Whether an attempt before the latest one may have run.
         resumable: Whether the engine may still have the stream: its incarnation is known and
-            it hasn't said otherwise.
-        engine_answers: Whether the engine answered when it was last spoken to.
+            it hasn't reported that the stream is gone.
+        engine_answers: Whether the engine answered the last call to it.
         still_placed: Whether the engine may still hold the tenant's data.
-        fruitless_resumes: Resumes in a row that brought no new token.
-        settled: Whether a cancel has already been tried to prove what happened.
+        fruitless_resumes: Consecutive resumes without a new token.
+        settled: Whether a cancel was already sent to prove what happened.
         attempts: Dispatches so far.
-        progressed: Whether the latest attempt delivered tokens of its own: then going on
-            elsewhere needs no budget, as the engine that was lost did answer.
-        retry_allowed: Whether the retry budget has room.
-        hedge_after: Wait for a first token before a second attempt; 0 for never.
-        waited: Time since the running attempt was dispatched.
+        progressed: Whether the latest attempt delivered tokens of its own: continuing at another
+            engine then needs no retry budget, as the lost engine did answer.
+        retry_allowed: Whether the retry budget allows a retry.
+        hedge_after: Seconds to wait for a first token before a second attempt; 0 for never.
+        waited: Seconds since the running attempt was dispatched.
     """
 
     now: float
@@ -156,12 +156,12 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """An action; a failure says why and what is proved of execution.
+    """An action; for a failure also its cause and what is proved about execution.
 
     Attributes:
         action: What to do.
         code: Code of a failure.
-        execution: What is proved of the request's execution, for a failure.
+        execution: What is proved about the request's execution, for a failure.
     """
 
     action: Action
@@ -192,7 +192,7 @@
 
 
 def proved_execution(snapshot: RequestSnapshot) -> Execution:
-    """Return what is proved of a request over all its attempts."""
+    """Return what is proved about the execution of a request over all its attempts."""
     ran = snapshot.earlier_ran or snapshot.delivered_tokens > 0
     if ran or snapshot.state is not AttemptState.NOT_RUN:
         return Execution.UNKNOWN
@@ -236,7 +236,7 @@
 
 
 def _elsewhere(snapshot: RequestSnapshot) -> Decision:
-    """Decide between another dispatch and giving up; running twice does no harm here."""
+    """Decide between another dispatch and failing, for requests that may run again."""
     allowed = snapshot.retry_allowed or snapshot.progressed
     if snapshot.attempts >= MAX_ATTEMPTS or not allowed:
         return _fail(snapshot, _exhausted_code(snapshot))
@@ -244,7 +244,7 @@
 
 
 def _exhausted_code(snapshot: RequestSnapshot) -> ErrorCode:
-    """Return the code for a request that gets no further attempt."""
+    """Return the error code for a request without a further attempt."""
     if snapshot.delivered_tokens:
         return ErrorCode.STREAM_INTERRUPTED
     if snapshot.cause is ErrorCode.OVERLOADED:
@@ -253,5 +253,5 @@
 
 
 def _fail(snapshot: RequestSnapshot, code: ErrorCode) -> Decision:
-    """Return a failure that says what is proved."""
+    """Return a failure with what is proved about execution."""
     return Decision(Action.FAIL, code, proved_execution(snapshot))
--- a/hopstep/domain/blocks.py
+++ b/hopstep/domain/blocks.py
@@ -1,9 +1,9 @@
 """Chained, salted block keys of a prompt.
 
-A prompt is cut into tokens and the tokens into blocks of ``BLOCK_TOKENS``. The key of a block
+A prompt is split into tokens and the tokens into blocks of ``BLOCK_TOKENS``. The key of a block
 depends on the salt and on every token before it, so equal keys mean equal prefixes under the
-same salt. The salt holds the tenant and the weights version: entries of another tenant or of
-older weights can't match by construction.
+same salt. The salt contains the tenant and the weights version, so entries of another tenant or of
+other weights never match.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import hashlib
 
 BLOCK_TOKENS = 16
-"""Tokens in a block; only whole blocks are cached."""
+"""Tokens in a block; only complete blocks are cached."""
 
 TOKEN_BYTES = 4
 """UTF-8 bytes in a token of the fixed-width tokenizer that hopstep and its emulator share."""
@@ -28,7 +28,7 @@
         weights_version: Version of the weights that compute the blocks.
 
     Returns:
-        32 hex digits, which don't reveal the tenant to the engine.
+        32 hexadecimal digits, which don't reveal the tenant to the engine.
     """
     text = f"{len(tenant)}:{tenant}:{weights_version}"
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
@@ -40,14 +40,14 @@
 
 
 def block_keys(text: str, salt: str) -> list[int]:
-    """Return the keys of the whole blocks of ``text``, first block first.
+    """Return the keys of the complete blocks of ``text``, first block first.
 
     Args:
         text: Rendered prompt.
         salt: Result of ``cache_salt``.
 
     Returns:
-        64-bit unsigned integers, one a whole block.
+        64-bit unsigned integers, one for each complete block.
     """
     data = text.encode()
     block_bytes = BLOCK_TOKENS * TOKEN_BYTES
--- a/hopstep/domain/claims.py
+++ b/hopstep/domain/claims.py
@@ -1,9 +1,9 @@
 """At-most-once claims on idempotency keys: records and decisions, without I/O.
 
-A claim says which attempt of a key may be dispatched: one nonce, at one engine, in one
-incarnation. Claims never lapse while their attempt could still start. A later holder takes a
-claim over only after the engine has promised that the earlier nonce never starts, so a paused
-holder that wakes is refused by the engine whatever its clock says.
+A claim names the only attempt of a key that may be dispatched: one nonce, at one engine, in one
+incarnation. A claim never expires while its attempt could still start. Another router takes a
+claim over only after the engine has promised never to start the earlier nonce, so the engine
+refuses an earlier holder that resumes after a pause, whatever that holder's clock shows.
 """
 
 from __future__ import annotations
@@ -21,21 +21,20 @@
 HASH_BYTES = 20
 """Bytes of the hash of tenant and key."""
 
-
 TAKE_OVER_SECONDS = 600.0
-"""Age up to which a claim may be taken over; engines must remember nonces for longer than this
-and the skew of the routers' clocks."""
+"""Age up to which a claim may be taken over; engines must remember nonces for longer than this plus
+the clock skew between routers."""
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """Which attempt of an idempotency key may be dispatched.
+    """The attempt of an idempotency key that may be dispatched.
 
     Attributes:
-        nonce: The attempt.
+        nonce: Nonce of the attempt.
         engine_address: ``ip:port`` of the only engine that it may be sent to.
         engine_incarnation: The only incarnation in which it may start.
         router: Name of the router that made the claim.
-        created_at: Wall-clock time in seconds; bounds how long a key is remembered and for how
+        created_at: Wall-clock time in seconds; it bounds how long the key is remembered and how
             long the claim may be taken over.
     """
 
@@ -61,7 +60,7 @@
 
 
 class EarlierAttempt(enum.StrEnum):
-    """What is proved of the attempt that an existing claim names."""
+    """Proved state of the attempt that an existing claim names."""
 
     NEVER_STARTS = "never_starts"
     IN_PROGRESS = "in_progress"
@@ -71,7 +70,7 @@
 
 
 class ClaimStep(enum.StrEnum):
-    """What to do about a claim that was found in the store."""
+    """What to do about an existing claim in the store."""
 
     DISPATCH = "dispatch"
     TAKE_OVER = "take_over"
@@ -79,10 +78,10 @@
 
 
 def claim_key(tenant_name: str, idempotency_key: str) -> str:
-    """Return the store key of a claim; it reveals neither argument.
+    """Return the store key of a claim, which reveals neither argument.
 
     Args:
-        tenant_name: Whose key it is; equal keys of two tenants never meet.
+        tenant_name: Tenant of the caller; equal keys of two tenants don't collide.
         idempotency_key: Key as the caller sent it.
     """
     text = f"{len(tenant_name)}:{tenant_name}:{idempotency_key}"
@@ -90,17 +89,17 @@
 
 
 def next_step(found: Claim, own_nonce: str, earlier: EarlierAttempt, now: float) -> ClaimStep:
-    """Return what a router does that found a claim on its caller's key.
+    """Return what a router does when its caller's key has a claim already.
 
     Args:
         found: The claim in the store.
-        own_nonce: The attempt that this router wants to dispatch.
-        earlier: What is proved of the attempt that ``found`` names.
+        own_nonce: Nonce of the attempt that this router wants to dispatch.
+        earlier: Proved state of the attempt that ``found`` names.
         now: Wall-clock time in seconds.
     """
     if found.nonce == own_nonce:
         return ClaimStep.DISPATCH
-    # An older claim's attempt may have run so long ago that the engine has forgotten its nonce.
+    # The engine may no longer remember the nonce of an older claim's attempt, which may have run.
     is_recent = abs(now - found.created_at) <= TAKE_OVER_SECONDS
     if earlier is EarlierAttempt.NEVER_STARTS and is_recent:
         return ClaimStep.TAKE_OVER
@@ -110,15 +109,15 @@
 def may_forget(claim: Claim, earlier: EarlierAttempt, now: float, retention_seconds: float) -> bool:
     """Return whether a claim may be deleted.
 
-    A claim older than the retention goes once its nonce is proved not to start any more, which
-    a wrong clock can't make unsafe. Age alone is no proof: a claim on an engine that never
-    answers stays until something answers at that address again.
+    A claim older than the retention is deleted once its nonce is proved never to start, so a wrong
+    clock can't make the deletion unsafe. Age alone is no proof: a claim on an unresponsive engine
+    stays until something answers at that address again.
 
     Args:
         claim: The claim.
-        earlier: What is proved of its attempt.
+        earlier: Proved state of its attempt.
         now: Wall-clock time in seconds.
-        retention_seconds: How long keys are remembered at least.
+        retention_seconds: Shortest time for which keys are remembered.
     """
     if now - claim.created_at < retention_seconds:
         return False
--- a/hopstep/domain/engines.py
+++ b/hopstep/domain/engines.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves: facts, load and cache events, as decisions use them."""
+"""What engines report about themselves: facts, load and cache events, as decisions use them."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class EngineRole(enum.StrEnum):
-    """What an engine is used for."""
+    """Role of an engine."""
 
     SERVING = "serving"
     STANDBY = "standby"
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Load as the engine published it, which may lag.
+    """Load as published by the engine, possibly with a delay.
 
     Attributes:
         running: Requests in the batch.
         waiting: Requests in the engine's queue.
-        waiting_prefill_tokens: Prompt tokens still to be prefilled.
+        waiting_prefill_tokens: Prompt tokens that wait for their prefill.
         free_block_ratio: Share of cache blocks that are free or evictable.
-        age_seconds: How old the report was when it was sent.
+        age_seconds: Age of the report when it was sent.
     """
 
     running: int = 0
@@ -33,16 +33,16 @@
 
 
 class EngineFacts(msgspec.Struct, frozen=True):
-    """What an engine says of itself.
+    """What an engine reports about itself.
 
     Attributes:
-        incarnation: New on every start.
+        incarnation: Id of this run; new on every start.
         weights: Loaded weights version by model.
         role: Current role.
-        leaving: True when it must get no new work.
+        leaving: Whether it is shutting down and must get no new work.
         load: Latest published load.
         event_sequence: Number of the latest cache event.
-        fence: Highest fence of an order that it took.
+        fence: Highest fence of the orders that it accepted.
     """
 
     incarnation: str
@@ -55,7 +55,7 @@
 
 
 class CacheEventKind(enum.StrEnum):
-    """What happened to blocks."""
+    """Kind of a cache event."""
 
     STORED = "stored"
     EVICTED = "evicted"
@@ -65,7 +65,7 @@
     """Blocks that were stored or evicted.
 
     Attributes:
-        sequence: Number within the incarnation; a gap means lost events.
+        sequence: Number within the incarnation; a gap shows lost events.
         kind: Stored or evicted.
         block_keys: Chained, salted keys (``hopstep.domain.blocks``).
     """
--- a/hopstep/domain/entry_table.py
+++ b/hopstep/domain/entry_table.py
@@ -1,7 +1,7 @@
-"""Replicated table of small typed entries, last writer wins by (owner incarnation, version).
+"""Replicated table of small typed entries; the highest (owner incarnation, version) wins.
 
-Each entry belongs to the member that published it, so two writers never race for one entry,
-and the entries of a member that died or started anew vanish with its incarnation.
+Each entry belongs to the member that published it, so two writers never compete for one entry, and
+the entries of a member that died or restarted are dropped with its incarnation.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     EntryKind.HOT_PREFIX: 4_096,
     EntryKind.CRASHES: 4_096,
 }
-"""Entries held of each kind; further ones are dropped, as all kinds are hints."""
+"""Entries that are held of each kind; further ones are dropped, as all kinds are only hints."""
 
 
 class EntryTable:
@@ -38,7 +38,7 @@
         self._counts = dict.fromkeys(EntryKind, 0)
 
     def merge(self, entry: Entry) -> bool:
-        """Take an entry if it is newer than the known one; return whether it was."""
+        """Store an entry if it is newer than the known one; return whether it was."""
         if entry.audience and self._own_digest not in entry.audience:
             return False
         known_incarnation = self._incarnations.get(entry.owner, -1)
@@ -57,7 +57,7 @@
         return True
 
     def drop_owner(self, owner: str) -> None:
-        """Forget the entries of a member that died, left or started anew."""
+        """Drop the entries of a member that died, left or restarted."""
         for entry in self._owners.pop(owner, {}).values():
             self._counts[entry.kind] -= 1
         self._digests.pop(owner, None)
--- a/hopstep/domain/exchanges/store_contact.py
+++ b/hopstep/domain/exchanges/store_contact.py
@@ -12,8 +12,8 @@
 """
 
 RELISTING_SECONDS = 2.0
-"""Time after the store's return until operators and instances have written lost entries again: those
-that expired while it was unavailable, and those that a backup lacks."""
+"""Time after the store's return until operators and instances have written lost entries again:
+those that expired while it was unavailable, and those that a backup lacks."""
 
 PROPAGATION_SECONDS = 0.6
 """Time until all nodes know of a write, from the store or from a node that reads it."""
--- a/hopstep/domain/fair_queue.py
+++ b/hopstep/domain/fair_queue.py
@@ -1,10 +1,10 @@
-"""Order of queued requests: priority first, then weighted fair between tenants.
+"""Order of queued requests: by priority, then weighted fair queueing between tenants.
 
-Start-time fair queueing within each priority: a tenant's next request starts at the virtual
-time at which its last served one finished, or now if it had none waiting; the lowest start
-goes first. Only served requests are charged, so a request that is dropped costs its tenant
-nothing. A priority that others have passed over ``MAX_PASSED_OVER`` times goes next, which
-bounds the wait of low priorities.
+Within each priority this is start-time fair queueing: a tenant's next request starts at the virtual
+time at which its last served one finished, or at the current one if none was waiting; the lowest
+start is served first. Only served requests are charged, so a dropped request costs its tenant
+nothing. A priority that was passed over ``MAX_PASSED_OVER`` times is served next, which bounds the
+wait of low priorities.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 import msgspec
 
 MAX_PASSED_OVER = 16
-"""Requests of other priorities that may go before one of a waiting priority."""
+"""Requests of other priorities that may be served before one of a waiting priority."""
 
 MIN_WEIGHT = 1e-6
-"""Least tenant weight, so that a weight of 0 doesn't divide."""
+"""Lowest tenant weight, which avoids a division by 0."""
 
 
 class QueueEntry(msgspec.Struct, frozen=True):
@@ -27,8 +27,8 @@
     Attributes:
         entry_id: Unique.
         tenant: Tenant name.
-        weight: Share of the tenant.
-        priority: Lower numbers go first.
+        weight: Weight of the tenant.
+        priority: Lower numbers are served first.
         cost: Expected work, in tokens; above 0.
     """
 
@@ -64,7 +64,7 @@
         self.passed_over = 0
 
     def push(self, entry: QueueEntry) -> None:
-        """Add an entry behind the others of its tenant."""
+        """Add an entry after the others of its tenant."""
         queue = self.tenants.get(entry.tenant)
         if queue is None:
             queue = _TenantQueue()
@@ -73,19 +73,19 @@
         queue.entries[entry.entry_id] = entry
 
     def next_start(self, tenant: str) -> float:
-        """Return the start of a tenant's first waiting request."""
+        """Return the virtual start of a tenant's first waiting request."""
         queue = self.tenants.get(tenant)
         if queue is not None:
             return queue.start
         return max(self.virtual_time, self.finishes.get(tenant, 0.0))
 
     def in_order(self) -> Iterator[QueueEntry]:
-        """Yield the first entries of all tenants, then later ones, fair order first."""
+        """Yield all entries, tenant by tenant in the order of their virtual starts."""
         for tenant in sorted(self.tenants, key=lambda name: (self.tenants[name].start, name)):
             yield from self.tenants[tenant].entries.values()
 
     def serve(self, entry: QueueEntry) -> None:
-        """Take an entry out and charge its tenant."""
+        """Remove an entry and charge its tenant."""
         queue = self.tenants[entry.tenant]
         self.virtual_time = max(self.virtual_time, queue.start)
         queue.start = queue.finish(entry)
@@ -94,7 +94,7 @@
         self.discard(entry)
 
     def discard(self, entry: QueueEntry) -> None:
-        """Take an entry out without charge."""
+        """Remove an entry without charging its tenant."""
         queue = self.tenants[entry.tenant]
         del queue.entries[entry.entry_id]
         if not queue.entries:
@@ -102,7 +102,7 @@
         self._reset_when_empty()
 
     def _reset_when_empty(self) -> None:
-        """Drop finishes that no longer hold a tenant back, which bounds memory."""
+        """Drop virtual finish times when no tenant waits, which bounds memory."""
         if self.tenants:
             return
         self.passed_over = 0
@@ -127,7 +127,7 @@
         return self._tenant_counts.get(tenant, 0)
 
     def has_much_waiting(self, tenant: str) -> bool:
-        """Return whether a tenant has at least as much waiting as the mean of those that wait."""
+        """Return whether a tenant has at least the mean queue length of the waiting tenants."""
         count = self.count_of(tenant)
         return count > 0 and count * len(self._tenant_counts) >= len(self)
 
@@ -144,7 +144,7 @@
         self._tenant_counts[entry.tenant] = self.count_of(entry.tenant) + 1
 
     def remove(self, entry_id: str) -> bool:
-        """Drop a request without charge; return whether it was queued."""
+        """Drop a request without charging its tenant; return whether it was queued."""
         entry = self._entries.get(entry_id)
         if entry is None:
             return False
@@ -153,11 +153,11 @@
         return True
 
     def pop(self, eligible: Eligible) -> QueueEntry | None:
-        """Take out and return the next request that is ``eligible``, or None.
+        """Remove and return the next request that is ``eligible``, or None.
 
         Args:
-            eligible: Whether something can take the request now. Requests that nothing can
-                take don't hold up those behind them.
+            eligible: Whether a back end can take the request now. Other requests don't hold up
+                those after them.
         """
         for priority in self._order():
             queue = self._priorities[priority]
@@ -170,7 +170,7 @@
         return None
 
     def count_before(self, entry: QueueEntry, competes: Eligible) -> int:
-        """Return how many queued requests would go before a new ``entry``.
+        """Return how many queued requests would be served before a new ``entry``.
 
         Args:
             entry: Request that isn't queued yet.
@@ -190,23 +190,23 @@
         return before
 
     def _order(self) -> list[int]:
-        """Return the priorities in the order in which they are tried now."""
+        """Return the waiting priorities in the order in which they are tried now."""
         waiting = [p for p, queue in self._priorities.items() if queue.tenants]
         return sorted(waiting, key=self._urgency)
 
     def _urgency(self, priority: int) -> tuple[int, int]:
-        """Return the sort key of a priority: long passed over first, then by number."""
+        """Return the sort key of a priority: passed over too often first, then by number."""
         passed_over = self._priorities[priority].passed_over
         return (-passed_over if passed_over >= MAX_PASSED_OVER else 0, priority)
 
     def _pass_over(self, served: int) -> None:
-        """Count a request of ``served`` against every other waiting priority."""
+        """Count a served request of priority ``served`` for every other waiting priority."""
         for priority, queue in self._priorities.items():
             if priority != served and queue.tenants:
                 queue.passed_over += 1
 
     def _forget(self, entry: QueueEntry) -> None:
-        """Drop the entry's bookkeeping."""
+        """Remove an entry from the index and the counts."""
         del self._entries[entry.entry_id]
         remaining = self._tenant_counts[entry.tenant] - 1
         if remaining:
@@ -216,7 +216,7 @@
 
 
 def _start_behind_own(queue: _PriorityQueue, entry: QueueEntry) -> float:
-    """Return the virtual start of a new entry behind its tenant's own queue."""
+    """Return the virtual start of a new entry after its tenant's queued ones."""
     start = queue.next_start(entry.tenant)
     waiting = queue.tenants.get(entry.tenant)
     if waiting is None:
--- a/hopstep/domain/inference.py
+++ b/hopstep/domain/inference.py
@@ -1,4 +1,4 @@
-"""A caller's request and the pieces of its answer, as services pass them on."""
+"""A caller's request and the parts of its answer, as services pass them on."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class InferenceRequest(msgspec.Struct, frozen=True):
-    """An authenticated request with everything resolved.
+    """An authenticated request with its tenant, class and model resolved.
 
     Attributes:
         request_id: Unique, made by this router.
-        tenant: Whose it is.
-        request_class: Class, as configured when the request came.
+        tenant: Tenant of the caller.
+        request_class: Class, as configured when the request arrived.
         model: Model asked for.
         prompt: Rendered prompt text.
-        max_tokens: Longest answer, already bounded by the class.
+        max_tokens: Highest number of answer tokens, already bounded by the class.
         idempotency_key: Caller's key for a request that must run at most once; may be empty.
         deadline: Absolute time by the node's monotonic clock, in seconds.
     """
@@ -35,7 +35,7 @@
     deadline: float = float("inf")
 
     def name(self) -> RequestName:
-        """Return what it shares with equal requests of its caller; digests the whole prompt."""
+        """Return the name it shares with equal requests of its caller; hashes the whole prompt."""
         target = f"{self.model.name} {self.max_tokens}".encode()
         fingerprint = request_fingerprint(self.tenant.name, target, self.prompt.encode())
         return RequestName(fingerprint, self.tenant.name, self.request_class.name)
@@ -49,11 +49,11 @@
 
 
 class AnswerUsage(msgspec.Struct, frozen=True):
-    """Token counts of a whole answer, over all its attempts.
+    """Token counts of a complete answer, over all its attempts.
 
     Attributes:
         prompt_tokens: Tokens of the caller's prompt.
-        cached_tokens: Of these, taken from a cache by the first attempt that answered.
+        cached_tokens: Prompt tokens that the first answering attempt took from a cache.
         completion_tokens: Tokens delivered to the caller.
     """
 
@@ -63,12 +63,12 @@
 
 
 class AnswerPart(msgspec.Struct, frozen=True):
-    """Tokens of an answer, in order and complete; the last part has ``finish``.
+    """Consecutive tokens of an answer, without gaps; the last part has ``finish``.
 
     Attributes:
         sequence: Index of the first token in the answer.
         tokens: Texts of the tokens.
-        engine: Name of the engine that made them.
+        engine: Name of the engine that generated them.
         finish: Set on the last part only.
         usage: Set on the last part only.
     """
--- a/hopstep/domain/instance_admission.py
+++ b/hopstep/domain/instance_admission.py
@@ -1,7 +1,7 @@
-"""Whether something may be sent to one life of an instance now, later or never, and why.
+"""Whether something may be sent to an incarnation of an instance now, later or never, and why.
 
-Everything that is sent to an instance asks here, at its choice and again right before its first
-byte, so that no word of an instance binds one kind of call and not another.
+This is checked for everything that is sent to an instance, at the choice of the instance and again
+right before the first byte, so that an instance's notices apply to all kinds of calls.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 from hopstep.domain.announced_state import AnnouncedState
 
 NEVER = float("inf")
-"""A barrier that doesn't end."""
+"""End of a barrier that doesn't end by itself."""
 
 
 class Barrier(enum.StrEnum):
-    """What keeps something from an instance."""
+    """Reason why something may not be sent to an instance."""
 
     UNTRUSTED = "untrusted"
     """Its newest entry in the directory can't be trusted."""
 
     ENDED = "ended"
-    """Another instance answers at its address."""
+    """It has terminated, or another instance answers at its address."""
 
     DRAINING = "draining"
-    """Its entry says that it leaves."""
+    """Its directory entry says that it is about to shut down."""
 
     LEAVING = "leaving"
-    """Its own answers say so."""
+    """Its own notices say that it is about to shut down."""
 
     BACKING_OFF = "resting"
-    """It has asked this node for rest, or opens again in steps after one."""
+    """It has asked this node to back off, or accepts requests in steps after a backoff."""
 
     STATE_UNKNOWN = "unheard"
-    """This node has just started and hasn't heard yet what the instance takes: it gets one request
-    at a time until it answers or another node tells."""
+    """This node has just started and doesn't know yet whether the instance has a limit: it gets one
+    request at a time until it answers or another node reports."""
 
     LIMITED = "limited"
-    """It takes only so many requests from all nodes, and this node holds no permit."""
+    """It limits the requests from all nodes, and this node has no free permit."""
 
 
 class Purpose(enum.Enum):
-    """What would be sent."""
+    """Kind of call that would be sent."""
 
     REQUEST = enum.auto()
     """A request, or a retry, that another instance may serve too."""
@@ -55,27 +55,27 @@
     """A request that was chosen for the instance, right before its first byte leaves."""
 
     LAST_SENDING = enum.auto()
-    """The same, where the instance was chosen although it leaves."""
+    """The same, where the instance was chosen although it is shutting down."""
 
     ORDER = enum.auto()
     """An order or a report."""
 
     ORDER_SENDING = enum.auto()
-    """The same, with a permit, right before it is sent."""
+    """An order or a report with a permit, right before it is sent."""
 
     CACHE_EVENTS = enum.auto()
-    """A read of what the instance keeps."""
+    """A read of the instance's cache events."""
 
     SOURCE = enum.auto()
-    """Nothing of this node: another instance brings kept segments from it."""
+    """Nothing by this node: another instance moves cached segments from it."""
 
 
 class Admission(msgspec.Struct, frozen=True):
-    """The answer.
+    """Result of the check.
 
     Attributes:
-        barrier: What is in the way; None when nothing is.
-        until: When that ends; ``NEVER`` when it doesn't, or when only a permit can end it.
+        barrier: Why it may not be sent; None when it may.
+        until: When the barrier ends; ``NEVER`` when it doesn't, or when only a permit can end it.
     """
 
     barrier: Barrier | None = None
@@ -90,29 +90,29 @@
 OPEN = Admission()
 
 STATE_CHECK_SECONDS = 0.05
-"""Between two looks whether a node that has just started has heard of an instance."""
+"""Interval at which a node that has just started checks whether an instance's limit is known."""
 
 CHOOSING = frozenset({Purpose.REQUEST, Purpose.LAST_REQUEST})
-"""Purposes that add one more request to those of this node at the instance."""
+"""Purposes that add a request to those of this node at the instance."""
 
 PAST_LEAVING = frozenset({Purpose.CACHE_EVENTS, Purpose.LAST_SENDING})
-"""Purposes that an instance which leaves still serves. Reads of events cost it nothing."""
+"""Purposes that are allowed while an instance shuts down. Reads of events cost it nothing."""
 
 
 WITH_PERMIT = frozenset({Purpose.SENDING, Purpose.LAST_SENDING, Purpose.ORDER_SENDING})
-"""Purposes that have their own permit."""
+"""Purposes for which a permit is held already."""
 
 
 class AskedInstance(msgspec.Struct, frozen=True):
-    """What the answer depends on.
+    """Input to the check.
 
     Attributes:
-        standing: What this life has said of itself.
-        listed: What the directory has against it; None for nothing.
+        announced_state: What this incarnation has announced.
+        listed: Barrier that follows from its directory entry; None for none.
         active: Requests of this node at it.
-        told_by: Until then a node that has just started may not have heard what others know.
-        last_requests_seconds: For so long after its word a leaving instance takes what no other
-            instance may serve.
+        reports_due_by: Until then a node that has just started may lack the others' reports.
+        last_requests_seconds: Time after its leaving notice in which it still accepts requests
+            that no other instance may serve.
     """
 
     announced_state: AnnouncedState
@@ -127,16 +127,16 @@
 
     Args:
         asked: The instance.
-        purpose: What would be sent.
+        purpose: Kind of call that would be sent.
         now: Steady clock, seconds.
     """
     if asked.listed is not None and purpose is not Purpose.CACHE_EVENTS:
         return Admission(asked.listed)
-    if _leaves(asked, purpose, now):
+    if _is_leaving(asked, purpose, now):
         return Admission(Barrier.LEAVING)
-    rest_ends_at = _rest_ends_at(asked, purpose)
-    if now < rest_ends_at:
-        return Admission(Barrier.BACKING_OFF, rest_ends_at)
+    backoff_ends_at = _backoff_ends_at(asked, purpose)
+    if now < backoff_ends_at:
+        return Admission(Barrier.BACKING_OFF, backoff_ends_at)
     if _is_limited(asked.announced_state, purpose, now):
         return Admission(Barrier.LIMITED)
     if (
@@ -149,8 +149,8 @@
     return OPEN
 
 
-def _leaves(asked: AskedInstance, purpose: Purpose, now: float) -> bool:
-    """Return whether an instance leaves too soon for a purpose."""
+def _is_leaving(asked: AskedInstance, purpose: Purpose, now: float) -> bool:
+    """Return whether a purpose is ruled out because the instance is shutting down."""
     since = asked.announced_state.leaving_since
     if since is None or purpose in PAST_LEAVING:
         return False
@@ -159,18 +159,18 @@
     return True
 
 
-def _rest_ends_at(asked: AskedInstance, purpose: Purpose) -> float:
-    """Return when a rest is over: for one more request, in steps."""
+def _backoff_ends_at(asked: AskedInstance, purpose: Purpose) -> float:
+    """Return when a backoff is over; for one more request, by the steps after it."""
     if purpose in CHOOSING:
         return asked.announced_state.opens_at(asked.active)
     return asked.announced_state.backoff_until
 
 
 def _is_limited(announced_state: AnnouncedState, purpose: Purpose, now: float) -> bool:
-    """Return whether a limit is in the way.
+    """Return whether the instance's limit forbids a call.
 
-    Cache events aren't read under a limit: each read would count like a request, and what is kept
-    is also known from what was sent.
+    Cache events aren't read under a limit: each read would count like a request, and cached
+    segments are also known from the requests that were sent.
     """
     sends = announced_state.limited_sends
     if sends is None or purpose is Purpose.SOURCE:
--- a/hopstep/domain/instance_limit.py
+++ b/hopstep/domain/instance_limit.py
@@ -1,8 +1,8 @@
-"""What one life of an instance has said last of its limit. Times are of the steady clock, seconds.
+"""The limit that an incarnation of an instance has named last. Times: steady clock, in seconds.
 
-Answers may be read in another order than they were made. Of each head it is known that it was made
-after its request was sent and before it was read, and by the instance's own clock when it names a
-date. Where that doesn't tell which of two heads is the newer one, the lower limit counts.
+Responses may be read in another order than they were made. A response head was made after its
+request was sent and before it was read, and at its date by the instance's clock if it has one. If
+that doesn't decide which of two heads is newer, the lower limit applies.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class HeadTimes(msgspec.Struct, frozen=True):
-    """When a head was made, as far as that is known.
+    """When a response head was made, as far as known.
 
     Attributes:
-        after: The request had been sent by then.
-        before: The head had been read by then.
-        date: By the instance's clock, Unix time; None when not told.
+        after: Not before this time: the request was sent then.
+        before: Not after this time: the head was read then.
+        date: Date in the head, Unix time by the instance's clock; None without one.
     """
 
     after: float
@@ -28,13 +28,13 @@
     date: float | None = None
 
     def is_later(self, other: HeadTimes) -> bool:
-        """Return whether this head was surely made after another one of the same life."""
+        """Return whether this head was certainly made after another one of the same incarnation."""
         if self.date is not None and other.date is not None and self.date != other.date:
             return self.date > other.date
         return self.after >= other.before
 
     def joined(self, other: HeadTimes) -> HeadTimes:
-        """Return the times of the later one of two heads that say the same."""
+        """Return the times of the later one of two heads that name the same limit."""
         if self.is_later(other):
             return self
         if other.is_later(self):
@@ -46,15 +46,15 @@
 
 
 class InstanceLimit:
-    """The limit that holds for one life.
+    """The limit that applies to one incarnation.
 
     Attributes:
         per_second: Requests a second from all nodes together; ``NO_LIMIT`` for none.
-        times: When the head was made that said so last.
+        times: When the latest head that named this limit was made.
     """
 
     def __init__(self) -> None:
-        """Have heard nothing, so that there is no limit."""
+        """Start without any received head, and so without a limit."""
         self.per_second = NO_LIMIT
         self.times = NEVER
         self._named_by = {AnswerKind.REQUEST}
@@ -64,22 +64,22 @@
         """Whether there is a limit."""
         return self.per_second != NO_LIMIT
 
-    def take(self, word: LimitNotice, times: HeadTimes) -> bool:
-        """Take what a head says, and return whether another limit holds now.
+    def take(self, notice: LimitNotice, times: HeadTimes) -> bool:
+        """Apply the limit notice of a head, and return whether the limit has changed.
 
-        An answer that names no limit lifts one only if answers of its kind have named some.
+        A response without a limit lifts it only if responses of its kind have named limits.
         """
-        if word.per_second is not None:
-            self._named_by.add(word.kind)
-        elif word.kind not in self._named_by:
+        if notice.per_second is not None:
+            self._named_by.add(notice.kind)
+        elif notice.kind not in self._named_by:
             return False
-        said = NO_LIMIT if word.per_second is None else word.per_second
-        if said == self.per_second:
+        named = NO_LIMIT if notice.per_second is None else notice.per_second
+        if named == self.per_second:
             self.times = times.joined(self.times)
             return False
         if self.times.is_later(times):
             return False
-        if said > self.per_second and not times.is_later(self.times):
+        if named > self.per_second and not times.is_later(self.times):
             return False
-        self.per_second, self.times = said, times
+        self.per_second, self.times = named, times
         return True
--- a/hopstep/domain/instance_notices.py
+++ b/hopstep/domain/instance_notices.py
@@ -1,4 +1,4 @@
-"""What an instance says of itself in the head of an answer: leaving, rest, a limit."""
+"""Notices in the head of an instance's response: shutting down, backoff, a limit."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class AnswerKind(enum.Enum):
-    """What an answer is to. Whether all kinds of answers name a limit isn't known beforehand."""
+    """What a response answers. It isn't known in advance which kinds of responses name a limit."""
 
     REQUEST = enum.auto()
-    """To a request, with its id: it names a limit as long as there is one."""
+    """A request, with its id: such a response names a limit as long as there is one."""
 
     REFUSAL = enum.auto()
-    """A refusal without the request's id."""
+    """A request, by a refusal without the request's id."""
 
     CONTROL = enum.auto()
-    """To a report or an order."""
+    """A report or an order."""
 
     CACHE_EVENTS = enum.auto()
-    """To a read of cache events."""
+    """A read of cache events."""
 
 
 class LimitNotice(msgspec.Struct, frozen=True):
-    """What the head of one answer says of the instance's limit.
+    """What the head of one response announces about the instance's limit.
 
     Attributes:
-        per_second: Requests a second that it takes from all nodes together; None when the answer
-            names no limit, so that there is none any more.
-        date: Unix time at which the head was made, by the instance's clock; None when not told.
-        kind: What the answer is to.
+        per_second: Requests a second that it accepts from all nodes together; None when the
+            response names no limit, so that there is none any more.
+        date: Unix time at which the head was made, by the instance's clock; None without a date.
+        kind: What the response answers.
     """
 
     per_second: float | None = None
@@ -40,12 +40,12 @@
 
 
 class InstanceNotice(msgspec.Struct, frozen=True):
-    """What the head of one answer says of the instance that gave it.
+    """What the head of one response announces about the instance that sent it.
 
     Attributes:
-        leaving: Whether the instance is about to leave and wants nothing new.
-        rest_seconds: For so long it wants nothing from this node; 0 for no such wish.
-        limit: What it says of its limit; None when the answer tells nothing of it either way.
+        leaving: Whether the instance is about to shut down and accepts nothing new.
+        backoff_seconds: Time for which this node should send it nothing; 0 when not asked for.
+        limit: The limit notice; None when the response doesn't show whether there is a limit.
     """
 
     leaving: bool = False
@@ -54,13 +54,13 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the answer says nothing of the instance."""
+        """Whether the response announces nothing about the instance."""
         return not self.leaving and not self.backoff_seconds and self.limit is None
 
 
 NoticeListener = Callable[[InstanceNotice], None]
-"""Told what an answer says of its instance, as soon as the answer's head is read."""
+"""Called with the notice of a response as soon as the response's head is read."""
 
 
 def ignore_notice(_notice: InstanceNotice) -> None:
-    """Take no notice."""
+    """Ignore a notice."""
--- a/hopstep/domain/labels.py
+++ b/hopstep/domain/labels.py
@@ -1,4 +1,4 @@
-"""Labels and label selectors, by the conventions that cluster operators know."""
+"""Labels and label selectors, by the usual conventions of cluster managers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Operator(enum.StrEnum):
-    """How a requirement compares a label with its values."""
+    """Comparison of a label with a requirement's values."""
 
     IN = "In"
     NOT_IN = "NotIn"
@@ -24,7 +24,7 @@
     Attributes:
         key: Label name.
         operator: Comparison.
-        values: Compared values; non-empty for ``In`` and ``NotIn``, empty otherwise.
+        values: Values to compare with; non-empty for ``In`` and ``NotIn``, empty otherwise.
     """
 
     key: str
@@ -46,7 +46,7 @@
         return value not in self.values
 
     def __str__(self) -> str:
-        """Return the requirement as operators write it."""
+        """Return the text form that operators write."""
         if not self.values:
             return f"{self.key} {self.operator.value}"
         return f"{self.key} {self.operator.value} ({', '.join(self.values)})"
@@ -71,7 +71,7 @@
         return self.first_unmet(labels) is None
 
     def first_unmet(self, labels: Labels) -> Requirement | None:
-        """Return the first condition that ``labels`` break, or None when all hold."""
+        """Return the first condition that ``labels`` don't meet, or None when they meet all."""
         for requirement in self.requirements():
             if not requirement.matches(labels):
                 return requirement
--- a/hopstep/domain/leaving_machines.py
+++ b/hopstep/domain/leaving_machines.py
@@ -1,18 +1,18 @@
-"""Which machines are leaving, by a list that lags and flaps, and by peers that come and go."""
+"""Machines that are shutting down, by a list that lags and flaps and by reports of peers."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
 LIVE_ANSWERS = 3
-"""Answers in a row that must show a leaving machine as live before it gets work again."""
+"""Consecutive answers that must show a leaving machine as live before it gets work again."""
 
 
 class LeavingMachines:
-    """Remembers machines that the list has shown as leaving.
+    """Machines that the list has shown as leaving.
 
-    One that is missing from an answer goes on leaving, since the list may have lost it for a
-    moment; one that is shown as live has to be so for ``LIVE_ANSWERS`` answers in a row.
+    A machine that is missing from an answer stays leaving, since the list may omit it briefly; one
+    that is shown as live stays leaving until ``LIVE_ANSWERS`` consecutive answers show it so.
     """
 
     def __init__(self) -> None:
@@ -20,11 +20,11 @@
         self._live_answers: dict[str, int] = {}
 
     def update(self, leaving: Iterable[str], live: Iterable[str]) -> frozenset[str]:
-        """Take one answer of the list.
+        """Apply one answer of the list.
 
         Args:
-            leaving: Addresses that it shows as leaving.
-            live: Addresses that it shows as live.
+            leaving: Addresses of machines that it shows as leaving.
+            live: Addresses of machines that it shows as live.
 
         Returns:
             Addresses of the machines that must get no new work.
@@ -43,37 +43,37 @@
 
 
 class ReportedMachines:
-    """Remembers machines that peers have told of as leaving.
+    """Machines that peers have reported as leaving.
 
-    A live peer takes back what it told. What a peer told that has gone since stands, until the
-    own list shows the machine as live.
+    A live peer can withdraw its report. The report of a peer that has gone stays valid until this
+    router's own list shows the machine as live.
     """
 
     def __init__(self) -> None:
-        """Start with nothing told."""
-        self._tellers: dict[str, frozenset[str]] = {}
+        """Start without reports."""
+        self._reporters: dict[str, frozenset[str]] = {}
 
     def update(
         self,
-        told: Mapping[str, frozenset[str]],
+        reported: Mapping[str, frozenset[str]],
         live_routers: frozenset[str],
         live_machines: Iterable[str] = (),
     ) -> frozenset[str]:
-        """Take what peers tell now.
+        """Apply the current reports of peers.
 
         Args:
-            told: Names of the peers that tell of a machine, by its address.
+            reported: Names of the peers that report a machine, by its address.
             live_routers: Names of the live routers.
-            live_machines: Addresses that the own list has just shown as live.
+            live_machines: Addresses that this router's own list has just shown as live.
 
         Returns:
             Addresses of the machines that must get no new work.
         """
         shown_live = frozenset(live_machines)
-        outliving = {
-            address: tellers
-            for address, tellers in self._tellers.items()
-            if not tellers & live_routers and address not in shown_live
+        still_valid = {
+            address: reporters
+            for address, reporters in self._reporters.items()
+            if not reporters & live_routers and address not in shown_live
         }
-        self._tellers = outliving | dict(told)
-        return frozenset(self._tellers)
+        self._reporters = still_valid | dict(reported)
+        return frozenset(self._reporters)
--- a/hopstep/domain/peer_message.py
+++ b/hopstep/domain/peer_message.py
@@ -2,7 +2,7 @@
 
 Every message is small, immutable and encoded as an array, so that many fit into a datagram.
 The envelope (who sent it, in which incarnation, authenticated) is ``PeerMessage``; the body is
-one of the ``Body`` types, told apart by its tag.
+one of the ``Body`` types, distinguished by its tag.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class MemberState(enum.IntEnum):
-    """State of a member as its peers hold it.
+    """State of a member as its peers see it.
 
     ``ALIVE`` and ``LEAVING`` are asserted by the member itself. ``SUSPECT``, ``DEAD`` and
-    ``LEFT`` are asserted by peers over one version of the member's own record.
+    ``LEFT`` are asserted by peers about one version of the member's own record.
     """
 
     ALIVE = 0
@@ -30,7 +30,7 @@
 
 
 LIVE_STATES = frozenset({MemberState.ALIVE, MemberState.LEAVING, MemberState.SUSPECT})
-"""States in which a member still answers or may do so."""
+"""States in which a member answers or may answer."""
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -39,13 +39,13 @@
     Attributes:
         name: Unique name of the node.
         incarnation: New and higher on every start.
-        version: Raised by the member itself on every change or refutation.
+        version: Increased by the member itself on every change or refutation.
         state: See ``MemberState``.
-        http_address: ``ip:port`` of the callers' listener.
+        http_address: ``ip:port`` of the listener for callers.
         peer_address: ``ip:port`` of the UDP socket.
         zone: Zone of the machine.
         labels_digest: Digest of the member's labels (``labels_digest``).
-        configuration_revision: Highest configuration revision heard from it.
+        configuration_revision: Highest configuration revision received from it.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """The changing part of a record: a quarter of its bytes, used for members known already.
+    """The changing part of a record, used for known members: a quarter of the record's bytes.
 
     Attributes:
         name: Name of the member.
@@ -87,7 +87,7 @@
 
 
 URGENT_KINDS = frozenset({EntryKind.LEAVING_BACK_END, EntryKind.CRASHES})
-"""Pushed to some members at once; the others go with the next heartbeats."""
+"""Kinds that are pushed to some members immediately; others are sent with the next heartbeats."""
 
 
 class LeavingBackEnd(msgspec.Struct, frozen=True, array_like=True, tag=0):
@@ -95,7 +95,7 @@
 
     Attributes:
         back_end: Its name.
-        leaving: False takes an earlier entry back.
+        leaving: False withdraws an earlier entry.
     """
 
     back_end: str
@@ -107,13 +107,13 @@
 
     Attributes:
         engine: Address of the engine.
-        incarnation: Incarnation that the engine gave.
+        incarnation: Incarnation that the engine reported.
         weights: Loaded weights version by model.
-        role: Role that the engine gave.
-        leaving: True when it must get no new work.
+        role: Role that the engine reported.
+        leaving: Whether it is shutting down and must get no new work.
         running: Requests in its batch.
         waiting: Requests in its queue.
-        waiting_prefill_tokens: Prompt tokens still to be prefilled.
+        waiting_prefill_tokens: Prompt tokens that wait for their prefill.
     """
 
     engine: str
@@ -131,7 +131,7 @@
 
         Args:
             engine: Address of the engine.
-            facts: What it said of itself.
+            facts: What it reported about itself.
         """
         return cls(
             engine,
@@ -145,17 +145,17 @@
         )
 
     def facts(self) -> EngineFacts:
-        """Return the facts; what isn't shared has its default."""
+        """Return the facts; fields that aren't shared have their defaults."""
         load = LoadReport(self.running, self.waiting, self.waiting_prefill_tokens)
         return EngineFacts(self.incarnation, self.weights, self.role, self.leaving, load)
 
 
 class HotPrefix(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A prefix that is asked for often; its key is salted and reveals no text.
+    """A frequently requested prefix; its key is salted and reveals no text.
 
     Attributes:
         key: 64-bit block key.
-        zone: Zone of the router that saw it.
+        zone: Zone of the router that observed it.
         requests_per_second: Recent rate.
     """
 
@@ -165,10 +165,10 @@
 
 
 class CrashEntry(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A request under which its owner has seen engines end; others join it to what they know.
+    """A request during which its owner saw engines crash; others merge it into their records.
 
     Attributes:
-        request: The request, with some of the ends.
+        request: The request, with some of the crashes.
     """
 
     request: RequestCrashes
@@ -182,12 +182,12 @@
 
     Attributes:
         owner: Member that published it.
-        incarnation: Incarnation of the owner; a new one drops all entries of the earlier.
-        version: Raised by the owner on every publication, over all its entries.
-        subject: What it is about, unique for owner and kind.
+        incarnation: Incarnation of the owner; a new one drops all entries of the earlier one.
+        version: Increased by the owner on every publication of any of its entries.
+        subject: Subject of the entry, unique for owner and kind.
         value: The value; None withdraws the entry.
         kind: Kind, also of a withdrawn entry.
-        audience: Digests of the router labels that may hold it; empty means every router.
+        audience: Label digests of the routers that may hold it; empty means every router.
     """
 
     owner: str
@@ -200,11 +200,11 @@
 
 
 UNCONFIRMED = -1
-"""Age of a revision for which there is no proof."""
+"""Age of a revision without proof that it was the latest."""
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True):
-    """What any message carries along.
+    """Changes that are piggybacked on any message.
 
     Attributes:
         revision: Highest configuration revision that the sender has.
@@ -227,7 +227,7 @@
 
     Attributes:
         number: Number of the probe at its origin.
-        target: Member that is meant; another one doesn't answer.
+        target: Addressed member; other members don't answer.
         gossip: Piggybacked changes.
     """
 
@@ -237,7 +237,7 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks the receiver to ping ``target`` and pass its ack on.
+    """Asks the receiver to ping ``target`` and forward its ack.
 
     Attributes:
         number: Number of the probe at its origin.
@@ -253,7 +253,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answer to a probe, from the target or passed on for it.
+    """Answer to a probe, from the target or forwarded for it.
 
     Attributes:
         number: Number of the probe.
@@ -267,7 +267,7 @@
 
 
 class Push(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Urgent changes and pulled values; needs no answer."""
+    """Urgent changes and pulled values; not answered."""
 
     gossip: Gossip = Gossip()
 
@@ -277,7 +277,7 @@
 
     Attributes:
         digests: One for each bucket of member names.
-        first_bucket: Where the answer should start, so that several answers differ.
+        first_bucket: Bucket at which the answer should start, so that several answers differ.
         gossip: Piggybacked changes.
     """
 
@@ -294,11 +294,11 @@
 
 
 class PullRequest(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Third step: names whose records or entries the sender lacks; answered by ``Push``.
+    """Third step: names of members whose records or entries the sender lacks; answered by ``Push``.
 
     Attributes:
-        members: Members whose whole record is asked for.
-        owners: Members whose entries are asked for.
+        members: Members whose whole record is requested.
+        owners: Members whose entries are requested.
         gossip: Piggybacked changes.
     """
 
@@ -308,12 +308,12 @@
 
 
 class LimitDemand(msgspec.Struct, frozen=True, array_like=True):
-    """What a router wants of a tenant's limits, in millionths.
+    """A router's demand for parts of a tenant's limits, in millionths.
 
     Attributes:
         tenant: Name of the tenant.
-        wanted: Part that its requests want at this router.
-        held: Part that the router holds by lease.
+        wanted: Part that its requests need at this router.
+        held: Part that the router holds under a lease.
     """
 
     tenant: str
@@ -336,7 +336,7 @@
 
 
 class LimitGrant(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Answer of an owner: leases, counted from the time of the report.
+    """Answer of an owner: leases, which count from the time of the report.
 
     Attributes:
         number: Number of the report.
@@ -371,7 +371,7 @@
     Attributes:
         sender: Name of the sending member.
         incarnation: Its incarnation.
-        body: What it says.
+        body: Content of the message.
     """
 
     sender: str
--- a/hopstep/domain/placement.py
+++ b/hopstep/domain/placement.py
@@ -1,4 +1,4 @@
-"""Where a request may run: selectors of the tenant and the class against back-end labels."""
+"""Back ends that may serve a request, by tenant and class selectors on back-end labels."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class Exclusion(msgspec.Struct, frozen=True):
-    """One back end that is ruled out.
+    """One excluded back end.
 
     Attributes:
         back_end: Its name.
         reason: Which rule excludes it.
-        detail: The condition that its labels break, or the model that it lacks.
+        detail: The condition that its labels don't meet, or the model that it lacks.
     """
 
     back_end: str
@@ -41,11 +41,11 @@
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """Back ends that may be used, and why each other one may not.
+    """Back ends that may be used, and the reasons against all others.
 
     Attributes:
         admissible: Usable back ends, in configuration order.
-        exclusions: One for each other back end of the kind.
+        exclusions: One for each other back end of the same kind.
     """
 
     admissible: tuple[BackEnd, ...]
@@ -59,9 +59,9 @@
 
     Args:
         configuration: Accepted configuration.
-        tenant: Whose request it is.
-        request_class: Its class.
-        model: Model that it asks for.
+        tenant: Tenant of the caller.
+        request_class: Class of the request.
+        model: Requested model.
     """
     admissible: list[BackEnd] = []
     exclusions: list[Exclusion] = []
@@ -79,7 +79,7 @@
 def place_tenant(configuration: Configuration, tenant: Tenant, kind: BackEndKind) -> Placement:
     """Return the back ends of ``kind`` that may hold the tenant's data.
 
-    Used for KV cache stores and routers; class selectors don't bind these.
+    Used for KV cache stores and routers; class selectors don't apply to these.
     """
     admissible: list[BackEnd] = []
     exclusions: list[Exclusion] = []
@@ -102,7 +102,7 @@
 def _engine_exclusion(
     back_end: BackEnd, tenant: Tenant, request_class: RequestClass, model: Model
 ) -> Exclusion | None:
-    """Return why an engine may not serve, or None."""
+    """Return why an engine may not serve a request, or None."""
     exclusion = _tenant_exclusion(back_end, tenant)
     if exclusion is not None:
         return exclusion
@@ -115,7 +115,7 @@
 
 
 def _tenant_exclusion(back_end: BackEnd, tenant: Tenant) -> Exclusion | None:
-    """Return why a tenant's data may not be at a back end, or None."""
+    """Return why a back end may not hold a tenant's data, or None."""
     unmet = tenant.selector.first_unmet(back_end.labels)
     if unmet is not None:
         return Exclusion(back_end.name, ExclusionReason.TENANT_SELECTOR, str(unmet))
--- a/hopstep/domain/prompts.py
+++ b/hopstep/domain/prompts.py
@@ -1,7 +1,7 @@
 """Rendering of chat messages to prompt text.
 
-The rendering is append-only: messages that share a beginning render to texts that share one,
-so nested conversations and documents keep their common prefix.
+The rendering is append-only: chats with a common prefix of messages render to texts with a common
+prefix, which can be cached.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
     """One message of a chat.
 
     Attributes:
-        role: Who speaks, such as ``system`` or ``user``.
-        text: What is said.
+        role: Role of the author, such as ``system`` or ``user``.
+        text: Text of the message.
     """
 
     role: str
--- a/hopstep/domain/queue_pace.py
+++ b/hopstep/domain/queue_pace.py
@@ -1,8 +1,8 @@
-"""How fast each tenant's queued requests are let in, as far as it has been seen.
+"""Observed rate at which each tenant's queued requests are admitted.
 
-The order of the queue alone doesn't tell how long a request will wait: requests of other
-tenants that come later may go before it, and other routers take room at the same engines. Both
-show in the time between two requests of the same tenant that were let in.
+The queue's order alone doesn't determine how long a request waits: later requests of other tenants
+may be served before it, and other routers use capacity of the same engines. Both affect the time
+between two admitted requests of the same tenant.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 import msgspec
 
 SMOOTHING = 0.1
-"""Least weight of the latest interval in the mean; the first ones weigh the same."""
+"""Lowest weight of the latest interval in the mean; the first intervals have equal weights."""
 
 MIN_INTERVALS = 8
-"""Intervals before the mean says anything: a short queue's few ones are waits, not a pace."""
+"""Intervals needed for a mean: the few ones of a short queue are waits, not a rate."""
 
 
 class _Pace(msgspec.Struct):
-    """What was seen of one queue.
+    """Observations of one queue.
 
     Attributes:
-        entered_at: When the latest request was let in, or the first one began to wait.
-        mean_seconds: Mean time between two requests.
-        intervals: Intervals that were seen.
+        entered_at: When the latest request was admitted, or the first one began to wait.
+        mean_seconds: Mean time between two admitted requests.
+        intervals: Number of observed intervals.
     """
 
     entered_at: float
@@ -31,16 +31,16 @@
 
 
 class QueuePace:
-    """Mean intervals of the tenants that wait, by tenant and priority.
+    """Mean admission intervals of the waiting tenants, by tenant and priority.
 
-    Memory is bounded by the queue: call ``forget`` when nothing of a tenant waits any more.
+    Memory is bounded by the queue: call ``forget`` when a tenant has no waiting requests any more.
     """
 
     def __init__(self) -> None:
         self._paces: dict[tuple[str, int], _Pace] = {}
 
     def __len__(self) -> int:
-        """Return the number of queues that are remembered."""
+        """Return the number of recorded queues."""
         return len(self._paces)
 
     def begin(self, tenant: str, priority: int, now: float) -> None:
@@ -48,7 +48,7 @@
         self._paces.setdefault((tenant, priority), _Pace(now))
 
     def record_entry(self, tenant: str, priority: int, now: float) -> None:
-        """Note that a waiting request was let in."""
+        """Note that a waiting request was admitted."""
         pace = self._paces.setdefault((tenant, priority), _Pace(now))
         interval = now - pace.entered_at
         pace.entered_at = now
@@ -57,20 +57,20 @@
         pace.mean_seconds += weight * (interval - pace.mean_seconds)
 
     def forget(self, tenant: str, priority: int) -> None:
-        """Forget a queue that is empty."""
+        """Drop the observations of an empty queue."""
         self._paces.pop((tenant, priority), None)
 
     def expected_wait(self, tenant: str, priority: int, waiting: int, now: float) -> float:
-        """Return the seconds until a new request behind ``waiting`` of its own is let in.
+        """Return the expected seconds until a new request is admitted.
 
         Args:
             tenant: Its tenant.
             priority: Its priority.
-            waiting: Requests of the same tenant and priority that wait.
+            waiting: Number of waiting requests of the same tenant and priority.
             now: Time.
 
         Returns:
-            0 when too little is known; no less than the time since the latest one was let in.
+            0 with too few observations; otherwise at least the time since the latest admission.
         """
         pace = self._paces.get((tenant, priority))
         if pace is None or pace.intervals < MIN_INTERVALS:
--- a/hopstep/domain/rendezvous.py
+++ b/hopstep/domain/rendezvous.py
@@ -1,10 +1,10 @@
 """Rendezvous (highest random weight) hashing of keys over named members.
 
-Each member's score for a key depends on these two alone, so a member that comes or goes moves
-only the keys that it wins or held. Names and keys are hashed once each by BLAKE2b; a pair is
-mixed by one multiplication (multiply-shift hashing), which costs far less than one BLAKE2b for
-each pair. A CRC of the pair would not do: it is linear, so the order of two members would hang
-together over most keys.
+A member's score for a key depends on these two alone, so a member that joins or leaves moves only
+the keys that it gains or loses. Names and keys are hashed once each by BLAKE2b; a pair is mixed by
+one multiplication (multiply-shift hashing), which costs far less than one BLAKE2b for each pair. A
+CRC of the pair isn't suitable: it is linear, so the order of two members would be correlated over
+most keys.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class Rendezvous:
-    """Owners of keys over one fixed set of members; ``updated`` makes the next one."""
+    """Owners of keys over a fixed set of members; ``updated`` returns the table for another set."""
 
     def __init__(self, weights: Mapping[str, float]) -> None:
-        """Prepare the hashes of the members.
+        """Compute the hashes of the members.
 
         Args:
             weights: Weight of each member; those at or below 0 own nothing.
@@ -49,7 +49,7 @@
 
     @classmethod
     def unweighted(cls, names: Iterable[str]) -> Rendezvous:
-        """Return a table in which all members weigh the same."""
+        """Return a table in which all members have the same weight."""
         return cls(dict.fromkeys(names, 1.0))
 
     def owners(self, key: str, replicas: int = 1) -> tuple[str, ...]:
@@ -67,22 +67,22 @@
         return member in self.owners(key, replicas)
 
     def updated(self, weights: Mapping[str, float]) -> Rendezvous:
-        """Return the table for changed members, keeping every ranking that still holds.
+        """Return the table for changed members, reusing every ranking that is still valid.
 
-        A member that goes spoils only the keys that it owned; one that comes is compared with
-        the lowest owner of each key. So a change costs a hundredth of ranking every key anew.
+        A removed member invalidates only the keys that it owned; an added one is compared with the
+        lowest owner of each key. So a change costs a hundredth of ranking every key again.
         """
         successor = Rendezvous(weights)
         if self._weighted or successor._weighted:
             return successor
-        gone = self._weights.keys() - successor._weights.keys()
-        come = [
+        removed = self._weights.keys() - successor._weights.keys()
+        added = [
             (name, hash_name(name)) for name in successor._weights.keys() - self._weights.keys()
         ]
         for (key, replicas), ranking in self._rankings.items():
-            if not gone.isdisjoint(ranking.owners):
+            if not removed.isdisjoint(ranking.owners):
                 continue
-            if come and not _keeps(ranking, hash_name(key), come, replicas):
+            if added and not _keeps(ranking, hash_name(key), added, replicas):
                 continue
             successor._rankings[key, replicas] = ranking
         return successor
@@ -102,12 +102,12 @@
         return -self._weights[self._names[index]] / math.log(uniform)
 
 
-def _keeps(ranking: _Ranking, hashed: int, come: list[tuple[str, int]], replicas: int) -> bool:
-    """Return whether no new member displaces an owner of a key."""
+def _keeps(ranking: _Ranking, hashed: int, added: list[tuple[str, int]], replicas: int) -> bool:
+    """Return whether no added member displaces an owner of a key."""
     if len(ranking.owners) < replicas:
         return False
     lowest = ranking.scores[-1]
-    return all(((hashed ^ value) * (value | 1)) & _MASK < lowest for _, value in come)
+    return all(((hashed ^ value) * (value | 1)) & _MASK < lowest for _, value in added)
 
 
 def owners(key: str, members: Mapping[str, float], replicas: int = 1) -> tuple[str, ...]:
--- a/hopstep/domain/requests_in_force.py
+++ b/hopstep/domain/requests_in_force.py
@@ -1,4 +1,4 @@
-"""A request seen under the configuration in force now, which may not be the one it came under."""
+"""Requests under the current configuration, which may differ from that of their arrival."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 
 def may_hold_answer(request: InferenceRequest, index: ConfigurationIndex, engine_name: str) -> bool:
-    """Return whether an engine that runs the request may go on with it.
+    """Return whether an engine that runs the request may continue it.
 
-    A leaving engine may: it gets no new work, but no stream is cut off.
+    A leaving engine may: it gets no new work, but its streams aren't cut off.
     """
     try:
         current = request_in_force(request, index)
@@ -56,9 +56,9 @@
 
     Args:
         request: The request.
-        index: Configuration in force now.
+        index: Current configuration.
         engine_name: Engine that the attempt was prepared for.
-        weights_version: Weights that it will require.
+        weights_version: Weights version that the attempt will require.
     """
     if not may_hold_answer(request, index, engine_name):
         return False
@@ -73,7 +73,7 @@
 ) -> str:
     """Return the address of the KV cache store for an attempt; empty for none.
 
-    One in the engine's zone is preferred. There is none while imports are switched off.
+    A store in the engine's zone is preferred. None is returned while imports are disabled.
     """
     if index.configuration.routing.import_tokens_per_second <= 0:
         return ""
@@ -85,7 +85,7 @@
 
 
 def _find(items: Mapping[str, _Item], name: str, kind: str) -> _Item:
-    """Return the item called ``name``."""
+    """Return the item with a name, or raise ``DomainError``."""
     item = items.get(name)
     if item is not None:
         return item
--- a/hopstep/domain/retry_budget.py
+++ b/hopstep/domain/retry_budget.py
@@ -1,12 +1,12 @@
-"""Retries as a share of first attempts, so that an outage isn't amplified."""
+"""Limits retries to a share of first attempts, so that retries don't amplify an outage."""
 
 from __future__ import annotations
 
 FLOOR_RETRIES_PER_SECOND = 0.5
-"""Retries that are allowed however few first attempts there are."""
+"""Rate of retries that is allowed regardless of first attempts."""
 
 MAX_SAVED_RETRIES = 32.0
-"""Most retries that may come together after a quiet time."""
+"""Capacity of the bucket: retries that may be made at once after a time without any."""
 
 
 class RetryBudget:
@@ -24,7 +24,7 @@
         self._refilled_at = now
 
     def record_first_attempt(self, ratio: float) -> None:
-        """Save the share of a retry that one first attempt allows.
+        """Add the share of a retry that one first attempt allows.
 
         Args:
             ratio: Retries allowed for each first attempt (``RoutingPolicy.retry_ratio``).
@@ -32,23 +32,23 @@
         self._save(ratio)
 
     def allows(self, now: float) -> bool:
-        """Return whether a retry would be allowed at ``now``."""
+        """Return whether a retry is allowed at ``now``."""
         self._refill(now)
         return self._saved >= 1.0
 
     def take(self, now: float) -> bool:
-        """Take one retry from the budget; return whether it was allowed."""
+        """Take one retry from the bucket; return whether it was allowed."""
         if not self.allows(now):
             return False
         self._saved -= 1.0
         return True
 
     def _refill(self, now: float) -> None:
-        """Save what the floor allows since the last call."""
+        """Add the retries that the floor rate allows since the last call."""
         elapsed = max(0.0, now - self._refilled_at)
         self._refilled_at = now
         self._save(elapsed * FLOOR_RETRIES_PER_SECOND)
 
     def _save(self, retries: float) -> None:
-        """Add to the bucket up to its bound."""
+        """Add to the bucket up to its capacity."""
         self._saved = min(MAX_SAVED_RETRIES, self._saved + retries)
--- a/hopstep/domain/rollout.py
+++ b/hopstep/domain/rollout.py
@@ -1,8 +1,8 @@
-"""Which engines are to load which weights next: pure, from facts and the configuration.
+"""Plans which engines load which weights next, from facts and the configuration, without I/O.
 
 An engine whose weights differ from the configuration gets an order whose fence is the revision.
 At most ``max_concurrent_weight_loads`` engines load at once, since loads slow each other down.
-An engine that comes back with old weights has a low fence again, and so gets its order again.
+An engine that restarts with old weights has a low fence again, and so gets its order again.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """An order that an engine should get now.
 
     Attributes:
-        address: The engine.
+        address: Address of the engine.
         fence: Configuration revision that the order follows.
         weights: Weights version to load by model.
     """
@@ -32,10 +32,10 @@
 def plan(
     accepted: AcceptedConfiguration, facts: Mapping[str, EngineFacts]
 ) -> tuple[WeightsOrder, ...]:
-    """Return the orders to give now, in configuration order.
+    """Return the orders to send now, in configuration order.
 
     Args:
-        accepted: Configuration in force.
+        accepted: Current configuration.
         facts: Latest facts by address; an engine without facts gets no order yet.
     """
     loading = 0
@@ -58,7 +58,7 @@
 def differing_weights(
     accepted: AcceptedConfiguration, back_end: BackEnd, facts: EngineFacts
 ) -> dict[str, str]:
-    """Return the wanted version of each model of an engine that has another one."""
+    """Return the configured version of each model of which an engine has another version."""
     return {
         model.name: model.weights_version
         for model in accepted.configuration.models
@@ -67,9 +67,9 @@
 
 
 def _is_loading(weights: dict[str, str], facts: EngineFacts) -> bool:
-    """Return whether an engine has taken an order for differing weights and is loading them.
+    """Return whether an engine has accepted an order for differing weights and is loading them.
 
-    An engine unloads a model when it takes an order for it. One that took this revision's fence
-    and still has old weights got the fence by an order for something else.
+    An engine unloads a model when it accepts an order for it. One with this revision's fence that
+    still has old weights got the fence by an order for another model.
     """
     return facts.fence > 0 and any(model not in facts.weights for model in weights)
--- a/hopstep/domain/store_position.py
+++ b/hopstep/domain/store_position.py
@@ -1,7 +1,7 @@
-"""A place in the history of a store that may be restored from a copy.
+"""Position in the history of a store that may be restored from a backup.
 
-After a restore the store's revisions go back and are given out again, so that a revision alone says
-nothing of which of two changes is the later one. The era rises with each restore.
+After a restore the store's revisions go back and are assigned again, so revisions alone don't show
+which of two changes is later. The era rises with each restore.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 import msgspec
 
 UNSPECIFIED_ERA = 0
-"""Era of a store that tells none."""
+"""Era of a store that states none."""
 
 
 class StorePosition(msgspec.Struct, frozen=True, order=True):
-    """A moment of the store's history; later ones are greater.
+    """A position in the store's history; later ones compare greater.
 
     Attributes:
-        era: How often the store had been restored, as it tells.
+        era: How often the store had been restored, as it states.
         revision: Store-wide revision within the era.
     """
 
@@ -25,17 +25,17 @@
 
 
 NO_POSITION = StorePosition(-1, -1)
-"""Before anything: place of a node that knows nothing."""
+"""Before all positions: the position of a node without any data."""
 
 ABSENT = StorePosition(UNSPECIFIED_ERA, 0)
 """Version of a key that does not exist."""
 
 
 class StoreLease(msgspec.Struct, frozen=True):
-    """A lease; it means nothing in another era, where its name may be that of another lease.
+    """A lease; it is invalid in another era, in which another lease may have its name.
 
     Attributes:
-        name: Name that the service gave it.
+        name: Name that the store assigned.
         era: Era in which it was granted.
     """
 
