--- a/hopstep/domain/claims.py
+++ b/hopstep/domain/claims.py
@@ -106,7 +106,7 @@
     return ClaimStep.REFUSE
 
 
-def may_forget(claim: Claim, earlier: EarlierAttempt, now: float, retention_seconds: float) -> bool:
+def may_delete(claim: Claim, earlier: EarlierAttempt, now: float, retention_seconds: float) -> bool:
     """Return whether a claim may be deleted.
 
     A claim older than the retention is deleted once its nonce is proved never to start, so a wrong
--- a/hopstep/domain/fair_queue.py
+++ b/hopstep/domain/fair_queue.py
@@ -131,7 +131,7 @@
         count = self.count_of(tenant)
         return count > 0 and count * len(self._tenant_counts) >= len(self)
 
-    def count_beside(self, entry: QueueEntry) -> int:
+    def count_in_same_queue(self, entry: QueueEntry) -> int:
         """Return the number of queued requests of an entry's tenant and priority."""
         queue = self._priorities.get(entry.priority)
         waiting = queue.tenants.get(entry.tenant) if queue else None
--- a/hopstep/services/claim_sweeper.py
+++ b/hopstep/services/claim_sweeper.py
@@ -9,7 +9,7 @@
 
 from hopstep import log_events
 from hopstep.clock import time_of_day_seconds
-from hopstep.domain.claims import CLAIM_PREFIX, HeldClaim, may_forget
+from hopstep.domain.claims import CLAIM_PREFIX, HeldClaim, may_delete
 from hopstep.exceptions import ServiceError, StoreError
 from hopstep.logs import emit
 from hopstep.ports.engine import EnginePort
@@ -88,7 +88,7 @@
             # Young claims are not fenced: their attempts may be on the way to the engine.
             return False
         earlier = await fence_claim(self._engines, held.claim)
-        if not may_forget(held.claim, earlier, self._wall_clock(), self._retention_seconds):
+        if not may_delete(held.claim, earlier, self._wall_clock(), self._retention_seconds):
             return False
         await self._store.delete(held.key, held.version)
         return True
--- a/hopstep/services/requests/admission.py
+++ b/hopstep/services/requests/admission.py
@@ -152,7 +152,7 @@
 
     def _expected_wait_by_pace(self, entry: QueueEntry) -> float:
         """Return the expected wait by what was let in of the entry's own tenant."""
-        beside = self._queue.count_beside(entry)
+        beside = self._queue.count_in_same_queue(entry)
         if not beside:
             return 0.0
         now = trio.current_time()
@@ -226,7 +226,7 @@
 
     def _forget_pace(self, entry: QueueEntry) -> None:
         """Forget how fast a tenant was let in once nothing of it waits."""
-        if not self._queue.count_beside(entry):
+        if not self._queue.count_in_same_queue(entry):
             self._pace.forget(entry.tenant, entry.priority)
 
     def _recheck_if_due(self) -> None:
--- a/tests/services/test_claims.py
+++ b/tests/services/test_claims.py
@@ -20,7 +20,7 @@
     Claim,
     EarlierAttempt,
     claim_key,
-    may_forget,
+    may_delete,
 )
 from hopstep.exceptions import ErrorCode, Execution, ServiceError, StoreError
 from hopstep.ports.engine import GenerateRequest
@@ -196,4 +196,4 @@
             (EarlierAttempt.UNKNOWN, 1e9, False),
         ):
             with self.subTest(earlier=earlier, age=age):
-                self.assertEqual(may_forget(claim, earlier, 100.0 + age, 10.0), expected)
+                self.assertEqual(may_delete(claim, earlier, 100.0 + age, 10.0), expected)
