--- a/tests/domain/exchanges/rollout_world.py
+++ b/tests/domain/exchanges/rollout_world.py
@@ -1,7 +1,7 @@
-"""Two nodes, a store that may be restored, and an engine: all that the rollout's lease meets.
+"""Model of two nodes, a store that may be restored, and an engine, for the rollout lease.
 
-Steps are small and whole; what takes time is a step of its own, so that any order of steps is an
-order in which answers, writes, restores and pauses may come. A node orders whenever it may.
+Steps are small and atomic; passing time is a step of its own, so any order of steps is a possible
+order of answers, writes, restores and pauses. A node sends an order whenever it may.
 """
 
 import copy
@@ -16,15 +16,15 @@
 )
 from hopstep.domain.store_position import StoreLease, StorePosition
 
-LEASE = 2.0
-WAIT = 1.0
-LONG_LEASE = 1_000.0
-RESERVE = 0.1
+LEASE_SECONDS = 2.0
+WAIT_SECONDS = 1.0
+LONG_LEASE_SECONDS = 1_000.0
+RESERVE_SECONDS = 0.1
 NODES = ("a", "b")
 
 
 class StoredKey(msgspec.Struct, frozen=True):
-    """The rollout's key in the store."""
+    """The key of the rollout lease in the store."""
 
     revision: int
     holder: RolloutHolder
@@ -32,7 +32,7 @@
 
 
 class Store(msgspec.Struct, frozen=True):
-    """The store: conditions look at revisions alone, leases lapse with their keys."""
+    """The store: conditions compare revisions only; keys expire with their leases."""
 
     era: int = 1
     revision: int = 5
@@ -41,26 +41,26 @@
     next_lease: int = 1
     records: tuple[int, ...] = (1, 1)
 
-    def grant(self, now, seconds=LEASE):
+    def grant(self, now, seconds=LEASE_SECONDS):
         leases = (*self.leases, (self.next_lease, now + seconds))
         return msgspec.structs.replace(self, leases=leases, next_lease=self.next_lease + 1)
 
     def keep(self, lease, now):
-        """Renew a lease; None when there is none of that number."""
+        """Return the store with a lease renewed; None when the lease doesn't exist."""
         if lease not in dict(self.leases):
             return None
-        leases = tuple((n, now + LEASE if n == lease else at) for n, at in self.leases)
+        leases = tuple((n, now + LEASE_SECONDS if n == lease else at) for n, at in self.leases)
         return msgspec.structs.replace(self, leases=leases)
 
     def swap(self, expected_revision, holder):
-        """Write the key; None when the condition doesn't hold, or the lease is over."""
+        """Return the store with the key written; None if the condition fails or the lease is over."""
         found = self.key.revision if self.key is not None else 0
         if found != expected_revision or int(holder.lease) not in dict(self.leases):
             return None
         key = StoredKey(self.revision + 1, holder, int(holder.lease))
         return msgspec.structs.replace(self, revision=self.revision + 1, key=key)
 
-    def lapse(self, now):
+    def expire(self, now):
         leases = tuple((n, at) for n, at in self.leases if at > now)
         store = msgspec.structs.replace(self, leases=leases)
         if self.key is None or self.key.lease in dict(leases):
@@ -68,7 +68,7 @@
         return msgspec.structs.replace(store, key=None, revision=self.revision + 1)
 
     def restored(self, era, now):
-        leases = tuple((n, now + LEASE) for n, _ in self.leases)
+        leases = tuple((n, now + LEASE_SECONDS) for n, _ in self.leases)
         return msgspec.structs.replace(self, era=era, leases=leases)
 
     def recorded(self, node):
@@ -78,30 +78,30 @@
 
 
 class Pending(msgspec.Struct, frozen=True):
-    """A write that was sent and not answered."""
+    """A write that was sent and has not reached the store."""
 
     expected_revision: int
     holder: RolloutHolder
 
 
 class World:
-    """One state; ``step`` makes the next one of it."""
+    """One state of the model; ``step`` returns the next one."""
 
     def __init__(self):
         self.now = 0.0
         self.store = Store()
-        self.kept = self.store
-        self.tenures = {node: RolloutLeaseState(node, "x", LEASE) for node in NODES}
+        self.backup = self.store
+        self.lease_states = {node: RolloutLeaseState(node, "x", LEASE_SECONDS) for node in NODES}
         self.views = dict.fromkeys(NODES)
         self.cut = dict.fromkeys(NODES, False)
         self.pending = ()
-        self.ordered_at = dict.fromkeys(NODES, -LEASE)
+        self.ordered_at = dict.fromkeys(NODES, -LEASE_SECONDS)
         self.token = (0, "")
         self.wrong = ""
 
     def actions(self):
-        """Return the steps that change something."""
-        steps = [("wait",), ("copy",), ("restore",)]
+        """Return the steps that are possible in this state."""
+        steps = [("wait",), ("backup",), ("restore",)]
         if self.pending:
             steps.append(("land",))
         for node in NODES:
@@ -109,7 +109,7 @@
             if self.cut[node]:
                 continue
             steps.append(("read", node))
-            if self.tenures[node].is_held:
+            if self.lease_states[node].is_held:
                 steps.append(("renew", node))
             elif self.views[node] is not None:
                 steps += [("take", node), ("send", node)]
@@ -118,7 +118,9 @@
     def step(self, action):
         """Return the state after a step."""
         world = copy.copy(self)
-        world.tenures = {node: copy.copy(tenure) for node, tenure in self.tenures.items()}
+        world.lease_states = {
+            node: copy.copy(lease_state) for node, lease_state in self.lease_states.items()
+        }
         world.views, world.cut = dict(self.views), dict(self.cut)
         world.ordered_at = dict(self.ordered_at)
         getattr(world, f"_{action[0]}")(*action[1:])
@@ -126,14 +128,14 @@
         return world
 
     def _wait(self):
-        self.now += WAIT
-        self.store = self.store.lapse(self.now)
+        self.now += WAIT_SECONDS
+        self.store = self.store.expire(self.now)
 
-    def _copy(self):
-        self.kept = self.store
+    def _backup(self):
+        self.backup = self.store
 
     def _restore(self):
-        self.store = self.kept.restored(self.store.era + 1, self.now)
+        self.store = self.backup.restored(self.store.era + 1, self.now)
 
     def _land(self):
         for write in self.pending:
@@ -144,15 +146,15 @@
         self.cut[node] = not self.cut[node]
 
     def _restart(self, node):
-        self.tenures[node] = RolloutLeaseState(node, "x", LEASE)
+        self.lease_states[node] = RolloutLeaseState(node, "x", LEASE_SECONDS)
         self.views[node] = None
 
     def _read(self, node):
         first = self.views[node] is None
         self.views[node] = self.store
-        self.tenures[node].see_era(self.store.era, self.now)
+        self.lease_states[node].see_era(self.store.era, self.now)
         if first and min(self.store.records) < self.store.era:
-            self.tenures[node].suspect_restore(self.now)
+            self.lease_states[node].suspect_restore(self.now)
         self.store = self.store.recorded(node)
 
     def _claim(self, node):
@@ -160,31 +162,31 @@
         key = None
         if view.key is not None:
             key = RolloutKey(StorePosition(view.era, view.key.revision), view.key.holder)
-        return self.tenures[node].claim(key)
+        return self.lease_states[node].claim(key)
 
     def _take(self, node):
-        claim, tenure = self._claim(node), self.tenures[node]
+        claim, lease_state = self._claim(node), self.lease_states[node]
         if claim is None:
             return
         if claim.resumed is not None:
             kept = self.store.keep(int(claim.resumed.name), self.now)
             self.store = kept or self.store
             if kept is not None and self.store.era == claim.resumed.era:
-                tenure.begin(claim.resumed, claim.expected, self.now, self.now)
+                lease_state.begin(claim.resumed, claim.expected, self.now, self.now)
             return
         lease = self._grant()
-        written = self.store.swap(claim.expected.revision, tenure.holder(lease))
+        written = self.store.swap(claim.expected.revision, lease_state.holder(lease))
         if written is not None:
             self.store = written
             version = StorePosition(self.store.era, self.store.revision)
             if claim.expected.revision == 0 or claim.expected.era == self.store.era:
-                tenure.begin(lease, version, self.now, self.now)
+                lease_state.begin(lease, version, self.now, self.now)
 
     def _send(self, node):
         claim = self._claim(node)
         if claim is None or claim.resumed is not None:
             return
-        holder = self.tenures[node].holder(self._grant())
+        holder = self.lease_states[node].holder(self._grant())
         self.pending = (*self.pending, Pending(claim.expected.revision, holder))
 
     def _grant(self):
@@ -193,40 +195,47 @@
         return lease
 
     def _register(self, _node):
-        self.store = self.store.grant(self.now, LONG_LEASE)
+        self.store = self.store.grant(self.now, LONG_LEASE_SECONDS)
 
     def _renew(self, node):
-        tenure = self.tenures[node]
-        kept = self.store.keep(int(tenure.lease.name), self.now)
+        lease_state = self.lease_states[node]
+        kept = self.store.keep(int(lease_state.lease.name), self.now)
         self.store = kept or self.store
-        if kept is not None and self.store.era == tenure.lease.era:
-            tenure.renew(self.now)
+        if kept is not None and self.store.era == lease_state.lease.era:
+            lease_state.renew(self.now)
         else:
-            tenure.end()
+            lease_state.end()
 
     def _order(self):
-        """Let every node order that may, and look whether it should."""
-        for node, tenure in self.tenures.items():
-            if not tenure.may_order(self.now, RESERVE):
+        """Let every node order that may, and check that the orders are safe."""
+        for node, lease_state in self.lease_states.items():
+            if not lease_state.may_order(self.now, RESERVE_SECONDS):
                 continue
             others = [at for other, at in self.ordered_at.items() if other != node]
-            if self.now - max(others) < LEASE:
-                self.wrong = "two nodes ordered within one lease time"
-            token = fencing_token(tenure.version)
+            if self.now - max(others) < LEASE_SECONDS:
+                self.wrong = "two nodes ordered within one lease duration"
+            token = fencing_token(lease_state.version)
             if token < self.token[0] or (token == self.token[0] and node != self.token[1]):
-                self.wrong = "a token fell, or was that of another node"
+                self.wrong = "a fencing token decreased or was used by two nodes"
             self.ordered_at[node] = self.now
             self.token = (token, node)
 
     def key(self):
-        """Return what makes this state another one than others, whatever the time is."""
-        parts = [self.store, self.kept, self.pending, self.token]
+        """Return a key that identifies this state independently of the time."""
+        parts = [self.store, self.backup, self.pending, self.token]
         for node in NODES:
-            tenure = self.tenures[node]
-            times = (tenure.valid_until, tenure._order_from, tenure._restored_at)
-            since = tuple(max(-3.0 * LEASE, at - self.now) for at in times)
-            ordered = max(-LEASE, self.ordered_at[node] - self.now)
-            parts += [tenure.lease, tenure.version, tenure._holding, tenure._era, since, ordered]
+            lease_state = self.lease_states[node]
+            times = (lease_state.valid_until, lease_state._order_from, lease_state._restored_at)
+            since = tuple(max(-3.0 * LEASE_SECONDS, at - self.now) for at in times)
+            ordered = max(-LEASE_SECONDS, self.ordered_at[node] - self.now)
+            parts += [
+                lease_state.lease,
+                lease_state.version,
+                lease_state._holding,
+                lease_state._era,
+                since,
+                ordered,
+            ]
             parts += [self.views[node], self.cut[node]]
         return tuple(_relative(part, self.now) for part in parts)
 
--- a/tests/domain/exchanges/test_attempt_rules.py
+++ b/tests/domain/exchanges/test_attempt_rules.py
@@ -21,7 +21,7 @@
 
 
 class DecideStepTest(unittest.TestCase):
-    def test_every_state_keeps_what_must_hold(self):
+    def test_every_state_keeps_the_invariants(self):
         flags = (False, True)
         for idempotent, resumable, started, ran, budget, attempts, left in itertools.product(
             flags, flags, flags, flags, flags, (0, 1, 2, 3), (0.0, 1.0)
@@ -52,6 +52,6 @@
             self.assertTrue(state.resumable)
         self.assertEqual(step in (NextStep.RESUME, NextStep.CUT), state.answer_started)
 
-    def test_what_was_never_sent_goes_on_elsewhere_without_a_budget(self):
+    def test_a_request_that_was_never_sent_is_retried_without_a_budget(self):
         state = progress(attempts=0, max_attempts=1, within_budget=False)
         self.assertIs(decide_step(state), NextStep.RETRY)
--- a/tests/domain/exchanges/test_engine_contents.py
+++ b/tests/domain/exchanges/test_engine_contents.py
@@ -34,44 +34,44 @@
         self.contents = EngineContents(0.0)
         self.contents.take((), self.index, 0.0)
 
-    def test_a_dropped_segment_is_told(self):
+    def test_a_dropped_segment_is_reported(self):
         self.index.record(keys("a", "b"), 1.0)
         found = self.contents.take([event("a"), event("b"), event("b", 0)], self.index, 2.0)
         self.assertEqual((found.kept, found.dropped), ((), digests("b")))
 
-    def test_a_segment_that_was_dropped_and_read_again_is_kept(self):
+    def test_a_segment_that_was_dropped_and_prefilled_again_needs_no_correction(self):
         self.index.record(keys("a"), 1.0)
         found = self.contents.take([event("a"), event("a", 0), event("a")], self.index, 2.0)
         self.assertTrue(found.is_empty)
 
-    def test_what_was_dropped_and_is_read_again_is_told(self):
+    def test_a_reported_drop_is_withdrawn_when_the_segment_is_cached_again(self):
         self.index.record(keys("a"), 1.0)
         self.index.drop(self.contents.take([event("a", 0)], self.index, 2.0).dropped)
         found = self.contents.take([event("a")], self.index, 2.2)
         self.assertEqual((found.kept, found.dropped), (keys("a"), ()))
 
-    def test_a_late_event_says_nothing_of_what_was_sent_since(self):
+    def test_a_late_event_does_not_drop_segments_sent_since(self):
         self.contents.take([event("a")], self.index, 1.0)
         self.index.record(keys("a"), 5.0)
         for now in (4.9, 5.0 + EVENT_DELAY_SECONDS / 2):
             found = self.contents.take([event("a", 0)], self.index, now)
             self.assertTrue(found.is_empty)
 
-    def test_what_no_event_has_reported_in_time_is_not_kept(self):
+    def test_a_segment_that_no_event_reports_in_time_is_dropped(self):
         self.index.record(keys("a", "b"), 1.0)
         self.contents.take([event("b")], self.index, 1.5)
         self.assertTrue(self.contents.take((), self.index, 1.0 + CONFIRMED_SECONDS).is_empty)
         found = self.contents.take((), self.index, 1.1 + CONFIRMED_SECONDS)
         self.assertEqual(found.dropped, digests("a"))
 
-    def test_a_gap_leaves_what_was_sent_before_it(self):
+    def test_segments_sent_before_a_gap_stay_in_the_index(self):
         self.index.record(keys("before"), 1.0)
         self.contents.note_gap(2.0)
         self.index.record(keys("after"), 2.5)
         found = self.contents.take((), self.index, 9.0)
         self.assertEqual(found.dropped, digests("after"))
 
-    def test_the_first_reading_tells_what_is_kept(self):
+    def test_the_first_reading_reports_cached_segments(self):
         contents = EngineContents(5.0)
         self.index.record(keys("a"), 1.0)
         found = contents.take([event("a"), event("b")], self.index, 6.0)
@@ -88,9 +88,9 @@
 
 
 class FollowedEngineTest(unittest.TestCase):
-    """A picture that is corrected by events ends with what a small engine keeps."""
+    """An index that is corrected by events ends with the cache contents of a small engine."""
 
-    def test_the_picture_ends_with_what_the_engine_keeps(self):
+    def test_the_index_ends_with_the_cache_contents_of_the_engine(self):
         for seed in range(40):
             with self.subTest(seed=seed):
                 self.check(random.Random(seed))
@@ -100,7 +100,7 @@
         contents = EngineContents(0.0)
         engine = OrderedDict()
         events = deque()
-        room = generator.randrange(2, 12)
+        capacity = generator.randrange(2, 12)
         now = 0.0
         for _ in range(300):
             now += generator.random() * 0.2
@@ -108,7 +108,7 @@
             ran = generator.random() < 0.9
             index.record(keys(name), now)
             if ran:
-                self.use(engine, name, room, events, now)
+                self.use(engine, name, capacity, events, now)
             self.read(contents, index, events, now, EVENT_DELAY_SECONDS / 2)
         now += CONFIRMED_SECONDS + 1.0
         self.read(contents, index, events, now, 0.0)
@@ -116,18 +116,18 @@
         self.assertLessEqual(known, set(engine))
         self.assertGreaterEqual(len(known), len(engine) - 1)
 
-    def use(self, engine, name, room, events, now):
-        """Read a segment, or find it kept; the least recently used gives way."""
+    def use(self, engine, name, capacity, events, now):
+        """Prefill a segment or find it cached; evict the least recently used ones."""
         if name not in engine:
             events.append((now, event(name)))
         engine[name] = True
         engine.move_to_end(name)
-        while len(engine) > room:
-            gone, _ = engine.popitem(last=False)
-            events.append((now, event(gone, 0)))
+        while len(engine) > capacity:
+            evicted, _ = engine.popitem(last=False)
+            events.append((now, event(evicted, 0)))
 
     def read(self, contents, index, events, now, delay):
-        """Read the events that are older than a delay, and correct the picture."""
+        """Read the events that are older than a delay, and correct the index."""
         due = []
         while events and events[0][0] <= now - delay:
             due.append(events.popleft()[1])
--- a/tests/domain/exchanges/test_event_stream.py
+++ b/tests/domain/exchanges/test_event_stream.py
@@ -16,7 +16,7 @@
 
 class EventFramerTest(unittest.TestCase):
     @given(st.integers(1, 8), st.lists(st.integers(1, 40)))
-    def test_any_cutting_gives_the_same_whole_events(self, count, cuts):
+    def test_any_split_gives_the_same_complete_events(self, count, cuts):
         data = b"".join(event(number) for number in range(count))
         framer = EventFramer()
         out = b""
@@ -31,7 +31,7 @@
         self.assertFalse(framer.has_partial)
 
     @given(st.integers(0, 5), st.integers(1, 20))
-    def test_another_instance_goes_on_after_the_last_whole_event(self, whole, cut):
+    def test_another_instance_resumes_after_the_last_complete_event(self, whole, cut):
         framer = EventFramer()
         out = b"".join(framer.feed(event(number)) for number in range(whole))
         out += framer.feed(event(whole)[:cut])
@@ -61,12 +61,12 @@
             EventFramer(last_id=3).feed(event(3))
         self.assertEqual(EventFramer(last_id=3).feed(event(4)), event(4))
 
-    def test_an_event_that_never_ends_is_refused(self):
+    def test_an_event_that_is_too_long_is_refused(self):
         framer = EventFramer()
         with self.assertRaises(StreamOrderError):
             framer.feed(b"x" * (MAX_EVENT_BYTES + 1))
 
-    def test_a_partial_event_is_told(self):
+    def test_a_partial_event_is_reported(self):
         framer = EventFramer()
         framer.feed(event(0) + b"id: 1\nda")
         self.assertTrue(framer.has_partial)
--- a/tests/domain/exchanges/test_freshness.py
+++ b/tests/domain/exchanges/test_freshness.py
@@ -1,4 +1,4 @@
-"""Limits on silence leave enough of the operators' bound for a change to arrive."""
+"""The limits on time without answers leave enough of the bound for a change to arrive."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 BOUNDS = (2.0, 3.0, 4.0, 30.0)
 CALL_SECONDS = 0.25
-"""A check of the silence, a new connection and an answer of the store."""
+"""Time for a check of the last answer, a new connection and an answer of the store."""
 
 
 class FreshnessLimitsTest(unittest.TestCase):
@@ -18,7 +18,7 @@
         for bound in BOUNDS:
             self.assertLess(freshness_limits(bound).own_reading + CALL_SECONDS, bound)
 
-    def test_a_loss_is_noticed_before_a_node_trusts_no_other(self):
+    def test_a_loss_is_noticed_before_a_node_stops_relying_on_others(self):
         for bound in BOUNDS:
             limits = freshness_limits(bound)
             self.assertLess(limits.answer_interval + ANSWER_SLACK_SECONDS / 2, limits.silence)
--- a/tests/domain/exchanges/test_load_ledger.py
+++ b/tests/domain/exchanges/test_load_ledger.py
@@ -1,4 +1,4 @@
-"""Sums of reports, against sums made anew."""
+"""Incremental sums of reports, compared with sums computed from scratch."""
 
 import random
 import unittest
@@ -18,19 +18,19 @@
         ledger.report("a", (InstanceLoad("j", 1),), 1.1)
         self.assertEqual(ledger.totals(1.1), {"j": InstanceLoad("j", 1)})
 
-    def test_old_reports_are_forgotten(self):
+    def test_old_reports_are_dropped(self):
         ledger = LoadLedger()
         ledger.report("a", (InstanceLoad("i", 3),), 1.0)
         self.assertEqual(ledger.totals(1.0 + REPORT_SECONDS + 0.01), {})
 
-    def test_a_node_is_left_out_of_what_it_is_told(self):
+    def test_the_sums_for_a_node_leave_out_its_own_report(self):
         ledger = LoadLedger()
         ledger.report("a", (InstanceLoad("i", 3, 7, 1),), 1.0)
         ledger.report("b", (InstanceLoad("i", 2),), 1.0)
         self.assertEqual(ledger.totals(1.0, without="a"), {"i": InstanceLoad("i", 2)})
         self.assertEqual(ledger.totals(1.0), {"i": InstanceLoad("i", 5, 7, 1)})
 
-    def test_sums_equal_those_made_anew(self):
+    def test_sums_equal_those_computed_from_scratch(self):
         generator = random.Random(3)
         ledger = LoadLedger()
         reports = {}
@@ -46,7 +46,7 @@
             reports[node] = (now, loads)
             ledger.report(node, loads, now)
             expected = {}
-            for at, told in reports.values():
+            for at, reported in reports.values():
                 if now - at <= REPORT_SECONDS:
-                    add_loads(expected, told)
+                    add_loads(expected, reported)
             self.assertEqual(ledger.totals(now), expected)
--- a/tests/domain/exchanges/test_nodes.py
+++ b/tests/domain/exchanges/test_nodes.py
@@ -1,4 +1,4 @@
-"""Which nodes relay, and whom a node asks when some are silent."""
+"""Which nodes are relays, and which nodes a node asks when some are unresponsive."""
 
 import unittest
 
@@ -29,7 +29,7 @@
     return result
 
 
-def silence(plan, name):
+def make_unresponsive(plan, name):
     for _ in range(MAX_UNANSWERED):
         plan.note_asked(name)
 
@@ -50,14 +50,14 @@
             self.assertEqual(len(own), count)
             self.assertEqual(asked, own)
 
-    def test_larger_nodes_relay(self):
+    def test_larger_nodes_are_relays(self):
         records = fleet({"x": 20}, large={"x-7"})
         self.assertEqual(plans(records)["x-3"].relay(), "x-7")
 
-    def test_a_silent_relay_is_left_and_asked_again_once_it_is_heard(self):
+    def test_an_unresponsive_relay_is_replaced_until_it_sends_a_message(self):
         plan = plans(fleet({"x": 20}))["x-3"]
         relay = plan.relay()
-        silence(plan, relay)
+        make_unresponsive(plan, relay)
         self.assertNotIn(plan.relay(), ("", relay))
         plan.note_message(relay)
         self.assertEqual(plan.relay(), relay)
@@ -67,19 +67,19 @@
         left = []
         while plan.relay():
             left.append(plan.relay())
-            silence(plan, left[-1])
+            make_unresponsive(plan, left[-1])
         self.assertLessEqual(len(left), 3)
 
-    def test_a_silent_relay_is_probed_from_time_to_time(self):
+    def test_an_unresponsive_relay_is_probed_from_time_to_time(self):
         plan = plans(fleet({"x": 20}))["x-3"]
         relay = plan.relay()
         self.assertEqual(plan.probe(10.0), "")
-        silence(plan, relay)
+        make_unresponsive(plan, relay)
         self.assertEqual(plan.probe(10.0), relay)
         self.assertEqual(plan.probe(10.1), "")
         self.assertEqual(plan.probe(10.0 + PROBE_SECONDS), relay)
 
-    def test_a_relay_without_the_store_is_left_for_one_that_has_it(self):
+    def test_a_relay_without_the_store_is_replaced_by_one_that_has_it(self):
         plan = plans(fleet({"x": 2 * NODES_PER_RELAY}))["x-3"]
         relay = plan.relay()
         plan.note_store(relay, lost=True)
@@ -89,7 +89,7 @@
         plan.note_store(relay, lost=False)
         self.assertEqual(plan.relay(), relay)
 
-    def test_a_relay_without_the_store_still_tells_loads_when_no_other_answers(self):
+    def test_a_relay_without_the_store_is_asked_for_loads_when_no_other_answers(self):
         plan = plans(fleet({"x": 2}))
         member = next(p for p in plan.values() if p.relay())
         relay = member.relay()
@@ -108,7 +108,7 @@
                 readers.add(name)
         self.assertEqual(len(readers - relays), 1)
 
-    def test_a_node_that_is_gone_is_forgotten_with_what_it_had_lost(self):
+    def test_the_state_of_a_removed_node_is_dropped(self):
         records = fleet({"x": 5})
         plan = plans(records)["x-3"]
         relay = plan.relay()
@@ -118,7 +118,7 @@
         self.assertEqual(plan.relay(), relay)
         self.assertTrue(plan.has_source)
 
-    def test_other_ways_to_the_store_take_turns_and_never_end_at_the_node_itself(self):
+    def test_other_routes_to_the_store_take_turns_and_never_include_the_node_itself(self):
         records = fleet({"x": 3, "y": 3, "z": 3})
         for name, plan in plans(records).items():
             found = {other for turn in range(20) for other in plan.readers_elsewhere(turn)}
@@ -132,17 +132,17 @@
         found = {other for turn in range(20) for other in known[relay].readers_elsewhere(turn)}
         self.assertEqual(found, {n for n, p in known.items() if p.is_stand_in} - {relay})
 
-    def test_digests_go_to_each_zones_relays_and_past_silent_ones(self):
+    def test_digests_go_to_each_zones_relays_and_stand_ins_of_unresponsive_ones(self):
         records = fleet({"x": 5, "y": 5})
         known = plans(records)
         relay = next(n for n, plan in known.items() if n[0] == "x" and not plan.relay())
         plan = known[relay]
         targets = plan.digest_targets()
         self.assertEqual([name[0] for name in targets], ["y"])
-        silence(plan, targets[0])
+        make_unresponsive(plan, targets[0])
         self.assertEqual(len(plan.digest_targets()), 2)
 
-    def test_a_node_that_is_gone_is_asked_no_more(self):
+    def test_a_removed_node_is_not_asked(self):
         records = fleet({"x": 5})
         plan = plans(records)["x-3"]
         relay = plan.relay()
--- a/tests/domain/exchanges/test_repeat_budget.py
+++ b/tests/domain/exchanges/test_repeat_budget.py
@@ -35,7 +35,7 @@
             ]
             self.assertLessEqual(len(window), BOUNDS.ratio * len(asked) + BOUNDS.extra)
 
-    def test_a_node_among_many_has_its_part_of_what_is_always_allowed(self):
+    def test_a_node_among_many_has_its_part_of_the_constant(self):
         budget = RepeatBudget(BOUNDS)
         allowed = 0
         while budget.allows(1.0, 7):
@@ -44,7 +44,7 @@
         self.assertGreater(allowed, 0)
         self.assertLessEqual(7 * allowed, BOUNDS.extra)
 
-    def test_what_has_left_the_window_counts_no_longer(self):
+    def test_repeats_before_the_window_do_not_count(self):
         budget = RepeatBudget(BOUNDS)
         while budget.allows(1.0, 1):
             budget.record_repeat(1.0)
--- a/tests/domain/exchanges/test_retry_after.py
+++ b/tests/domain/exchanges/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When refused clients should come back, by what is observed."""
+"""When refused clients should retry, by what a node observes."""
 
 import unittest
 
@@ -17,7 +17,7 @@
     def advice(self, code, draw=0.0, **facts):
         return advise(RefusalFacts(code, **facts), draw)
 
-    def test_clients_of_a_node_that_stops_or_is_cut_off_alone_go_to_another_at_once(self):
+    def test_clients_of_a_stopping_or_isolated_node_go_to_another_node_at_once(self):
         for facts in (
             {"code": ErrorCode.STOPPING},
             {"code": ErrorCode.ISOLATED, "store_silence_seconds": 5.0},
@@ -26,7 +26,7 @@
             found = self.advice(**facts)
             self.assertEqual((found.reason, found.seconds), (RetryReason.OTHER_NODE, 0.03))
 
-    def test_an_outage_of_the_store_for_all_is_waited_for_the_longer_it_lasts(self):
+    def test_the_wait_in_a_store_outage_for_all_nodes_grows_with_its_duration(self):
         waits = [
             self.advice(
                 ErrorCode.ISOLATED, others_answer=True, store_silence_seconds=silence
@@ -44,7 +44,7 @@
         found = self.advice(ErrorCode.OVERLOADED, loading_seconds=0.7)
         self.assertEqual((found.reason, found.seconds), (RetryReason.LOADING, 0.7))
 
-    def test_entries_that_come_back_are_looked_for_soon(self):
+    def test_the_wait_for_expired_entries_is_short(self):
         for left, seconds in ((2.0, DEFAULT_SECONDS), (0.1, 0.1)):
             found = self.advice(ErrorCode.OVERLOADED, relisting_seconds=left)
             self.assertEqual((found.reason, found.seconds), (RetryReason.RELISTING, seconds))
@@ -52,11 +52,11 @@
     def test_without_any_observation_there_is_a_fixed_wait(self):
         self.assertEqual(self.advice(ErrorCode.OVERLOADED).seconds, DEFAULT_SECONDS)
 
-    def test_clients_are_spread_the_more_were_told_the_same(self):
+    def test_clients_are_spread_more_after_more_equal_refusals(self):
         widths = [
-            self.advice(ErrorCode.OVERLOADED, draw=1.0, recent_refusals=told).seconds
+            self.advice(ErrorCode.OVERLOADED, draw=1.0, recent_refusals=count).seconds
             - DEFAULT_SECONDS
-            for told in (0, 5, 500)
+            for count in (0, 5, 500)
         ]
         self.assertLess(widths[0], widths[1])
         self.assertLess(widths[1], widths[2])
--- a/tests/domain/exchanges/test_rollout_tenure.py
+++ b/tests/domain/exchanges/test_rollout_tenure.py
@@ -1,4 +1,4 @@
-"""The rollout's lease, step by step, in every order up to a depth, and in long random orders."""
+"""The rollout lease in all orders of steps up to a depth, and in long random orders."""
 
 import random
 import unittest
@@ -9,21 +9,21 @@
 from tests.domain.exchanges.rollout_world import NODES, World
 
 DEPTH = 6
-"""Steps of every order that is tried, from each of the starts."""
+"""Length of the orders that are tried from each start."""
 
 WALKS = 300
 WALK_STEPS = 60
 SETTLING_STEPS = 14
-"""After everything is healed: within so many waits some node may order again."""
+"""Waits after the end of all faults within which some node must be able to order again."""
 
 HOLDING = (("read", "a"), ("take", "a"), ("wait",), ("renew", "a"), ("wait",), ("renew", "a"))
 STARTS = {
     "nobody holds it": (),
     "one holds it": (*HOLDING, ("read", "b")),
-    "one holds it, and a copy shows it": (*HOLDING, ("read", "b"), ("copy",), ("renew", "a")),
-    "one has held it, another holds it, a copy shows the first": (
+    "one holds it, and a backup shows it": (*HOLDING, ("read", "b"), ("backup",), ("renew", "a")),
+    "one has held it, another holds it, a backup shows the first": (
         *HOLDING,
-        ("copy",),
+        ("backup",),
         ("cut", "a"),
         ("wait",),
         ("wait",),
@@ -36,14 +36,14 @@
     ),
 }
 LATE_WRITE = (
-    ("copy",),
+    ("backup",),
     ("read", "a"),
     ("send", "a"),
     ("restore",),
     ("register", "b"),
     ("land",),
 )
-"""A key bound to a lease whose number is another node's by the time it is written."""
+"""A key bound to a lease whose number belongs to another node by the time the key is written."""
 
 
 def started(steps):
@@ -54,7 +54,7 @@
 
 
 def search(start, depth):
-    """Return the steps to a wrong state, or None; breadth first, each state once."""
+    """Return the steps to a wrong state, or None; breadth-first, each state once."""
     world = started(start)
     seen = {world.key()}
     level = [(world, ())]
@@ -85,7 +85,7 @@
 
 
 def settle(world, nodes=NODES):
-    """Heal some nodes, and return whether one of them may order before long."""
+    """Reconnect some nodes, and return whether one may order within ``SETTLING_STEPS`` waits."""
     for node in nodes:
         if world.cut[node]:
             world = world.step(("cut", node))
@@ -93,22 +93,24 @@
         world = world.step(("wait",))
         for node in nodes:
             world = world.step(("read", node))
-            held = world.tenures[node].is_held
+            held = world.lease_states[node].is_held
             world = world.step(("renew" if held else "take", node))
         if world.wrong:
             return False
-        if any(tenure.may_order(world.now, 0.1) for tenure in world.tenures.values()):
+        if any(
+            lease_state.may_order(world.now, 0.1) for lease_state in world.lease_states.values()
+        ):
             return True
     return False
 
 
-class RolloutTenureTest(unittest.TestCase):
-    def test_no_order_of_steps_lets_two_nodes_order_or_a_token_fall(self):
+class RolloutLeaseStateTest(unittest.TestCase):
+    def test_no_order_of_steps_lets_two_nodes_order_or_a_token_decrease(self):
         for name, start in STARTS.items():
             with self.subTest(name):
                 self.assertIsNone(search(start, DEPTH))
 
-    def test_no_long_walk_does_and_an_order_is_possible_again_after_it(self):
+    def test_long_walks_are_safe_and_an_order_is_possible_again_after_them(self):
         for seed in range(round(WALKS * fuzz_settings.factor())):
             world = walk(seed, WALK_STEPS)
             self.assertEqual(world.wrong, "", seed)
@@ -120,8 +122,8 @@
         self.assertTrue(settle(world, ("b",)))
 
 
-class TeethTest(unittest.TestCase):
-    """Without a part of it the search finds what it prevents, and settling what it heals."""
+class WrongVariantsTest(unittest.TestCase):
+    """With a part of the rules disabled, the search finds a wrong state, or settling fails."""
 
     def check_found(self):
         walks = (walk(seed, WALK_STEPS).wrong for seed in range(10 * WALKS))
@@ -131,26 +133,26 @@
         with mock.patch("tests.domain.exchanges.rollout_world.fencing_token", _revision):
             self.check_found()
 
-    def test_renewals_that_count_in_another_era(self):
+    def test_renewals_that_are_valid_in_another_era(self):
         with mock.patch.object(World, "_renew", _renew_in_any_era):
             self.check_found()
 
-    def test_no_wait_for_a_holder_of_before_the_restore(self):
+    def test_no_wait_for_the_holder_before_a_restore(self):
         with mock.patch.object(RolloutLeaseState, "suspect_restore", lambda *_: None):
             self.check_found()
 
-    def test_keys_of_earlier_eras_that_hold(self):
+    def test_keys_that_are_valid_in_later_eras(self):
         with mock.patch.object(RolloutKey, "is_void", False):
             self.assertFalse(settle(started(LATE_WRITE), ("b",)))
 
 
 def _renew_in_any_era(self, node):
-    kept = self.store.keep(int(self.tenures[node].lease.name), self.now)
+    kept = self.store.keep(int(self.lease_states[node].lease.name), self.now)
     self.store = kept or self.store
     if kept is not None:
-        self.tenures[node].renew(self.now)
+        self.lease_states[node].renew(self.now)
     else:
-        self.tenures[node].end()
+        self.lease_states[node].end()
 
 
 def _revision(version):
--- a/tests/domain/exchanges/test_selection.py
+++ b/tests/domain/exchanges/test_selection.py
@@ -30,14 +30,14 @@
 
 
 class ChooseEngineTest(unittest.TestCase):
-    def test_the_engine_that_keeps_the_segments_is_chosen(self):
+    def test_the_engine_with_cached_segments_is_chosen(self):
         views = [view(str(number)) for number in range(5)]
         views[3].segments.record(KEYS)
         chosen = choose(views)
         self.assertIs(chosen.view, views[3])
         self.assertEqual((chosen.uncached_tokens, chosen.source), (0, ""))
 
-    def test_a_loaded_engine_gives_way_and_its_segments_are_brought(self):
+    def test_a_loaded_engine_is_avoided_and_its_segments_are_moved(self):
         views = [view("0"), view("1")]
         views[0].segments.record(KEYS)
         views[0].pending_tokens = 60_000
@@ -45,7 +45,7 @@
         self.assertIs(chosen.view, views[1])
         self.assertEqual((chosen.source, chosen.uncached_tokens), ("10.0.0.1:0", 0))
 
-    def test_peers_load_counts_until_it_is_old(self):
+    def test_the_load_of_other_nodes_counts_until_it_is_old(self):
         views = [view("0"), view("1")]
         views[0].set_load_of_others(InstanceLoad("0", 9, 50_000), NOW - 0.1)
         self.assertIs(choose(views).view, views[1])
@@ -53,7 +53,7 @@
         views[1].set_load_of_others(InstanceLoad("1", 9, 50_000), NOW - 0.1)
         self.assertIs(choose(views).view, views[0])
 
-    def test_nothing_is_brought_from_an_engine_with_other_weights(self):
+    def test_nothing_is_moved_from_an_engine_with_other_weights(self):
         views = [view("0"), view("1", version=2)]
         views[1].segments.record(KEYS)
         views[1].pending_tokens = 90_000
@@ -61,24 +61,24 @@
         self.assertIs(chosen.view, views[0])
         self.assertEqual(chosen.source, "")
 
-    def test_a_cache_store_serves_what_no_engine_keeps(self):
+    def test_a_cache_store_serves_segments_that_no_engine_has_cached(self):
         store = StoreSource("10.9.0.1:1", "z2", 1e-6, lambda _view: 7_000)
         chosen = choose([view("0")], stores=(store,))
         self.assertEqual((chosen.source, chosen.uncached_tokens), ("10.9.0.1:1", 500))
 
-    def test_a_near_source_goes_before_a_far_one(self):
+    def test_a_source_in_the_same_zone_is_preferred(self):
         views = [view("0"), view("far", zone="z2"), view("near")]
         for source in views[1:]:
             source.segments.record(KEYS)
             source.pending_tokens = 90_000
         self.assertEqual(choose(views).source, "10.0.0.1:near")
 
-    def test_long_prompts_keep_away_from_engines_that_decode_much(self):
+    def test_long_prompts_avoid_engines_that_decode_many_requests(self):
         views = [view("0"), view("1")]
         views[0].active = 20
         self.assertIs(choose(views).view, views[1])
 
-    def test_engines_of_the_own_zone_go_first_among_equals(self):
+    def test_engines_of_the_own_zone_are_preferred_among_equals(self):
         views = [view(str(number), zone=f"z{number}") for number in range(4)]
         chosen = choose_engine(
             views,
@@ -89,7 +89,7 @@
         )
         self.assertIs(chosen.view, views[2])
 
-    def test_engines_with_older_weights_give_way_unless_the_others_are_busy(self):
+    def test_engines_with_older_weights_are_avoided_unless_the_others_are_busy(self):
         views = [view("0"), view("1", version=2)]
         preferring = EngineRequest(lambda _view: KEYS, MODEL, TOKENS, 1e-6, preferred_version=2)
         chosen = choose_engine(views, views, preferring, NOW, random.Random(1))
@@ -98,7 +98,7 @@
         chosen = choose_engine(views, views, preferring, NOW, random.Random(1))
         self.assertIs(chosen.view, views[0])
 
-    def test_an_engine_that_other_nodes_avoid_gives_way(self):
+    def test_an_engine_that_other_nodes_avoid_is_not_preferred(self):
         views = [view("0"), view("1")]
         for first, second in (views, views[::-1]):
             first.set_load_of_others(InstanceLoad(first.instance.instance_id, avoided_by=2), NOW)
@@ -115,7 +115,7 @@
         views[0].active = views[1].active = 2
         self.assertIs(choose_server(views, NOW, random.Random(1)).view, views[1])
 
-    def test_servers_of_the_own_zone_go_first_among_equals(self):
+    def test_servers_of_the_own_zone_are_preferred_among_equals(self):
         views = [view(str(number), zone=f"z{number}") for number in range(4)]
         chosen = choose_server(views, NOW, random.Random(1), "z3", 0.02)
         self.assertIs(chosen.view, views[3])
@@ -129,8 +129,8 @@
         self.assertIs(choose_server(views, NOW, random.Random(1)).view, views[2])
 
 
-class SegmentPictureTest(unittest.TestCase):
-    def test_a_segment_counts_only_behind_those_before_it(self):
+class SegmentIndexTest(unittest.TestCase):
+    def test_a_segment_counts_only_after_all_segments_before_it(self):
         index = SegmentIndex(100_000)
         index.record(KEYS[1:])
         self.assertEqual(index.cached_tokens(KEYS), 0)
@@ -143,7 +143,7 @@
         for salt in ("2.", "1.t"):
             self.assertEqual(index.cached_tokens(segment_keys(MODEL, salt, SEGMENTS)), 0)
 
-    def test_the_least_recently_used_give_way(self):
+    def test_the_least_recently_used_are_evicted(self):
         index = SegmentIndex(10_000)
         for number in range(20):
             index.record(segment_keys(MODEL, "1.", (PromptSegment(str(number), 1_000),)))
@@ -153,7 +153,7 @@
 
 
 class InstanceViewTest(unittest.TestCase):
-    def test_failures_in_a_row_suspend_for_longer_and_a_success_ends_it(self):
+    def test_consecutive_failures_suspend_for_longer_and_a_success_ends_it(self):
         server = view("0")
         server.failed(NOW, unreachable=True)
         first = server.suspended_until - NOW
@@ -163,7 +163,7 @@
         server.succeeded(0.1)
         self.assertTrue(server.is_usable(NOW))
 
-    def test_new_weights_empty_the_picture(self):
+    def test_new_weights_clear_the_index(self):
         engine = view("0")
         engine.segments.record(KEYS)
         engine.learn_version(MODEL, 2)
--- a/tests/domain/exchanges/test_sent_log.py
+++ b/tests/domain/exchanges/test_sent_log.py
@@ -1,4 +1,4 @@
-"""Each reader gets items of others once, newest kept."""
+"""Each reader gets the items of others once; the newest are kept."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class SentLogTest(unittest.TestCase):
-    def test_a_reader_gets_what_others_told_since_its_position(self):
+    def test_a_reader_gets_the_items_of_others_since_its_position(self):
         log = SentLog("l")
         _, position = log.after("", 0, "a", 10)
         for origin, item in (("a", 1), ("b", 2), ("c", 3)):
@@ -15,12 +15,12 @@
         self.assertEqual(items, (2, 3))
         self.assertEqual(log.after("l", position, "a", 10)[0], ())
 
-    def test_positions_of_another_log_mean_nothing(self):
+    def test_positions_of_another_log_are_ignored(self):
         log = SentLog("l")
         log.append("b", 1)
         self.assertEqual(log.after("other", 0, "a", 10), ((), 1))
 
-    def test_the_newest_are_told_when_there_are_too_many(self):
+    def test_the_newest_are_returned_when_there_are_too_many(self):
         log = SentLog("l")
         for number in range(MAX_KEPT + 50):
             log.append("b", number)
--- a/tests/domain/exchanges/test_store_contact.py
+++ b/tests/domain/exchanges/test_store_contact.py
@@ -20,14 +20,14 @@
             (contact.read_at, contact.reported_at, contact.last_answer_at), (101.0, 103.0, 103.0)
         )
 
-    def test_a_short_silence_is_no_absence(self):
+    def test_a_short_time_without_answers_is_no_outage(self):
         contact = self.contact(101.0)
         contact.note_unanswered(102.0)
         contact.note_return(101.0 + AWAY_SECONDS)
         self.assertIsNone(contact.relisting_seconds(103.0))
         self.assertLess(contact.away_until, 0.0)
 
-    def test_an_absence_has_lasted_until_the_last_call_that_failed(self):
+    def test_an_outage_has_lasted_until_the_last_call_that_failed(self):
         contact = self.contact(101.0)
         contact.note_unanswered(104.0)
         contact.note_unanswered(103.0)
@@ -36,7 +36,7 @@
         self.assertEqual(contact.relisting_seconds(105.5), RELISTING_SECONDS - 0.5)
         self.assertIsNone(contact.relisting_seconds(105.0 + RELISTING_SECONDS))
 
-    def test_a_silence_in_which_no_call_failed_shows_no_absence(self):
+    def test_a_time_without_answers_and_failed_calls_shows_no_outage(self):
         contact = self.contact(101.0)
         contact.note_unanswered(100.5)
         contact.note_return(110.0)
--- a/tests/domain/exchanges/test_store_contents.py
+++ b/tests/domain/exchanges/test_store_contents.py
@@ -33,25 +33,25 @@
         self.assertEqual(self.tokens(contents), 0)
         self.assertEqual(self.tokens(self.contents(kept("a")), "2."), 0)
 
-    def test_nothing_counts_while_the_store_is_out_of_reach(self):
+    def test_nothing_counts_while_the_store_is_unreachable(self):
         contents = self.contents(kept("a"))
         contents.reachable = False
         self.assertEqual(self.tokens(contents), 0)
         self.assertFalse(contents.claim_push(KEYS, 0.0))
 
-    def test_a_segment_is_saved_once_in_a_while(self):
+    def test_a_segment_is_saved_again_only_after_some_time(self):
         contents = self.contents()
         self.assertTrue(contents.claim_push(KEYS, 5.0))
         self.assertFalse(contents.claim_push(KEYS, 5.0 + PUSH_SECONDS / 2))
         self.assertTrue(contents.claim_push(KEYS, 5.0 + PUSH_SECONDS))
 
-    def test_what_is_kept_is_not_saved_again(self):
+    def test_stored_segments_are_not_saved_again(self):
         contents = self.contents(kept("a"), kept("b"))
         self.assertFalse(contents.claim_push(KEYS, 5.0))
 
 
 class FollowingTest(unittest.TestCase):
-    """A node that follows another one by numbers ends with the same contents."""
+    """A node that follows another one by change numbers ends with the same contents."""
 
     def tokens(self, contents, count=40):
         return [
@@ -82,7 +82,7 @@
         self.assertEqual(self.tokens(first), self.tokens(source))
         self.assertEqual(self.tokens(second), self.tokens(source))
 
-    def test_news_that_do_not_follow_what_is_known_change_nothing(self):
+    def test_updates_that_do_not_continue_at_the_known_position_change_nothing(self):
         source, follower = StoreContents("a"), StoreContents("a")
         source.clear("one")
         source.reachable = True
--- a/tests/domain/exchanges/test_watch_plan.py
+++ b/tests/domain/exchanges/test_watch_plan.py
@@ -28,7 +28,7 @@
         self.assertGreater(len({plan(NODES).watcher(engine) for engine in engines("z9")}), 5)
         self.assertEqual(plan({}).watcher(engines()[0]), "")
 
-    def test_a_node_that_goes_moves_only_its_own_engines(self):
+    def test_a_removed_node_moves_only_its_own_engines(self):
         before, without = plan(NODES), plan({n: r for n, r in NODES.items() if n != "n4"})
         for engine in engines():
             if before.watcher(engine) != "n4":
--- a/tests/domain/limits_world.py
+++ b/tests/domain/limits_world.py
@@ -1,4 +1,4 @@
-"""Routers that share one tenant's limits, with late views and late, lost and repeated messages."""
+"""Routers that share a tenant's limits, with late views and late, lost and repeated messages."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class Router:
-    """One router's process: its sharing, its floor and its limiter."""
+    """One process of a router, with its sharing of limits and its limiter."""
 
     def __init__(self, name, now, lag, incarnation, admitted):
         self.name, self.lag, self.incarnation = name, lag, incarnation
@@ -35,7 +35,7 @@
 
 
 class World:
-    """Time passes in steps; the live routers are known at each router after its own lag."""
+    """Model with time steps, in which each router sees the live routers after its own lag."""
 
     def __init__(self, count=3, seed=1, loss=0.1):
         self.names = NAMES[:count]
@@ -88,7 +88,7 @@
         self.offer(router)
 
     def follow(self, router):
-        """Give a router its view: late by its lag, and by what it has slept."""
+        """Give a router its view of the live routers, delayed by its lag and its pauses."""
         seen_at = max(0.0, min(self.now - router.lag, self.now))
         if self.now - router.began_at >= router.lag:
             router.view = [live for at, live in self.views if at <= seen_at][-1]
--- a/tests/domain/test_attempts_stateful.py
+++ b/tests/domain/test_attempts_stateful.py
@@ -1,4 +1,4 @@
-"""Decisions about attempts against engines that may fail at any moment; an oracle counts runs."""
+"""Decisions about attempts at engines that may fail at any time; an oracle counts the runs."""
 
 import random
 import unittest
@@ -25,7 +25,7 @@
 
 
 class Engine:
-    """The truth about one attempt at one engine."""
+    """The actual state of one attempt at one engine."""
 
     def __init__(self, start):
         self.arrived = False
@@ -40,7 +40,7 @@
 
 
 class AttemptsMachine(RuleBasedStateMachine):
-    """One request; rules draw what its engines and the network do next."""
+    """One request; rules draw the next events at its engines and in the network."""
 
     repeatable = True
     decide = staticmethod(decide_next)
@@ -184,7 +184,7 @@
 
 
 def shuffled_frames(draw):
-    """Return frames (nonce, sequence, count, last) of one stream with faults among them."""
+    """Return the frames (nonce, sequence, count, last) of one stream, with injected faults."""
     frames = []
     sequence = 0
     while sequence < 30:
--- a/tests/domain/test_fair_queue_stateful.py
+++ b/tests/domain/test_fair_queue_stateful.py
@@ -1,4 +1,4 @@
-"""The fair queue against a list of what was pushed: order, fairness, starvation bound."""
+"""The fair queue compared with a list of pushed entries: order, fairness, starvation bound."""
 
 import itertools
 import random
@@ -103,7 +103,7 @@
         run_machine(FairQueueMachine)
 
     def largest_unfairness(self):
-        """Return the largest difference of weighted service of two tenants, over its bound."""
+        """Return the largest difference in weighted service of two tenants, relative to its bound."""
         largest = 0.0
         for seed in range(20):
             draw = random.Random(seed)
@@ -132,7 +132,7 @@
             self.assertGreater(self.low_priority_wait(), MAX_PASSED_OVER)
 
     def low_priority_wait(self):
-        """Return how many urgent requests go before one that isn't urgent."""
+        """Return how many urgent requests are served before one that isn't urgent."""
         queue = FairQueue()
         queue.push(QueueEntry("low", "a", 1.0, 9, 1.0))
         for number in range(100):
@@ -150,7 +150,7 @@
         queue.push(QueueEntry("b", "b", 1.0, 1, 1.0))
         self.assertEqual(queue.pop(lambda _: True).entry_id, "a49")
 
-    def test_newcomer_goes_after_at_most_one_of_a_flooding_tenant(self):
+    def test_a_new_tenant_waits_for_at_most_one_request_of_a_flooding_tenant(self):
         queue = FairQueue()
         for number in range(50):
             queue.push(QueueEntry(f"a{number}", "a", 1.0, 1, 10.0))
--- a/tests/domain/test_instance_admission.py
+++ b/tests/domain/test_instance_admission.py
@@ -1,4 +1,4 @@
-"""One answer to whether something may be sent to an instance, for each purpose."""
+"""Whether something may be sent to an instance, for each purpose and barrier."""
 
 import unittest
 
@@ -27,25 +27,25 @@
 CASES = (
     ("nothing", AskedInstance(AnnouncedState()), None, set()),
     (
-        "its entry says that it leaves",
+        "its entry says that it is shutting down",
         AskedInstance(AnnouncedState(), Barrier.DRAINING),
         Barrier.DRAINING,
         EVERYTHING - {Purpose.CACHE_EVENTS},
     ),
     (
-        "it says that it leaves",
+        "its notices say that it is shutting down",
         AskedInstance(announced_state(leaving=True)),
         Barrier.LEAVING,
         EVERYTHING - {Purpose.CACHE_EVENTS, Purpose.LAST_SENDING},
     ),
     (
-        "it says that it leaves, and nobody else serves",
+        "its notices say that it is shutting down, and no other instance serves",
         AskedInstance(announced_state(leaving=True), last_requests_seconds=1.0),
         Barrier.LEAVING,
         EVERYTHING - {Purpose.CACHE_EVENTS, Purpose.LAST_SENDING, Purpose.LAST_REQUEST},
     ),
     (
-        "it rests",
+        "it asked for a backoff",
         AskedInstance(announced_state(backoff_seconds=3.0)),
         Barrier.BACKING_OFF,
         EVERYTHING,
@@ -57,7 +57,7 @@
         REQUESTS | {Purpose.ORDER, Purpose.CACHE_EVENTS},
     ),
     (
-        "this node has just started, and one request is under way",
+        "this node has just started, and one request is in progress",
         AskedInstance(AnnouncedState(), active=1, reports_due_by=NOW + 0.5),
         Barrier.STATE_UNKNOWN,
         REQUESTS,
@@ -72,23 +72,23 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    def test_each_purpose_meets_its_barriers(self):
-        for name, asked, barrier, kept in CASES:
+    def test_each_barrier_applies_to_its_purposes(self):
+        for name, asked, barrier, barred in CASES:
             for purpose in Purpose:
                 with self.subTest(name, purpose=purpose):
                     answer = admission(asked, purpose, NOW)
-                    self.assertIs(answer.barrier, barrier if purpose in kept else None)
-                    self.assertEqual(answer.is_open, purpose not in kept)
+                    self.assertIs(answer.barrier, barrier if purpose in barred else None)
+                    self.assertEqual(answer.is_open, purpose not in barred)
 
-    def test_only_a_rest_says_when_it_ends(self):
-        resting = admission(
+    def test_only_a_backoff_has_a_known_end(self):
+        backing_off = admission(
             AskedInstance(announced_state(backoff_seconds=3.0)), Purpose.REQUEST, NOW
         )
-        self.assertEqual(resting.until, NOW + 3.0)
+        self.assertEqual(backing_off.until, NOW + 3.0)
         leaving = admission(AskedInstance(announced_state(leaving=True)), Purpose.REQUEST, NOW)
         self.assertEqual(leaving.until, NEVER)
 
-    def test_a_permit_opens_an_instance_with_a_limit_to_one_that_has_not_waited(self):
+    def test_a_free_permit_admits_a_request_that_has_not_waited(self):
         limited = announced_state(limit=LimitNotice(1.5))
         limited.sends.receive(1, NOW + 1.0, NOW)
         self.assertTrue(admission(AskedInstance(limited), Purpose.REQUEST, NOW).is_open)
--- a/tests/domain/test_instance_limit.py
+++ b/tests/domain/test_instance_limit.py
@@ -1,4 +1,4 @@
-"""Which of several answers tells the limit that holds."""
+"""Which of several responses determines the current limit."""
 
 import unittest
 
@@ -13,7 +13,7 @@
     def take(self, limit, per_second, after, before, date=None):
         return limit.take(LimitNotice(per_second, date), HeadTimes(after, before, date))
 
-    def test_without_a_word_there_is_no_limit(self):
+    def test_without_a_notice_there_is_no_limit(self):
         limit = InstanceLimit()
         self.assertFalse(limit.is_set)
         self.assertFalse(self.take(limit, None, 0.0, 0.1))
@@ -24,7 +24,7 @@
             self.assertTrue(self.take(limit, value, number, number + 0.1))
             self.assertEqual(limit.per_second, NO_LIMIT if value is None else value)
 
-    def test_where_the_order_is_not_known_the_lower_limit_counts(self):
+    def test_if_the_order_is_unknown_the_lower_limit_applies(self):
         for first, second in ((1.5, None), (None, 1.5), (8.0, 1.5), (1.5, 8.0)):
             with self.subTest(first=first, second=second):
                 limit = InstanceLimit()
@@ -32,7 +32,7 @@
                 self.take(limit, second, 0.5, 1.2)
                 self.assertEqual(limit.per_second, 1.5)
 
-    def test_the_next_answer_settles_what_was_not_known(self):
+    def test_the_next_answer_resolves_an_unknown_order(self):
         limit = InstanceLimit()
         self.take(limit, 1.5, 0.0, 1.0)
         self.take(limit, None, 0.5, 1.2)
@@ -45,7 +45,7 @@
         self.assertFalse(self.take(limit, 1.5, 0.5, 4.0))
         self.assertFalse(limit.is_set)
 
-    def test_the_date_tells_which_of_two_heads_is_newer(self):
+    def test_the_date_decides_which_of_two_heads_is_newer(self):
         limit = InstanceLimit()
         self.take(limit, None, 4.0, 4.1, date=104.0)
         self.assertFalse(self.take(limit, 1.5, 0.5, 5.0, date=101.0), "an old head restores")
@@ -63,7 +63,7 @@
         self.assertTrue(limit.take(report, HeadTimes(3.0, 3.1)))
         self.assertFalse(limit.is_set)
 
-    def test_answers_that_say_the_same_keep_the_newest_time(self):
+    def test_answers_with_the_same_limit_keep_the_newest_time(self):
         limit = InstanceLimit()
         self.take(limit, 1.5, 0.0, 3.0)
         self.take(limit, 1.5, 1.0, 1.5)
--- a/tests/domain/test_leaving_machines.py
+++ b/tests/domain/test_leaving_machines.py
@@ -1,4 +1,4 @@
-"""A list that flaps gives no work back to a machine that leaves."""
+"""A flapping list doesn't give work back to a machine that is shutting down."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class LeavingMachinesTest(unittest.TestCase):
-    def test_a_machine_leaves_until_it_was_live_for_some_answers_in_a_row(self):
+    def test_a_machine_is_leaving_until_it_is_live_in_some_consecutive_answers(self):
         for answers, leaves in (
             ([LIVE], False),
             ([SHOWN], True),
--- a/tests/domain/test_limit_header.py
+++ b/tests/domain/test_limit_header.py
@@ -1,4 +1,4 @@
-"""One meaning for each value of a limit."""
+"""The parsed limit of each kind of header value."""
 
 import unittest
 
--- a/tests/domain/test_membership_stateful.py
+++ b/tests/domain/test_membership_stateful.py
@@ -1,9 +1,9 @@
-"""Stateful fuzzing of membership against a simple oracle.
+"""Stateful fuzzing of membership, checked by a simple oracle.
 
-Any mixture of kills, restarts, planned stops, pauses, partitions, cuts, losses, forged and
-replayed datagrams. The oracle: once faults stop, every running node holds exactly the running
-ones alive in their present incarnations, has the highest revision and the latest entries of
-each; and a datagram that isn't authentic and new changes nothing.
+Faults are any mixture of kills, restarts, planned stops, pauses, partitions, cuts, losses, forged
+and replayed datagrams. The oracle checks that after the faults every running node sees exactly the
+running nodes as alive in their current incarnations and has the highest revision and the latest
+entries of each, and that a datagram changes nothing unless it is authentic and new.
 """
 
 import hmac
@@ -44,7 +44,7 @@
 
 
 class RecordingCluster(HollowCluster):
-    """Remembers the datagrams that each node has accepted in its present life."""
+    """Records the datagrams that each node has accepted in its current incarnation."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -69,7 +69,7 @@
             self.cluster.add(name, SEEDS)
 
     def observe(self, node, action, now):
-        """Take over every revision that is heard of, as if it were fetched at once."""
+        """Apply every announced revision, as if it were fetched at once."""
         if isinstance(action, RevisionHeard):
             self.cluster.act(node, node.membership.set_revision(action.revision, now))
 
@@ -155,12 +155,14 @@
         node = self.node(receiver)
         accepted = self.cluster.accepted.get((receiver, node.codec), [])
         if kind == "foreign":
-            self.inject_in_vain(node, self.foreign_datagram(NAMES[number % len(NAMES)]))
+            self.inject_and_expect_no_effect(
+                node, self.foreign_datagram(NAMES[number % len(NAMES)])
+            )
         elif accepted:
             datagram = bytearray(accepted[number % len(accepted)])
             if kind == "forged":
                 datagram[number % len(datagram)] ^= 1 << number % 8
-            self.inject_in_vain(node, bytes(datagram))
+            self.inject_and_expect_no_effect(node, bytes(datagram))
 
     def foreign_datagram(self, victim):
         now = self.cluster.wall_clock()
@@ -168,10 +170,12 @@
         status = MemberStatus(victim, 10_000, 0, MemberState.DEAD)
         return codec.encode(Push(Gossip(99, statuses=(status,))))
 
-    def inject_in_vain(self, node, datagram):
+    def inject_and_expect_no_effect(self, node, datagram):
         before = self.view(node), self.cluster.messages
         self.cluster.inject(node.name, datagram, "stranger")
-        assert (self.view(node), self.cluster.messages) == before, "a bad datagram had an effect"
+        assert (self.view(node), self.cluster.messages) == before, (
+            "an invalid datagram had an effect"
+        )
 
     def view(self, node):
         return node.membership.members(), node.membership.entries(KIND)
@@ -206,7 +210,7 @@
 
     def teardown(self):
         self.stop_faults()
-        # Suspicions and retries that the faults left behind may still come to their end.
+        # Suspicions and retries that the faults caused may still be in progress.
         self.cluster.run_until(self.cluster.now + RESIDUE_SECONDS)
         deadline = self.cluster.now + SETTLE_SECONDS
         while not self.settled() and self.cluster.now < deadline:
@@ -218,9 +222,9 @@
         self.check_isolation()
 
     def check_isolation(self):
-        """With a majority of all nodes running, and no fault, nobody is isolated.
+        """Check that without faults and with a majority of nodes running no node is isolated.
 
-        A minority can't tell others that died from others that are cut off.
+        A minority can't distinguish dead nodes from unreachable ones.
         """
         running = self.cluster.running()
         if 2 * len(running) <= len(NAMES):
@@ -280,7 +284,7 @@
     return script
 
 
-# Wrong variant, how to switch it on, and steps under which the oracle must catch it.
+# Name of a wrong variant, its patch, and a script under which the oracle must catch it.
 WRONG_VARIANTS = (
     ("no refutation", patched(MembershipState, "_defend", lambda *_: False), cut_for_long),
     ("state first", patched(table, "precedence", any_state_first), kill_and_restart),
--- a/tests/domain/test_queue_pace.py
+++ b/tests/domain/test_queue_pace.py
@@ -1,4 +1,4 @@
-"""The pace of a tenant's queue: what is expected, and what is forgotten."""
+"""The admission rate of a tenant's queue: expected waits, and dropped observations."""
 
 import unittest
 
@@ -23,20 +23,32 @@
         first = (13.0, *(14.0 + index for index in range(MIN_INTERVALS - 1)))
         later = LATEST + 3.0
         cases = (
-            ("nothing let in yet", (), 4, 12.0, 0.0),
+            ("nothing admitted yet", (), 4, 12.0, 0.0),
             ("too few", few, 4, few[-1], 0.0),
-            ("the first ones weigh the same", first, 0, first[-1], 1.0 + 2.0 / MIN_INTERVALS),
+            (
+                "the first intervals have equal weights",
+                first,
+                0,
+                first[-1],
+                1.0 + 2.0 / MIN_INTERVALS,
+            ),
             ("alone", EVERY_SECOND, 0, LATEST, 1.0),
-            ("behind others", EVERY_SECOND, 4, LATEST, 5.0),
-            ("the mean follows", (*EVERY_SECOND, later), 1, later, 2 * (1.0 + 2.0 * SMOOTHING)),
-            ("a queue that stands still", EVERY_SECOND, 1, LATEST + 20.0, 20.0),
+            ("after others", EVERY_SECOND, 4, LATEST, 5.0),
+            (
+                "the mean follows the latest interval",
+                (*EVERY_SECOND, later),
+                1,
+                later,
+                2 * (1.0 + 2.0 * SMOOTHING),
+            ),
+            ("a stalled queue", EVERY_SECOND, 1, LATEST + 20.0, 20.0),
         )
         for name, entries, waiting, now, expected in cases:
             with self.subTest(name):
                 wait = make_pace(entries).expected_wait("tenant", 1, waiting, now)
                 self.assertAlmostEqual(wait, expected)
 
-    def test_tenants_and_priorities_are_apart(self):
+    def test_tenants_and_priorities_are_separate(self):
         pace = make_pace()
         for tenant, priority in (("other", 1), ("tenant", 2)):
             self.assertEqual(pace.expected_wait(tenant, priority, 3, LATEST), 0.0)
--- a/tests/domain/test_rendezvous.py
+++ b/tests/domain/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Owners of keys: stable, balanced, by weight, and the same when updated."""
+"""Owners of keys: stable, balanced, weighted, and equal in updated and new tables."""
 
 import collections
 import unittest
--- a/tests/domain/test_retry_after_header.py
+++ b/tests/domain/test_retry_after_header.py
@@ -1,4 +1,4 @@
-"""Each value that ``Retry-After`` may have means one time."""
+"""The parsed backoff of each kind of ``Retry-After`` value."""
 
 import unittest
 
@@ -17,10 +17,10 @@
     ("not a number", ["nan"], 0.0),
     ("infinite", ["inf"], 0.0),
     ("an exponent", ["1e3"], 0.0),
-    ("absurdly long", ["9" * 400], MAX_BACKOFF_SECONDS),
+    ("very long", ["9" * 400], MAX_BACKOFF_SECONDS),
     ("longer than the bound", ["86400"], MAX_BACKOFF_SECONDS),
     ("two fields", ["2", "5"], 5.0),
-    ("two fields, one without meaning", ["x", "5"], 5.0),
+    ("two fields, one invalid", ["x", "5"], 5.0),
     ("two values in one field", ["2, 5"], 5.0),
     ("a date", ["Thu, 03 Dec 2026 04:00:07 GMT"], 7.0),
     ("a date that is past", ["Thu, 03 Dec 2026 03:59:00 GMT"], 0.0),
@@ -29,14 +29,14 @@
 )
 
 
-class RestSecondsTest(unittest.TestCase):
+class BackoffSecondsTest(unittest.TestCase):
     def test_each_value_has_one_meaning(self):
         for name, values, expected in CASES:
             with self.subTest(name):
                 self.assertAlmostEqual(backoff_seconds(values, DATE), expected)
 
-    def test_a_date_without_the_date_of_its_answer_means_nothing(self):
+    def test_a_date_without_the_date_of_its_response_is_ignored(self):
         self.assertEqual(backoff_seconds(["Thu, 03 Dec 2026 04:00:07 GMT"]), 0.0)
 
-    def test_a_date_beside_one_that_cannot_be_read_means_nothing(self):
+    def test_a_date_with_an_invalid_date_of_its_response_is_ignored(self):
         self.assertEqual(backoff_seconds(["Thu, 03 Dec 2026 04:00:07 GMT"], "today"), 0.0)
--- a/tests/domain/test_rollout.py
+++ b/tests/domain/test_rollout.py
@@ -20,7 +20,7 @@
 
 
 def planned(known, bound=2):
-    """Return the addresses that get an order, given facts by address."""
+    """Return the addresses that get an order, for facts by address."""
     back_ends = [BackEnd(name, name, models=("m",)) for name in sorted(known)]
     store = BackEnd("store", "store", BackEndKind.KV_CACHE_STORE)
     policy = RoutingPolicy(max_concurrent_weight_loads=bound)
@@ -36,17 +36,17 @@
         loading = facts({}, REVISION)
         cases = {
             "nothing to do": ({"a": facts(NEW), "b": facts(NEW, 3)}, []),
-            "old weights, the bound at once": ({key: facts(OLD) for key in "abc"}, ["a", "b"]),
-            "loads under way count": ({"a": loading, "b": facts(OLD), "c": facts(OLD)}, ["b"]),
+            "old weights, as many as the bound": ({key: facts(OLD) for key in "abc"}, ["a", "b"]),
+            "loads in progress count": ({"a": loading, "b": facts(OLD), "c": facts(OLD)}, ["b"]),
             "at the bound": ({"a": loading, "b": loading, "c": facts(OLD)}, []),
             "beyond the bound": ({"a": loading, "b": loading, "c": loading}, []),
             "an unrelated newer revision": (
                 {"a": facts({}, REVISION - 1), "b": facts({}, REVISION - 2), "c": facts(OLD)},
                 [],
             ),
-            "back with old weights": ({"a": facts(OLD, 0), "b": facts(NEW, REVISION)}, ["a"]),
+            "restarted with old weights": ({"a": facts(OLD, 0), "b": facts(NEW, REVISION)}, ["a"]),
             "the fence without the weights": ({"a": facts(OLD, REVISION)}, ["a"]),
-            "back with no weights": ({"a": facts({}, 0)}, ["a"]),
+            "restarted without weights": ({"a": facts({}, 0)}, ["a"]),
             "unknown engines": ({}, []),
         }
         for name, (known, expected) in cases.items():
--- a/tests/domain/test_rumours.py
+++ b/tests/domain/test_rumours.py
@@ -1,4 +1,4 @@
-"""Last writer wins by owner incarnation and version; audiences and bounds."""
+"""The highest owner incarnation and version wins; audiences and bounds."""
 
 import unittest
 from unittest import mock
@@ -8,7 +8,7 @@
 from hopstep.domain.peer_message import Entry, EntryKind, LeavingBackEnd
 
 KIND = EntryKind.LEAVING_BACK_END
-MINE = 7
+OWN_DIGEST = 7
 
 
 def entry(incarnation, version, subject="e", value=None, audience=(), owner="a"):
@@ -16,7 +16,7 @@
     return Entry(owner, incarnation, version, subject, value, KIND, audience)
 
 
-# Incarnation and version of a known and of a coming entry, and whether the latter wins.
+# Incarnation and version of a known and of a received entry, and whether the latter wins.
 ORDERS = (
     ((2, 5), (2, 6), True),
     ((2, 5), (2, 5), False),
@@ -28,33 +28,33 @@
 
 class EntryTableTest(unittest.TestCase):
     def test_order(self):
-        for known, coming, wins in ORDERS:
-            with self.subTest(known=known, coming=coming):
-                table = EntryTable(MINE)
+        for known, received, wins in ORDERS:
+            with self.subTest(known=known, received=received):
+                table = EntryTable(OWN_DIGEST)
                 table.merge(entry(*known))
-                self.assertEqual(table.merge(entry(*coming)), wins)
+                self.assertEqual(table.merge(entry(*received)), wins)
 
     def test_a_new_incarnation_drops_everything_of_the_earlier(self):
-        table = EntryTable(MINE)
+        table = EntryTable(OWN_DIGEST)
         table.merge(entry(2, 5, "old"))
         table.merge(entry(3, 1, "new"))
         self.assertEqual([item.subject for item in table.entries(KIND)], ["new"])
 
     def test_withdrawn_entries_are_not_listed_but_win(self):
-        table = EntryTable(MINE)
+        table = EntryTable(OWN_DIGEST)
         table.merge(entry(2, 5))
         table.merge(Entry("a", 2, 6, "e", None, KIND))
         self.assertEqual(list(table.entries(KIND)), [])
         self.assertFalse(table.merge(entry(2, 5)))
 
     def test_entries_for_other_audiences_are_not_held(self):
-        table = EntryTable(MINE)
+        table = EntryTable(OWN_DIGEST)
         self.assertFalse(table.merge(entry(2, 5, audience=(8, 9))))
-        self.assertTrue(table.merge(entry(2, 5, audience=(MINE, 9))))
+        self.assertTrue(table.merge(entry(2, 5, audience=(OWN_DIGEST, 9))))
         self.assertEqual(table.digest("a"), 0)
 
     def test_digests_agree_whatever_the_order(self):
-        one, other = EntryTable(MINE), EntryTable(MINE)
+        one, other = EntryTable(OWN_DIGEST), EntryTable(OWN_DIGEST)
         entries = [entry(2, version, f"e{version % 3}") for version in range(1, 8)]
         for item in entries:
             one.merge(item)
@@ -65,7 +65,7 @@
 
     def test_number_is_bounded_and_freed(self):
         with mock.patch.dict(entry_table.CAPACITY, {KIND: 2}):
-            table = EntryTable(MINE)
+            table = EntryTable(OWN_DIGEST)
             taken = [table.merge(entry(2, number, f"e{number}")) for number in range(1, 4)]
             self.assertEqual(taken, [True, True, False])
             table.drop_owner("a")
