--- a/tests/domain/exchanges/rollout_world.py
+++ b/tests/domain/exchanges/rollout_world.py
@@ -53,7 +53,7 @@
         return msgspec.structs.replace(self, leases=leases)
 
     def swap(self, expected_revision, holder):
-        """Return the store with the key written; None if the condition fails or the lease is over."""
+        """Return the store with the key written; None if the condition fails or the lease ended."""
         found = self.key.revision if self.key is not None else 0
         if found != expected_revision or int(holder.lease) not in dict(self.leases):
             return None
--- a/tests/domain/test_fair_queue_stateful.py
+++ b/tests/domain/test_fair_queue_stateful.py
@@ -103,7 +103,7 @@
         run_machine(FairQueueMachine)
 
     def largest_unfairness(self):
-        """Return the largest difference in weighted service of two tenants, relative to its bound."""
+        """Return the largest weighted service difference of two tenants, relative to its bound."""
         largest = 0.0
         for seed in range(20):
             draw = random.Random(seed)
