--- a/hopstep/domain/exchanges/rollout_lease_state.py
+++ b/hopstep/domain/exchanges/rollout_lease_state.py
@@ -102,7 +102,7 @@
         """Return the key's value that names this node as the holder."""
         return RolloutHolder(self._name, self._address, lease.name, lease.era)
 
-    def see_era(self, era: int, now: float) -> None:
+    def note_era(self, era: int, now: float) -> None:
         """Note the era of an answer of the store, or of another node's report.
 
         A lease of an earlier era is lost.
@@ -143,7 +143,7 @@
             sent_at: When the grant or renewal call was sent.
             now: Steady clock.
         """
-        self.see_era(lease.era, now)
+        self.note_era(lease.era, now)
         if version != self.version:
             another_until = self._restored_at + self._lease_seconds
             self._order_from = max(now, another_until) + self._lease_seconds
--- a/hopstep/domain/exchanges/store_contact.py
+++ b/hopstep/domain/exchanges/store_contact.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-AWAY_SECONDS = 2.0
+OUTAGE_SECONDS = 2.0
 """A store without answers for longer was unavailable: entries of live instances may have expired.
 
 Less than three of the instances' heartbeats of 1.2 s, after which an entry expires with its lease.
@@ -30,7 +30,7 @@
     Attributes:
         read_at: When the store last answered this node.
         reported_at: When it last answered a node that has reported its whole state to this one.
-        away_until: Until when at least its last outage has lasted, by this node's own calls.
+        outage_until: Until when at least its last outage has lasted, by this node's own calls.
         relisting_until: Until when entries that expired in its last outage may come back.
     """
 
@@ -42,7 +42,7 @@
         """
         self.read_at = NEVER
         self.reported_at = NEVER
-        self.away_until = NEVER
+        self.outage_until = NEVER
         self.relisting_until = NEVER
         self._started_at = started_at
         self._unanswered_at = NEVER
@@ -60,7 +60,7 @@
         """
         self._unanswered_at = max(self._unanswered_at, sent_at)
 
-    def note_return(self, answered_at: float) -> None:
+    def note_outage_end(self, answered_at: float) -> None:
         """Note whether an answer ends an outage; call this before the answer itself is noted.
 
         A node that was paused got no answers either; but then none of its own calls has failed.
@@ -69,11 +69,11 @@
             answered_at: When the store answered this or another node.
         """
         away_since = max(self.last_answer_at, self._started_at)
-        if answered_at - away_since <= AWAY_SECONDS:
+        if answered_at - away_since <= OUTAGE_SECONDS:
             return
         self.relisting_until = answered_at + RELISTING_SECONDS
         if self._unanswered_at > away_since:
-            self.away_until = self._unanswered_at
+            self.outage_until = self._unanswered_at
 
     def note_restore(self, now: float) -> None:
         """Note that the store was restored from a backup, which may lack entries."""
--- a/hopstep/services/exchanges/directory/knowledge.py
+++ b/hopstep/services/exchanges/directory/knowledge.py
@@ -190,7 +190,7 @@
         self.history.require_current(batch.place)
         reached_at, is_first = self.history.reached_at, self.place == NO_POSITION
         since = max(reached_at - DEAF_SECONDS, self.weights.oldest_since(sent_at))
-        self.contact.note_return(trio.current_time())
+        self.contact.note_outage_end(trio.current_time())
         if self.history.is_later_era(batch.place):
             self._enter(batch.place, STORE_SOURCE, losses_of(batch, self.feed))
         self.feed.start(batch.place)
@@ -212,7 +212,7 @@
             StoreError: When the answer was made before the store's last restore.
         """
         self.history.require_current(batch.place)
-        self.contact.note_return(trio.current_time())
+        self.contact.note_outage_end(trio.current_time())
         self._take_read([feed_entry(entry, since) for entry in batch.entries])
         self._confirm_read(batch.place, sent_at)
 
--- a/hopstep/services/exchanges/directory/known_weights.py
+++ b/hopstep/services/exchanges/directory/known_weights.py
@@ -33,7 +33,7 @@
 
     def take(self, weights: NamedWeights, news: News) -> None:
         """Take named weights; their bound leaves out the time in which the store was away."""
-        counts_from = max(news.since, self._contact.away_until)
+        counts_from = max(news.since, self._contact.outage_until)
         if not self._book.put(weights, counts_from):
             return
         emit(
--- a/hopstep/services/exchanges/peers/answer_taking.py
+++ b/hopstep/services/exchanges/peers/answer_taking.py
@@ -48,7 +48,7 @@
         if reached.era < knowledge.place.era:
             return False
         heard_at = store_heard_at(answer, query.sent_at)
-        knowledge.contact.note_return(heard_at)
+        knowledge.contact.note_outage_end(heard_at)
         self._take_entries(answer, query, reached)
         if answer.complete:
             knowledge.contact.note_reported(heard_at)
--- a/hopstep/services/exchanges/weights/rollout_lease.py
+++ b/hopstep/services/exchanges/weights/rollout_lease.py
@@ -168,7 +168,7 @@
     def _see_era(self) -> None:
         """Take the era that the directory is known to be in, and when a restore was noticed."""
         if self._knowledge.place != NO_POSITION:
-            self._tenure.see_era(self._knowledge.place.era, trio.current_time())
+            self._tenure.note_era(self._knowledge.place.era, trio.current_time())
         self._tenure.suspect_restore(self._knowledge.history.restored_at)
 
     @property
--- a/tests/domain/exchanges/rollout_world.py
+++ b/tests/domain/exchanges/rollout_world.py
@@ -152,7 +152,7 @@
     def _read(self, node):
         first = self.views[node] is None
         self.views[node] = self.store
-        self.lease_states[node].see_era(self.store.era, self.now)
+        self.lease_states[node].note_era(self.store.era, self.now)
         if first and min(self.store.records) < self.store.era:
             self.lease_states[node].suspect_restore(self.now)
         self.store = self.store.recorded(node)
--- a/tests/domain/exchanges/test_store_contact.py
+++ b/tests/domain/exchanges/test_store_contact.py
@@ -1,6 +1,6 @@
 import unittest
 
-from hopstep.domain.exchanges.store_contact import AWAY_SECONDS, RELISTING_SECONDS, StoreContact
+from hopstep.domain.exchanges.store_contact import OUTAGE_SECONDS, RELISTING_SECONDS, StoreContact
 
 STARTED_AT = 100.0
 
@@ -12,7 +12,7 @@
             contact.note_read(read_at)
         return contact
 
-    def test_an_answer_here_or_elsewhere_counts(self):
+    def test_an_answer_to_this_or_another_node_counts(self):
         contact = self.contact(101.0)
         contact.note_reported(103.0)
         contact.note_reported(102.0)
@@ -23,29 +23,29 @@
     def test_a_short_time_without_answers_is_no_outage(self):
         contact = self.contact(101.0)
         contact.note_unanswered(102.0)
-        contact.note_return(101.0 + AWAY_SECONDS)
+        contact.note_outage_end(101.0 + OUTAGE_SECONDS)
         self.assertIsNone(contact.relisting_seconds(103.0))
-        self.assertLess(contact.away_until, 0.0)
+        self.assertLess(contact.outage_until, 0.0)
 
     def test_an_outage_has_lasted_until_the_last_call_that_failed(self):
         contact = self.contact(101.0)
         contact.note_unanswered(104.0)
         contact.note_unanswered(103.0)
-        contact.note_return(105.0)
-        self.assertEqual(contact.away_until, 104.0)
+        contact.note_outage_end(105.0)
+        self.assertEqual(contact.outage_until, 104.0)
         self.assertEqual(contact.relisting_seconds(105.5), RELISTING_SECONDS - 0.5)
         self.assertIsNone(contact.relisting_seconds(105.0 + RELISTING_SECONDS))
 
     def test_a_time_without_answers_and_failed_calls_shows_no_outage(self):
         contact = self.contact(101.0)
         contact.note_unanswered(100.5)
-        contact.note_return(110.0)
-        self.assertLess(contact.away_until, 0.0)
+        contact.note_outage_end(110.0)
+        self.assertLess(contact.outage_until, 0.0)
 
     def test_a_node_that_has_just_started_counts_from_its_start(self):
-        for answered_at, away_until in ((101.0, -float("inf")), (103.0, 102.5)):
+        for answered_at, outage_until in ((101.0, -float("inf")), (103.0, 102.5)):
             with self.subTest(answered_at=answered_at):
                 contact = self.contact()
                 contact.note_unanswered(answered_at - 0.5)
-                contact.note_return(answered_at)
-                self.assertEqual(contact.away_until, away_until)
+                contact.note_outage_end(answered_at)
+                self.assertEqual(contact.outage_until, outage_until)
