--- a/hopstep/domain/exchanges/retry_after.py
+++ b/hopstep/domain/exchanges/retry_after.py
@@ -40,7 +40,7 @@
 
     OTHER_NODE = "other_node"
     OTHER_INSTANCE = "other_instance"
-    STORE_AWAY = "store_away"
+    STORE_OUTAGE = "store_away"
     LOADING = "loading"
     BACKING_OFF = "resting"
     LIMITED = "limited"
@@ -100,7 +100,7 @@
     if facts.code is ErrorCode.STOPPING:
         return RetryReason.OTHER_NODE
     if facts.code in (ErrorCode.ISOLATED, ErrorCode.NOT_READY):
-        return RetryReason.STORE_AWAY if facts.others_answer else RetryReason.OTHER_NODE
+        return RetryReason.STORE_OUTAGE if facts.others_answer else RetryReason.OTHER_NODE
     if facts.other_instance:
         return RetryReason.OTHER_INSTANCE
     if facts.loading_seconds is not None:
@@ -140,7 +140,7 @@
     match reason:
         case RetryReason.OTHER_NODE | RetryReason.OTHER_INSTANCE:
             return AT_ONCE_SECONDS
-        case RetryReason.STORE_AWAY:
+        case RetryReason.STORE_OUTAGE:
             return max(DEFAULT_SECONDS, OUTAGE_SHARE * facts.store_silence_seconds)
         case RetryReason.LOADING:
             return facts.loading_seconds or DEFAULT_SECONDS
--- a/hopstep/domain/exchanges/selection.py
+++ b/hopstep/domain/exchanges/selection.py
@@ -105,8 +105,8 @@
     """
 
     def cost(view: InstanceView) -> float:
-        away = other_zone_seconds if view.instance.zone != zone else 0.0
-        return _server_cost(view, now) + away + JITTER_SECONDS * generator.random()
+        zone_seconds = other_zone_seconds if view.instance.zone != zone else 0.0
+        return _server_cost(view, now) + zone_seconds + JITTER_SECONDS * generator.random()
 
     candidates = [Candidate(view, (), cost(view), 0) for view in views]
     return min(candidates, key=lambda candidate: candidate.cost_seconds, default=None)
--- a/hopstep/domain/exchanges/store_contact.py
+++ b/hopstep/domain/exchanges/store_contact.py
@@ -68,11 +68,11 @@
         Args:
             answered_at: When the store answered this or another node.
         """
-        away_since = max(self.last_answer_at, self._started_at)
-        if answered_at - away_since <= OUTAGE_SECONDS:
+        unanswered_since = max(self.last_answer_at, self._started_at)
+        if answered_at - unanswered_since <= OUTAGE_SECONDS:
             return
         self.relisting_until = answered_at + RELISTING_SECONDS
-        if self._unanswered_at > away_since:
+        if self._unanswered_at > unanswered_since:
             self.outage_until = self._unanswered_at
 
     def note_restore(self, now: float) -> None:
