--- a/emulator/capacity/routing_probes.py
+++ b/emulator/capacity/routing_probes.py
@@ -18,7 +18,7 @@
     LoadReport,
 )
 from hopstep.domain.rendezvous import Rendezvous
-from hopstep.domain.routing.prefix_picture import PrefixPicture
+from hopstep.domain.routing.prefix_index import PrefixIndex
 from hopstep.domain.routing.routing_table import RoutingTable
 
 PROMPT_BLOCKS = 450
@@ -133,10 +133,10 @@
     return seconds_per_call(lambda: table.choose(request, engines, frozenset(), 0.0))
 
 
-def _picture(heads: int) -> PrefixPicture:
+def _picture(heads: int) -> PrefixIndex:
     """Return a picture of ``heads`` heads."""
     generator = random.Random(2)
-    picture = PrefixPicture(heads, stride=1)
+    picture = PrefixIndex(heads, stride=1)
     for index in range(ENGINES_A_NODE):
         picture.begin_incarnation(f"engine-{index}", "1")
     while len(picture) < heads:
--- a/hopstep/domain/routing/prefix_picture.py
+++ b/hopstep/domain/routing/prefix_index.py
@@ -19,7 +19,7 @@
 """Bits of dead incarnations that may linger before the entries are swept of them."""
 
 
-class PrefixPicture:
+class PrefixIndex:
     """Learned map from prefix heads to the engines believed to hold them."""
 
     def __init__(self, max_heads: int, stride: int) -> None:
--- a/hopstep/domain/routing/routing_table.py
+++ b/hopstep/domain/routing/routing_table.py
@@ -35,7 +35,7 @@
 from hopstep.domain.retry_after_header import MAX_REST_SECONDS
 from hopstep.domain.routing.engine_view import EngineView, QueuePlace
 from hopstep.domain.routing.prefix_owners import PrefixOwners
-from hopstep.domain.routing.prefix_picture import PrefixPicture
+from hopstep.domain.routing.prefix_index import PrefixIndex
 from hopstep.domain.routing.priority_mix import PriorityMix
 from hopstep.domain.routing.prompt_heads import HashPrompt, Prompt, PromptHasher
 from hopstep.domain.routing.selection import (
@@ -70,7 +70,7 @@
         self._index = ConfigurationIndex(Configuration())
         self._policy = RoutingPolicy()
         self._views: dict[str, EngineView] = {}
-        self._picture = PrefixPicture(
+        self._picture = PrefixIndex(
             self._policy.max_prefix_heads, self._policy.prefix_stride_blocks
         )
         self._owners = PrefixOwners()
@@ -80,7 +80,7 @@
         self._priority_mix = PriorityMix()
         self._on_restart: Callable[[str, str], None] = lambda _address, _incarnation: None
 
-    def follow_restarts(self, listener: Callable[[str, str], None]) -> None:
+    def set_restart_listener(self, listener: Callable[[str, str], None]) -> None:
         """Tell a listener of each engine seen to start anew: its address, the old incarnation."""
         self._on_restart = listener
 
@@ -238,7 +238,7 @@
         """Avoid an engine for a while after a failed attempt or probe."""
         self._view(address).record_failure(now)
 
-    def record_rest(self, address: str, seconds: float, now: float) -> None:
+    def record_backoff(self, address: str, seconds: float, now: float) -> None:
         """Send an engine nothing for the time that its refusal asked for; 0 for none."""
         if seconds > 0:
             notice = InstanceNotice(rest_seconds=min(seconds, MAX_REST_SECONDS))
@@ -346,9 +346,9 @@
         )
 
 
-def _new_picture(policy: RoutingPolicy) -> PrefixPicture:
+def _new_picture(policy: RoutingPolicy) -> PrefixIndex:
     """Return an empty picture."""
-    return PrefixPicture(policy.max_prefix_heads, policy.prefix_stride_blocks)
+    return PrefixIndex(policy.max_prefix_heads, policy.prefix_stride_blocks)
 
 
 def _cache_identity(facts: EngineFacts) -> tuple[str, dict[str, str]]:
--- a/hopstep/services/requests/attempt_factory.py
+++ b/hopstep/services/requests/attempt_factory.py
@@ -195,7 +195,7 @@
 
     def record_overloaded(self, attempt: Attempt) -> None:
         """Send an engine less, and nothing while it wants rest, after it refused an attempt."""
-        self.table.record_rest(attempt.address, attempt.retry_after_seconds, trio.current_time())
+        self.table.record_backoff(attempt.address, attempt.retry_after_seconds, trio.current_time())
         self._admission.slots.record_overloaded(attempt.slot.choice.back_end)
 
     def forget(self, request: InferenceRequest) -> None:
--- a/hopstep/services/requests/engine_ends.py
+++ b/hopstep/services/requests/engine_ends.py
@@ -29,7 +29,7 @@
         self._quarantine = quarantine
         self._port = port
         self._trials: set[str] = set()
-        table.follow_restarts(self._note_restart)
+        table.set_restart_listener(self._note_restart)
 
     async def require_allowed(self, request: InferenceRequest) -> int:
         """Refuse a request under which too many engines have ended.
--- a/tests/domain/routing/test_prefix_picture_stateful.py
+++ b/tests/domain/routing/test_prefix_picture_stateful.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from hopstep.domain.routing import prefix_picture
-from hopstep.domain.routing.prefix_picture import PrefixPicture
+from hopstep.domain.routing import prefix_index
+from hopstep.domain.routing.prefix_index import PrefixIndex
 from tests import fuzz_settings
 
 STRIDE = 4
@@ -27,7 +27,7 @@
 
 
 class PictureMachine(RuleBasedStateMachine):
-    make = PrefixPicture
+    make = PrefixIndex
 
     def __init__(self):
         super().__init__()
@@ -103,12 +103,12 @@
         return len(prompt)
 
 
-class Unbounded(PrefixPicture):
+class Unbounded(PrefixIndex):
     def _drop_excess(self):
         pass
 
 
-class KeepsDeadEntries(PrefixPicture):
+class KeepsDeadEntries(PrefixIndex):
     def forget_engine(self, engine):
         bit = self._bits.pop(engine, None)
         if bit is not None:
@@ -116,27 +116,27 @@
             self._free.append(bit)
 
 
-class IgnoresEvictions(PrefixPicture):
+class IgnoresEvictions(PrefixIndex):
     def record_evicted(self, engine, incarnation, keys):
         pass
 
 
-class LearnsOfAnyIncarnation(PrefixPicture):
+class LearnsOfAnyIncarnation(PrefixIndex):
     def learn(self, engine, incarnation, heads, held):
         super().learn(engine, self.incarnation(engine), heads, held)
 
 
 class PrefixPictureTest(unittest.TestCase):
     def setUp(self):
-        limit = prefix_picture.RETIRED_BITS_BEFORE_SWEEP
-        self.addCleanup(setattr, prefix_picture, "RETIRED_BITS_BEFORE_SWEEP", limit)
-        prefix_picture.RETIRED_BITS_BEFORE_SWEEP = 2
+        limit = prefix_index.RETIRED_BITS_BEFORE_SWEEP
+        self.addCleanup(setattr, prefix_index, "RETIRED_BITS_BEFORE_SWEEP", limit)
+        prefix_index.RETIRED_BITS_BEFORE_SWEEP = 2
 
     def test_agrees_with_the_oracle(self):
         fuzz_settings.run_machine(PictureMachine, base_examples=60)
 
     def test_heads_of_the_dead_go_before_those_of_the_living(self):
-        picture = PrefixPicture(BOUND, STRIDE)
+        picture = PrefixIndex(BOUND, STRIDE)
         for engine in ("e1", "e2"):
             picture.begin_incarnation(engine, "a")
         picture.learn("e1", "a", (4, 8, 12), 3)
