--- a/emulator/limit_scale.py
+++ b/emulator/limit_scale.py
@@ -20,7 +20,7 @@
 from emulator.link_faults import LinkFaults, LinkQuality
 from hopstep.adapters.peer_codec import encoded_size
 from hopstep.domain.configuration.document import TenantLimits
-from hopstep.domain.limits.limiter import WHOLE, TenantLimiter
+from hopstep.domain.limits.limiter import PARTS_PER_LIMIT, TenantLimiter
 from hopstep.domain.limits.sharing import LimitSharing
 from hopstep.domain.membership import Action, LimitMessage, MembershipConfig, Send
 from hopstep.domain.peer_message import Gossip, LimitGrant, LimitReport
@@ -132,7 +132,7 @@
             self.run_until(self.now + REPORT_SECONDS / len(self.routers))
         moving = self.routers[self._moving_at].sharing.part(MOVING_TENANT, self.now)
         if (
-            moving >= ENOUGH_RATIO * WHOLE
+            moving >= ENOUGH_RATIO * PARTS_PER_LIMIT
             and len(self.follow_times) * MOVE_SECONDS <= self._moved_at
         ):
             self.follow_times.append(self.now - self._moved_at)
@@ -144,7 +144,7 @@
             for name, router in self.routers.items()
             if name in self._admitted[tenant]
         )
-        return sum(parts) / WHOLE
+        return sum(parts) / PARTS_PER_LIMIT
 
     def _configure(self) -> None:
         """Bind each tenant to a region."""
@@ -156,7 +156,7 @@
         admitted[MOVING_TENANT] = frozenset(self.routers)
         self._admitted = admitted
         for router in self.routers.values():
-            router.sharing.follow(0.0, self.routers, len(self.routers))
+            router.sharing.update_routers(0.0, self.routers, len(self.routers))
             router.sharing.set_admitted(0.0, admitted)
 
     def _move(self) -> None:
@@ -178,9 +178,9 @@
         if limiter is None:
             limiter = router.limiters[tenant] = TenantLimiter(self.now)
         self._update(router, tenant, limiter)
-        refusal = limiter.try_enter(self.now, 0.0)
+        refusal = limiter.try_admit(self.now, 0.0)
         if refusal is None:
-            limiter.leave(self.now, 0.0)
+            limiter.release(self.now, 0.0)
         return refusal is None
 
     def _update(self, router: _Router, tenant: str, limiter: TenantLimiter) -> None:
@@ -192,7 +192,7 @@
         for tenant, limiter in router.limiters.items():
             self._update(router, tenant, limiter)
         live = (record.name for record in membership.alive())
-        sharing.follow(self.now, live, len(membership.members()))
+        sharing.update_routers(self.now, live, len(membership.members()))
         router.wanted = {
             tenant: limiter.take_wanted(REPORT_SECONDS, sharing.smoothing_seconds(tenant))
             for tenant, limiter in router.limiters.items()
--- a/hopstep/domain/limits/fleet_usage.py
+++ b/hopstep/domain/limits/fleet_usage.py
@@ -149,7 +149,7 @@
         )
         return UsageReport(tuple(each for each in usage if not each.is_empty), self._nodes)
 
-    def of_name(self, name: str) -> dict[str, Usage]:
+    def usage_by_node(self, name: str) -> dict[str, Usage]:
         """Return what each node that is heard told last of one name."""
         return {
             process.name: each
--- a/hopstep/domain/limits/leases.py
+++ b/hopstep/domain/limits/leases.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from hopstep.domain.limits.limiter import FLOOR_RATIO, WHOLE
+from hopstep.domain.limits.limiter import FLOOR_RATIO, PARTS_PER_LIMIT
 from hopstep.domain.peer_message import LimitDemand
 
-POOL = WHOLE - round(WHOLE * FLOOR_RATIO)
+POOL = PARTS_PER_LIMIT - round(PARTS_PER_LIMIT * FLOOR_RATIO)
 """Part of each limit that is leased."""
 
 GROWTH_DIVISOR = 4
--- a/hopstep/domain/limits/limit_doubt.py
+++ b/hopstep/domain/limits/limit_recheck.py
@@ -22,7 +22,7 @@
 HASHES = 2.0**64
 
 
-def doubted_from(heard_at: float, life: str, node: str, nodes: int) -> float:
+def recheck_from(heard_at: float, life: str, node: str, nodes: int) -> float:
     """Return from when on a node asks whether a limit still holds.
 
     Each node has a place of its own in the order in which nodes come to doubt the limit of a life.
@@ -37,7 +37,7 @@
     return heard_at + DOUBT_SECONDS + share * nodes / NODES_PER_SECOND
 
 
-class LimitDoubt:
+class LimitRecheck:
     """One node's doubt of one limit."""
 
     def __init__(self) -> None:
@@ -52,10 +52,10 @@
         self._wanted_at = now
         return True
 
-    def may_ask(self, now: float) -> bool:
+    def may_recheck(self, now: float) -> bool:
         """Return whether a request may be sent to ask."""
         return now - self._asked_at >= ASKING_SECONDS
 
-    def note_asked(self, now: float) -> None:
+    def note_recheck(self, now: float) -> None:
         """Note that a request is sent to ask."""
         self._asked_at = now
--- a/hopstep/domain/limits/limiter.py
+++ b/hopstep/domain/limits/limiter.py
@@ -14,7 +14,7 @@
 
 from hopstep.domain.configuration.document import TenantLimits
 
-WHOLE = 1_000_000
+PARTS_PER_LIMIT = 1_000_000
 """A whole limit; parts are counted in millionths."""
 
 FLOOR_RATIO = 0.2
@@ -129,7 +129,7 @@
             part: Millionths of them that this router may use.
         """
         self._limits = limits
-        self._fraction = part / WHOLE
+        self._fraction = part / PARTS_PER_LIMIT
         self._requests.set_rate(now, limits.requests_per_second * self._fraction)
         self._tokens.set_rate(now, limits.tokens_per_second * self._fraction)
 
@@ -156,9 +156,9 @@
         self._wanted = min(1.0, max(prompt, self._wanted))
         self._offered_requests, self._offered_tokens = 0, 0.0
         self._peak_running, self._refused_running = self.running, 0
-        return int(self._wanted * WHOLE)
+        return int(self._wanted * PARTS_PER_LIMIT)
 
-    def try_enter(self, now: float, tokens: float) -> LimitRefusal | None:
+    def try_admit(self, now: float, tokens: float) -> LimitRefusal | None:
         """Let a request in, or return why not; ``leave`` must follow an entry once.
 
         Args:
@@ -179,7 +179,7 @@
             self._tokens.take(now, tokens)
         return None
 
-    def leave(self, now: float, unused_tokens: float) -> None:
+    def release(self, now: float, unused_tokens: float) -> None:
         """Let a request out and give back the tokens that it didn't use."""
         self.running -= 1
         if self._limits.tokens_per_second > 0:
--- a/hopstep/domain/limits/owners.py
+++ b/hopstep/domain/limits/owners.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hopstep.domain.limits.limiter import FLOOR_RATIO, WHOLE
+from hopstep.domain.limits.limiter import FLOOR_RATIO, PARTS_PER_LIMIT
 from hopstep.domain.rendezvous import Rendezvous
 
 MAX_VIEWS = 8
@@ -149,7 +149,7 @@
         ]
         if now - self._updated_at > MAX_GAP_SECONDS:
             counts.append(self._expected)
-        return int(WHOLE * FLOOR_RATIO) // max(self.routers, *counts, 1)
+        return int(PARTS_PER_LIMIT * FLOOR_RATIO) // max(self.routers, *counts, 1)
 
 
 def _owner(view: Rendezvous, tenant: str) -> str:
--- a/hopstep/domain/limits/quota_ledger.py
+++ b/hopstep/domain/limits/quota_ledger.py
@@ -25,7 +25,7 @@
 DEMAND_SECONDS = 1.0
 """Demand is what was offered within this time: two tellings between zones take 0.6 s."""
 
-MAX_SILENCE_SECONDS = 1.5
+MAX_USAGE_AGE_SECONDS = 1.5
 """A node that was told nothing for longer takes itself for cut off."""
 
 PREFERRED_SECONDS = 1.0
@@ -101,14 +101,14 @@
 
     Attributes:
         wait_seconds: Until one like it may be admitted; 0 when this one is.
-        room: Units that this node may still admit.
+        free_units: Units that this node may still admit.
         share: This node's share of what is left.
         used: Units that all nodes had admitted, as far as known.
         nodes: Nodes of which that is known.
     """
 
     wait_seconds: float
-    room: float
+    free_units: float
     share: float
     used: float
     nodes: int
@@ -165,11 +165,11 @@
         return report
 
     @property
-    def was_told(self) -> bool:
+    def has_fleet_usage(self) -> bool:
         """Whether anybody has told this process what all nodes have used."""
         return self._fleet is not None
 
-    def take_told(self, fleet: FleetUsage) -> None:
+    def update_fleet_usage(self, fleet: FleetUsage) -> None:
         """Take what all nodes have used; what fewer nodes have told doesn't replace it at once."""
         known = self._fleet
         fewer = known is not None and fleet.report.nodes < known.report.nodes
@@ -198,18 +198,18 @@
         windows.offered.add(now, cost)
         share, used, unseen, heard = self._known(tenant, quota, windows, now, nodes)
         part = min(1.0, heard / max(1, nodes))
-        room = share * (self._target(quota) * part - used) - unseen
+        free_units = share * (self._target(quota) * part - used) - unseen
         if now >= windows.redraw_at:
             windows.drawn, windows.redraw_at = draw, now + REDRAW_SECONDS
-        if room > 0 and room >= windows.drawn * cost:
+        if free_units > 0 and free_units >= windows.drawn * cost:
             windows.admitted.add(now, cost)
-            return QuotaDecision(0.0, room, share, used, heard)
+            return QuotaDecision(0.0, free_units, share, used, heard)
         refilled = max(share * part * quota.per_second, 1e-9)
-        wait = (cost - room) / refilled
+        wait = (cost - free_units) / refilled
         wait = min(self._bounds.window_seconds, max(LEAST_WAIT_SECONDS, wait))
-        return QuotaDecision(wait, room, share, used, heard)
+        return QuotaDecision(wait, free_units, share, used, heard)
 
-    def give_back(self, tenant: str, cost: int, now: float) -> None:
+    def refund(self, tenant: str, cost: int, now: float) -> None:
         """Count a request no longer that was admitted and has not run."""
         self._windows(tenant).admitted.add(now, -cost)
 
@@ -221,7 +221,7 @@
         A node that hears nobody counts for one: it has an even part of the quota for itself.
         """
         fleet = self._fleet
-        if fleet is None or now - fleet.asked_at > MAX_SILENCE_SECONDS:
+        if fleet is None or now - fleet.asked_at > MAX_USAGE_AGE_SECONDS:
             own = windows.admitted.total(now) + self._forgotten(quota, now, nodes)
             return 1.0, own, 0.0, 1
         told = self._told.get(tenant)
--- a/hopstep/domain/limits/send_permits.py
+++ b/hopstep/domain/limits/send_permits.py
@@ -25,7 +25,7 @@
 """After so long the use of a permit is known to the relay that gave it: two messages."""
 
 LEAST_EXTRA_SECONDS = 0.0
-MOST_EXTRA_SECONDS = 1.8
+MAX_EXTRA_SECONDS = 1.8
 """Permits are given for a window that is longer by an extra between these, since a permit counts as
 given for a while after it was used or has expired. The extra is found from what was sent, and what
 is sent within ``WINDOW_SECONDS`` never exceeds what is given for the longer one."""
@@ -44,10 +44,10 @@
 """A single permit that wasn't used within this time is taken for one that won't be: who wanted it
 has gone elsewhere."""
 
-LEAST_PER_SECOND = 0.25
+MIN_LIMIT_PER_SECOND = 0.25
 """Limits below this one count as this one, so that the fleet finds out when they are lifted."""
 
-LEAST_HEARD_SHARE = 0.25
+MIN_REPORTING_SHARE = 0.25
 """A group of nodes that hears fewer of all nodes than this gives no permits: at most four groups
 that don't hear each other can, so they exceed a limit by four requests at most."""
 
@@ -64,7 +64,7 @@
     ahead: int = 0
 
 
-class Reach(msgspec.Struct, frozen=True):
+class FleetCoverage(msgspec.Struct, frozen=True):
     """How much of the fleet is heard.
 
     Attributes:
@@ -79,7 +79,7 @@
     def share(self) -> float:
         """Part of the limit that this group of nodes may give out."""
         share = min(1.0, self.heard / max(1, self.nodes))
-        return share if share >= LEAST_HEARD_SHARE else 0.0
+        return share if share >= MIN_REPORTING_SHARE else 0.0
 
 
 class PermitStock:
@@ -133,7 +133,12 @@
         self._turn = 0
 
     def allocate(
-        self, per_second: float, sent: int, reach: Reach, wants: Mapping[str, Wants], now: float
+        self,
+        per_second: float,
+        sent: int,
+        reach: FleetCoverage,
+        wants: Mapping[str, Wants],
+        now: float,
     ) -> dict[str, int]:
         """Return how many permits each relay gets now.
 
@@ -144,7 +149,7 @@
             wants: Permits that the nodes of each relay would use.
             now: The time.
         """
-        per_second = max(per_second, LEAST_PER_SECOND)
+        per_second = max(per_second, MIN_LIMIT_PER_SECOND)
         room = int(self._room(per_second, sent, reach, now))
         shares: dict[str, int] = {}
         room -= self._share_out(shares, {relay: w.waiting for relay, w in wants.items()}, room)
@@ -162,7 +167,7 @@
         """Return how many permits a relay was given after a time."""
         return sum(count for at, given, count in self._given if given == relay and at > since)
 
-    def _room(self, per_second: float, sent: int, reach: Reach, now: float) -> float:
+    def _room(self, per_second: float, sent: int, reach: FleetCoverage, now: float) -> float:
         """Return how many permits may be given now."""
         share = per_second * reach.share
         counted = sent + self._given_lately(now) + self._forgotten(share, now)
@@ -179,7 +184,7 @@
         step = EXTRA_PER_SECOND * min(1.0, now - self._adjusted_at)
         self._adjusted_at = now
         step = step if sent <= share * WINDOW_SECONDS else -step
-        extra = min(MOST_EXTRA_SECONDS, self._extra_seconds + step)
+        extra = min(MAX_EXTRA_SECONDS, self._extra_seconds + step)
         self._extra_seconds = max(LEAST_EXTRA_SECONDS, extra)
 
     def _forgotten(self, share: float, now: float) -> float:
--- a/hopstep/domain/limits/sharing.py
+++ b/hopstep/domain/limits/sharing.py
@@ -73,7 +73,7 @@
         self._latest: dict[str, tuple[int, int]] = {}
         self._pending: dict[int, tuple[str, ...]] = {}
 
-    def follow(self, now: float, live_routers: Iterable[str], known_routers: int) -> None:
+    def update_routers(self, now: float, live_routers: Iterable[str], known_routers: int) -> None:
         """Take in which routers there are.
 
         Args:
--- a/hopstep/domain/routing/routing_table.py
+++ b/hopstep/domain/routing/routing_table.py
@@ -34,8 +34,8 @@
 from hopstep.domain.requests_in_force import choose_kv_cache_store
 from hopstep.domain.retry_after_header import MAX_REST_SECONDS
 from hopstep.domain.routing.engine_view import EngineView, QueuePlace
-from hopstep.domain.routing.prefix_owners import PrefixOwners
 from hopstep.domain.routing.prefix_index import PrefixIndex
+from hopstep.domain.routing.prefix_owners import PrefixOwners
 from hopstep.domain.routing.priority_mix import PriorityMix
 from hopstep.domain.routing.prompt_heads import HashPrompt, Prompt, PromptHasher
 from hopstep.domain.routing.selection import (
--- a/hopstep/services/exchanges/instances/instance_limits.py
+++ b/hopstep/services/exchanges/instances/instance_limits.py
@@ -13,7 +13,7 @@
 from hopstep.domain.instance_standing import InstanceStanding
 from hopstep.domain.limits.fleet_usage import UsageReport
 from hopstep.domain.limits.limited_sends import LimitedSends
-from hopstep.domain.limits.send_permits import LEAST_PER_SECOND
+from hopstep.domain.limits.send_permits import MIN_LIMIT_PER_SECOND
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.instances.instance_notices import InstanceNotices
 
@@ -275,7 +275,7 @@
 
     def _room(self, view: InstanceView) -> float:
         """Return what an instance takes in a second for each request that would wait for it."""
-        limit = max(view.standing.limit.per_second, LEAST_PER_SECOND)
+        limit = max(view.standing.limit.per_second, MIN_LIMIT_PER_SECOND)
         return limit / (1 + len(self._waiters.get(view.life, ())))
 
     def _sends(self, life: str) -> LimitedSends | None:
--- a/hopstep/services/exchanges/peers/permit_sharing.py
+++ b/hopstep/services/exchanges/peers/permit_sharing.py
@@ -16,9 +16,9 @@
 from hopstep.domain.limits.send_permits import (
     PERMIT_SECONDS,
     WINDOW_SECONDS,
+    FleetCoverage,
     PermitAllocator,
     PermitStock,
-    Reach,
     Wants,
 )
 from hopstep.domain.rendezvous import Rendezvous
@@ -139,7 +139,7 @@
             allocator = self._allocators[life] = PermitAllocator(self._started_at)
         sent = sum(u.admitted for u in self.book.fleet_report().usage if u.name == life)
         nodes = self._knowledge.count_nodes()
-        reach = Reach(self.book.fleet_report().nodes, nodes)
+        reach = FleetCoverage(self.book.fleet_report().nodes, nodes)
         shares = allocator.allocate(limit, sent, reach, self._wants(life, allocator, now), now)
         self._stock(life).put(shares.pop(self._knowledge.name, 0), now + PERMIT_SECONDS)
         valid_ms = round(PERMIT_SECONDS * MILLISECONDS)
--- a/hopstep/services/exchanges/peers/usage_book.py
+++ b/hopstep/services/exchanges/peers/usage_book.py
@@ -57,7 +57,7 @@
 
     def relays_usage(self, name: str) -> dict[str, Usage]:
         """Return what each other relay told last of one name, for its group."""
-        return self._relays.of_name(name)
+        return self._relays.usage_by_node(name)
 
     def _process(self, node: str) -> NodeProcess:
         """Return a node's process as it is registered now."""
--- a/hopstep/services/exchanges/requests/permit_demand.py
+++ b/hopstep/services/exchanges/requests/permit_demand.py
@@ -13,7 +13,7 @@
 from hopstep.domain.exchanges.request import ExchangeRequest
 from hopstep.domain.exchanges.selection import Candidate
 from hopstep.domain.instance_admission import Barrier, Purpose
-from hopstep.domain.limits.limit_doubt import LimitDoubt, doubted_from
+from hopstep.domain.limits.limit_recheck import LimitRecheck, recheck_from
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 
 MAX_DOUBTS = 1_024
@@ -42,7 +42,7 @@
             knowledge: This node's name, and how many nodes there are.
         """
         self._knowledge = knowledge
-        self._doubts: OrderedDict[str, LimitDoubt] = OrderedDict()
+        self._doubts: OrderedDict[str, LimitRecheck] = OrderedDict()
 
     def note_doubted(self, views: list[InstanceView], now: float) -> None:
         """Ask for permits for instances whose limits are in doubt.
@@ -71,7 +71,7 @@
             if view.standing.limited_sends is not None
             and view.is_usable(now)
             and self._is_doubted(view, now)
-            and self._doubt(view).may_ask(now)
+            and self._doubt(view).may_recheck(now)
         ]
 
     def asks(self, request: ExchangeRequest, candidate: Candidate, now: float) -> bool:
@@ -80,18 +80,18 @@
         expected = candidate.read_seconds + candidate.view.expected_latency
         if now + expected > answer_by:
             return False
-        self._doubt(candidate.view).note_asked(now)
+        self._doubt(candidate.view).note_recheck(now)
         return True
 
     def _is_doubted(self, view: InstanceView, now: float) -> bool:
         """Return whether this node is to ask whether a limit holds."""
         heard_at = view.standing.limit.times.before
         nodes = self._knowledge.count_nodes()
-        return now >= doubted_from(heard_at, view.life, self._knowledge.name, nodes)
+        return now >= recheck_from(heard_at, view.life, self._knowledge.name, nodes)
 
-    def _doubt(self, view: InstanceView) -> LimitDoubt:
+    def _doubt(self, view: InstanceView) -> LimitRecheck:
         """Return the doubt of an instance's limit."""
-        doubt = self._doubts.setdefault(view.life, LimitDoubt())
+        doubt = self._doubts.setdefault(view.life, LimitRecheck())
         self._doubts.move_to_end(view.life)
         if len(self._doubts) > MAX_DOUBTS:
             self._doubts.popitem(last=False)
--- a/hopstep/services/exchanges/requests/quotas.py
+++ b/hopstep/services/exchanges/requests/quotas.py
@@ -78,7 +78,7 @@
             request_id=request.request_id,
             tenant=tenant.name,
             cost=cost,
-            room=round(decision.room),
+            room=round(decision.free_units),
             share=round(decision.share, 4),
             used=round(decision.used),
             nodes=decision.nodes,
@@ -101,7 +101,7 @@
 
     def _take_told(self, report: UsageReport, asked_at: float) -> None:
         """Take the usage of all nodes; the report of this one alone tells nothing."""
-        self._ledger.take_told(FleetUsage(report, asked_at))
+        self._ledger.update_fleet_usage(FleetUsage(report, asked_at))
         if report.nodes > 1:
             self._told.set()
 
@@ -110,7 +110,7 @@
         tenant = request.tenant
         if tenant is not None and tenant.quota is not None:
             cost = tenant.quota.cost(request.usage_tokens)
-            self._ledger.give_back(tenant.name, cost, trio.current_time())
+            self._ledger.refund(tenant.name, cost, trio.current_time())
 
     def _own_report(self) -> UsageReport:
         """Return this node's usage."""
--- a/hopstep/services/limit_leases.py
+++ b/hopstep/services/limit_leases.py
@@ -60,7 +60,7 @@
     def _follow(self, now: float) -> None:
         """Take in which routers there are."""
         live = [record.name for record in self._membership.alive_routers()]
-        self._sharing.follow(now, live, len(self._membership.members()))
+        self._sharing.update_routers(now, live, len(self._membership.members()))
 
     def _follow_configuration(self, accepted: AcceptedConfiguration) -> None:
         """Take in which routers may serve each tenant, if that has changed."""
--- a/hopstep/services/requests/tenant_limits.py
+++ b/hopstep/services/requests/tenant_limits.py
@@ -10,7 +10,7 @@
 from hopstep.domain.blocks import count_tokens
 from hopstep.domain.configuration.document import Tenant, TenantLimits
 from hopstep.domain.inference import InferenceRequest
-from hopstep.domain.limits.limiter import WHOLE, LimitRefusal, TenantLimiter
+from hopstep.domain.limits.limiter import PARTS_PER_LIMIT, LimitRefusal, TenantLimiter
 from hopstep.domain.limits.sharing import ALWAYS_REPORTED
 from hopstep.exceptions import ErrorCode, ServiceError
 from hopstep.services.configuration.holder import ConfigurationHolder
@@ -34,7 +34,7 @@
 
     def __init__(self, holder: ConfigurationHolder, part: PartOfLimits | None = None) -> None:
         self._holder = holder
-        self._part = part or (lambda tenant: WHOLE)
+        self._part = part or (lambda tenant: PARTS_PER_LIMIT)
         self._limiters: dict[str, TenantLimiter] = {}
         self._used_at: dict[str, float] = {}
 
@@ -54,14 +54,14 @@
         limiter = self._limiter(request.tenant)
         prompt_tokens = count_tokens(request.prompt)
         tokens = prompt_tokens + request.max_tokens
-        refusal = limiter.try_enter(trio.current_time(), tokens)
+        refusal = limiter.try_admit(trio.current_time(), tokens)
         if refusal is not None:
             raise _limited(refusal)
         try:
             yield
         finally:
             unused = request.max_tokens - generated_tokens()
-            limiter.leave(trio.current_time(), max(0, unused))
+            limiter.release(trio.current_time(), max(0, unused))
 
     def take_wanted(
         self, seconds: float, smoothing_seconds: Callable[[str], float]
@@ -114,7 +114,7 @@
         return limiter
 
     def _update(self, limiter: TenantLimiter, tenant: Tenant, now: float) -> None:
-        part = self._part(tenant.name) if _is_limited(tenant.limits) else WHOLE
+        part = self._part(tenant.name) if _is_limited(tenant.limits) else PARTS_PER_LIMIT
         limiter.update(now, tenant.limits, part)
 
 
--- a/tests/domain/limits/limited_fleet.py
+++ b/tests/domain/limits/limited_fleet.py
@@ -18,9 +18,9 @@
 from hopstep.domain.limits.send_permits import (
     PERMIT_SECONDS,
     WINDOW_SECONDS,
+    FleetCoverage,
     PermitAllocator,
     PermitStock,
-    Reach,
     Wants,
 )
 
@@ -132,7 +132,7 @@
     def offer(self, now, node):
         ledger = self.ledgers[node]
         while self.told[node] and self.told[node][0][0] <= now:
-            ledger.take_told(self.told[node].popleft()[1])
+            ledger.update_fleet_usage(self.told[node].popleft()[1])
         draw = self.generator.random()
         return not ledger.admit(LIFE, self.quota, 1, now, len(self.ledgers), draw).wait_seconds
 
@@ -269,7 +269,7 @@
             lacking = usage.less(given)
             wants[relay] = Wants(lacking.offered, lacking.expected)
         sent = sum(usage.admitted for usage in self.digests.values())
-        reach = Reach(len(self.nodes), len(self.nodes))
+        reach = FleetCoverage(len(self.nodes), len(self.nodes))
         shares = self.allocator.allocate(self.limit, sent, reach, wants, now)
         for relay, count in shares.items():
             delay = 0.0 if relay == self.allocating else LATENCY_SECONDS
--- a/tests/domain/limits/quota_fleet.py
+++ b/tests/domain/limits/quota_fleet.py
@@ -89,11 +89,11 @@
         if at < node.down_until:
             return
         while node.told and node.told[0][0] <= at:
-            node.ledger.take_told(node.told.popleft()[1])
+            node.ledger.update_fleet_usage(node.told.popleft()[1])
         decision = node.ledger.admit(
             TENANT, self.quota, size, at, len(self.nodes), self.random.random()
         )
-        if decision.wait_seconds and not node.ledger.was_told and node.name not in self.cut:
+        if decision.wait_seconds and not node.ledger.has_fleet_usage and node.name not in self.cut:
             self._held.append((node, size))
         elif decision.wait_seconds:
             self.refused += 1
--- a/tests/domain/limits/test_limit_doubt.py
+++ b/tests/domain/limits/test_limit_doubt.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from hopstep.domain.limits.limit_doubt import LimitDoubt, doubted_from
+from hopstep.domain.limits.limit_recheck import LimitRecheck, recheck_from
 
 HEARD_AT = 100.0
 TOLD_SECONDS = 0.4
@@ -12,7 +12,7 @@
 
 def starts(nodes, life="i1@1"):
     """Return when each node of a fleet comes to doubt a limit, the first one first."""
-    return sorted(doubted_from(HEARD_AT, life, f"n{node}", nodes) for node in range(nodes))
+    return sorted(recheck_from(HEARD_AT, life, f"n{node}", nodes) for node in range(nodes))
 
 
 class DoubtedFromTest(unittest.TestCase):
@@ -32,7 +32,7 @@
 
     def test_the_same_nodes_ask_first_for_all_lives(self):
         first = {
-            min(range(79), key=lambda node: doubted_from(HEARD_AT, f"i{life}@1", f"n{node}", 79))
+            min(range(79), key=lambda node: recheck_from(HEARD_AT, f"i{life}@1", f"n{node}", 79))
             for life in range(40)
         }
         self.assertGreater(len(first), 20)
@@ -40,15 +40,15 @@
 
 class LimitDoubtTest(unittest.TestCase):
     def test_a_node_asks_for_permits_and_asks_with_requests_once_a_second(self):
-        doubt = LimitDoubt()
+        doubt = LimitRecheck()
         self.assertTrue(doubt.wants_permit(10.0))
         self.assertFalse(doubt.wants_permit(10.9))
-        self.assertTrue(doubt.may_ask(10.5))
-        doubt.note_asked(10.5)
-        self.assertFalse(doubt.may_ask(11.4))
+        self.assertTrue(doubt.may_recheck(10.5))
+        doubt.note_recheck(10.5)
+        self.assertFalse(doubt.may_recheck(11.4))
         self.assertFalse(doubt.wants_permit(11.4))
         self.assertTrue(doubt.wants_permit(11.5))
-        self.assertTrue(doubt.may_ask(11.5))
+        self.assertTrue(doubt.may_recheck(11.5))
 
 
 if __name__ == "__main__":
--- a/tests/domain/limits/test_limits_stateful.py
+++ b/tests/domain/limits/test_limits_stateful.py
@@ -13,7 +13,7 @@
     BURST_SECONDS,
     FLOOR_RATIO,
     OVERSHOOT_BOUND,
-    WHOLE,
+    PARTS_PER_LIMIT,
     LimitKind,
     TenantLimiter,
 )
@@ -160,8 +160,8 @@
             place = "b" if now < 40 else "a"
             admitted = {TENANT: frozenset(place), "other": frozenset("a")}
             sharing.set_admitted(now, admitted)
-            sharing.follow(now, {"a", "b"}, 2)
-            list(sharing.reports(now, {TENANT: WHOLE} if place == "a" else {}))
+            sharing.update_routers(now, {"a", "b"}, 2)
+            list(sharing.reports(now, {TENANT: PARTS_PER_LIMIT} if place == "a" else {}))
             if sharing.part(TENANT, now) > POOL:
                 return now - 40
         return None
@@ -175,8 +175,8 @@
         owners = LimitOwners("a", 0.0)
         for now in range(30):
             owners.update(float(now), frozenset({"a"}), 4)
-        self.assertEqual(owners.floor_part(29.0), int(WHOLE * FLOOR_RATIO))
-        self.assertEqual(owners.floor_part(60.0), int(WHOLE * FLOOR_RATIO) // 4)
+        self.assertEqual(owners.floor_part(29.0), int(PARTS_PER_LIMIT * FLOOR_RATIO))
+        self.assertEqual(owners.floor_part(60.0), int(PARTS_PER_LIMIT * FLOOR_RATIO) // 4)
 
     def largest_sum_after_a_pause(self):
         """Pause the owner until another one has leased everything out, and wake it.
@@ -221,11 +221,11 @@
                 now, name, demand, routers=2, lease_seconds=LEASE_SECONDS, settled=True
             )
 
-        for number, (now, wanted) in enumerate(((0.0, WHOLE), (3.0, 0)), start=1):
+        for number, (now, wanted) in enumerate(((0.0, PARTS_PER_LIMIT), (3.0, 0)), start=1):
             part = ask(now, "a", first, number, wanted)
             if number != lost:
                 first.take(number, TENANT, part, LEASE_SECONDS)
-        other.take(1, TENANT, ask(3.0, "b", other, 1, WHOLE), LEASE_SECONDS)
+        other.take(1, TENANT, ask(3.0, "b", other, 1, PARTS_PER_LIMIT), LEASE_SECONDS)
         first.take(1, TENANT, POOL, LEASE_SECONDS)
         return first.part(TENANT, 4.0) + other.part(TENANT, 4.0)
 
@@ -270,7 +270,7 @@
             world.start(name)
         world.pass_time(LEARNING + 4)
         for router in world.routers.values():
-            self.assertAlmostEqual(router.part(world.now) / WHOLE, 1 / 3, 3)
+            self.assertAlmostEqual(router.part(world.now) / PARTS_PER_LIMIT, 1 / 3, 3)
         owner = world.owner()
         busy = world.routers[next(name for name in world.routers if name != owner)]
         busy.demand = 1.0
@@ -284,7 +284,7 @@
             world.pass_time(1)
             parts.append(busy.part(world.now))
         self.assertGreaterEqual(min(parts), before)
-        self.assertGreaterEqual(parts[-1], WHOLE * 0.9)
+        self.assertGreaterEqual(parts[-1], PARTS_PER_LIMIT * 0.9)
 
     def test_floor_shrinks_at_once_and_grows_when_all_agree(self):
         owners = LimitOwners("a", -100.0)
@@ -297,7 +297,7 @@
             parts[now] = owners.floor_part(float(now))
         # Right after the start and after the gap the past is unknown: the configured ones count.
         expected = {-100: 8, 0: 2, 1: 4, 2: 4, 16: 4, 17: 1, 40: 8}
-        whole = int(WHOLE * FLOOR_RATIO)
+        whole = int(PARTS_PER_LIMIT * FLOOR_RATIO)
         self.assertEqual(
             {now: parts[now] for now in expected},
             {now: whole // count for now, count in expected.items()},
@@ -305,7 +305,7 @@
 
     def limiter(self, **limits_by_name):
         limiter = TenantLimiter(0.0)
-        limiter.update(0.0, TenantLimits(**limits_by_name), WHOLE)
+        limiter.update(0.0, TenantLimits(**limits_by_name), PARTS_PER_LIMIT)
         return limiter
 
     def test_each_limit_refuses_and_says_when_to_come_back(self):
@@ -318,31 +318,31 @@
             with self.subTest(limit=kind):
                 limiter = self.limiter(**limits_by_name)
                 for _ in range(allowed):
-                    self.assertIsNone(limiter.try_enter(0.0, tokens))
-                refusal = limiter.try_enter(0.0, tokens)
+                    self.assertIsNone(limiter.try_admit(0.0, tokens))
+                refusal = limiter.try_admit(0.0, tokens)
                 self.assertEqual(refusal.kind, kind)
                 self.assertGreater(refusal.retry_after_seconds, 0)
                 if kind is LimitKind.CONCURRENCY:
-                    limiter.leave(0.0, 0.0)
+                    limiter.release(0.0, 0.0)
                 come_back = refusal.retry_after_seconds + 1e-6
-                self.assertIsNone(limiter.try_enter(come_back, tokens))
+                self.assertIsNone(limiter.try_admit(come_back, tokens))
 
     def test_no_limit_lets_everything_in(self):
         limiter = self.limiter()
-        self.assertTrue(all(limiter.try_enter(0.0, 1e9) is None for _ in range(1000)))
+        self.assertTrue(all(limiter.try_admit(0.0, 1e9) is None for _ in range(1000)))
 
     def test_unused_tokens_are_given_back(self):
         limiter = self.limiter(tokens_per_second=100.0)
-        self.assertIsNone(limiter.try_enter(0.0, 100.0))
-        limiter.leave(0.0, 90.0)
-        self.assertIsNone(limiter.try_enter(0.0, 90.0))
+        self.assertIsNone(limiter.try_admit(0.0, 100.0))
+        limiter.release(0.0, 90.0)
+        self.assertIsNone(limiter.try_admit(0.0, 90.0))
 
     def test_request_above_the_burst_passes_once_and_leaves_a_debt(self):
         limiter = self.limiter(tokens_per_second=100.0)
-        self.assertIsNone(limiter.try_enter(0.0, 500.0))
-        limiter.leave(0.0, 0.0)
-        self.assertIsNotNone(limiter.try_enter(4.0, 50.0))
-        self.assertIsNone(limiter.try_enter(4.6, 50.0))
+        self.assertIsNone(limiter.try_admit(0.0, 500.0))
+        limiter.release(0.0, 0.0)
+        self.assertIsNotNone(limiter.try_admit(4.0, 50.0))
+        self.assertIsNone(limiter.try_admit(4.6, 50.0))
 
 
 if __name__ == "__main__":
--- a/tests/domain/limits/test_quota_ledger.py
+++ b/tests/domain/limits/test_quota_ledger.py
@@ -4,7 +4,7 @@
 
 from hopstep.domain.limits.fleet_usage import Usage, UsageReport
 from hopstep.domain.limits.quota_ledger import (
-    MAX_SILENCE_SECONDS,
+    MAX_USAGE_AGE_SECONDS,
     FleetUsage,
     QuotaBounds,
     QuotaLedger,
@@ -125,7 +125,7 @@
 
     def told(self, admitted, offered, nodes=10, asked_at=0.0):
         report = UsageReport((Usage(TENANT, admitted, offered),), nodes)
-        self.ledger.take_told(FleetUsage(report, asked_at))
+        self.ledger.update_fleet_usage(FleetUsage(report, asked_at))
 
     def admit(self, now, cost=REQUEST, nodes=10, draw=1.0):
         return self.ledger.admit(TENANT, QUOTA, cost, now, nodes, draw)
@@ -133,7 +133,7 @@
     def test_what_was_admitted_since_the_telling_counts_until_the_next(self):
         quota = TenantQuota(10.0)
         ledger = QuotaLedger(QuotaBounds(10.0), -100.0)
-        ledger.take_told(FleetUsage(UsageReport((Usage("t", 97, 0),), 1), 0.5))
+        ledger.update_fleet_usage(FleetUsage(UsageReport((Usage("t", 97, 0),), 1), 0.5))
         decisions = [ledger.admit("t", quota, 1, 0.6, 1, 1.0).wait_seconds for _ in range(4)]
         self.assertEqual([wait == 0 for wait in decisions], [True, True, True, False])
 
@@ -147,7 +147,7 @@
 
     def test_a_share_of_less_than_a_request_admits_one_by_chance(self):
         self.told(admitted=2_690_000, offered=40 * REQUEST)
-        room = self.admit(0.2, draw=1.0).room
+        room = self.admit(0.2, draw=1.0).free_units
         self.assertTrue(0 < room < REQUEST)
         self.told(admitted=2_690_000, offered=40 * REQUEST, asked_at=1.3)
         self.assertEqual(self.admit(1.5, draw=0.01).wait_seconds, 0.0)
@@ -163,9 +163,9 @@
     def test_a_node_that_was_told_nothing_for_long_counts_for_one(self):
         self.told(admitted=0, offered=0)
         self.assertEqual(self.admit(0.1).nodes, 10)
-        decision = self.admit(MAX_SILENCE_SECONDS + 0.1)
+        decision = self.admit(MAX_USAGE_AGE_SECONDS + 0.1)
         self.assertEqual(decision.nodes, 1)
-        self.assertLess(decision.room, 0.12 * QUOTA.per_second * 9)
+        self.assertLess(decision.free_units, 0.12 * QUOTA.per_second * 9)
 
     def test_what_fewer_nodes_tell_does_not_replace_what_more_have_just_told(self):
         self.told(admitted=0, offered=0, nodes=10, asked_at=0.0)
@@ -176,7 +176,7 @@
 
     def test_what_has_not_run_is_given_back(self):
         self.admit(0.0)
-        self.ledger.give_back(TENANT, REQUEST, 0.1)
+        self.ledger.refund(TENANT, REQUEST, 0.1)
         [usage] = self.ledger.own_report({TENANT: QUOTA}, 0.2, 10).usage
         self.assertEqual(usage.admitted, 0)
 
--- a/tests/domain/limits/test_send_permits.py
+++ b/tests/domain/limits/test_send_permits.py
@@ -5,18 +5,18 @@
 
 from emulator.sliding_window import most_within
 from hopstep.domain.limits.send_permits import (
-    LEAST_HEARD_SHARE,
-    MOST_EXTRA_SECONDS,
+    MAX_EXTRA_SECONDS,
+    MIN_REPORTING_SHARE,
     PERMIT_SECONDS,
     REPORT_SECONDS,
     WINDOW_SECONDS,
+    FleetCoverage,
     PermitAllocator,
     PermitStock,
-    Reach,
     Wants,
 )
 
-ALL = Reach(10, 10)
+ALL = FleetCoverage(10, 10)
 MANY = {"a": Wants(waiting=1_000)}
 TICK_SECONDS = 0.2
 
@@ -81,20 +81,20 @@
                 self.assertGreaterEqual(len(self.sent(limit)) / (30.0 * limit), 0.9)
 
     def test_a_group_that_hears_a_part_gives_that_part(self):
-        half = len(self.sent(8.0, Reach(5, 10)))
+        half = len(self.sent(8.0, FleetCoverage(5, 10)))
         self.assertAlmostEqual(half / len(self.sent(8.0)), 0.5, delta=0.1)
 
     def test_a_group_that_hears_too_few_gives_nothing(self):
-        heard = int(10 * LEAST_HEARD_SHARE)
-        self.assertEqual(self.sent(8.0, Reach(heard, 10 + heard * 4)), [])
+        heard = int(10 * MIN_REPORTING_SHARE)
+        self.assertEqual(self.sent(8.0, FleetCoverage(heard, 10 + heard * 4)), [])
 
     def test_nodes_that_are_not_registered_yet_add_nothing(self):
-        self.assertEqual(Reach(12, 10).share, 1.0)
+        self.assertEqual(FleetCoverage(12, 10).share, 1.0)
 
     def test_a_relay_that_has_just_started_counts_the_limit_as_used(self):
         allocator = PermitAllocator(0.0)
         early = [at for at in self.sent(8.0, allocator=allocator) if at < 1.0]
-        self.assertLessEqual(len(early), 8 * (1.0 + MOST_EXTRA_SECONDS))
+        self.assertLessEqual(len(early), 8 * (1.0 + MAX_EXTRA_SECONDS))
 
     def test_requests_that_wait_go_before_those_that_are_expected(self):
         allocator = PermitAllocator(-100.0)
@@ -112,4 +112,4 @@
         given = allocator.allocate(8.0, 0, ALL, MANY, 0.0)["a"]
         self.assertEqual(allocator.given_to("a", -1.0), given)
         given += allocator.allocate(8.0, 0, ALL, MANY, PERMIT_SECONDS).get("a", 0)
-        self.assertLessEqual(given, 8.0 * (WINDOW_SECONDS + MOST_EXTRA_SECONDS))
+        self.assertLessEqual(given, 8.0 * (WINDOW_SECONDS + MAX_EXTRA_SECONDS))
--- a/tests/domain/limits_world.py
+++ b/tests/domain/limits_world.py
@@ -3,7 +3,7 @@
 import random
 
 from hopstep.domain.configuration.document import TenantLimits
-from hopstep.domain.limits.limiter import WHOLE, TenantLimiter
+from hopstep.domain.limits.limiter import PARTS_PER_LIMIT, TenantLimiter
 from hopstep.domain.limits.owners import LEASE_SECONDS, RENEWALS
 from hopstep.domain.limits.sharing import LimitSharing
 from hopstep.domain.peer_message import LimitReport
@@ -82,7 +82,7 @@
         for message in inbox:
             self.receive(router, *message)
         if (self.now / STEP) % 4 == 0:
-            wanted = {TENANT: int(router.demand * WHOLE)}
+            wanted = {TENANT: int(router.demand * PARTS_PER_LIMIT)}
             for addressed in router.sharing.reports(self.now, wanted):
                 self.send(router, addressed.owner, addressed.report)
         self.offer(router)
@@ -96,15 +96,15 @@
             router.view = frozenset()
         side = self.side_of.get(router.name)
         live = {name for name in router.view if self.side_of.get(name) == side}
-        router.sharing.follow(self.now, live | {router.name}, len(self.names))
+        router.sharing.update_routers(self.now, live | {router.name}, len(self.names))
 
     def offer(self, router):
         """Offer each router more than the whole limit."""
         router.limiter.update(self.now, LIMITS, router.part(self.now))
         for _ in range(int(LIMITS.requests_per_second * STEP) + 1):
-            if router.limiter.try_enter(self.now, 0.0) is None:
+            if router.limiter.try_admit(self.now, 0.0) is None:
                 self.admitted += 1
-                router.limiter.leave(self.now, 0.0)
+                router.limiter.release(self.now, 0.0)
 
     def send(self, sender, target, body):
         cut = self.side_of.get(sender.name) != self.side_of.get(target)
@@ -137,4 +137,4 @@
         return next(iter(self.routers.values())).sharing._group(TENANT).owner(TENANT)
 
     def part_sum(self):
-        return sum(router.part(self.now) for router in self.routers.values()) / WHOLE
+        return sum(router.part(self.now) for router in self.routers.values()) / PARTS_PER_LIMIT
--- a/tests/emulator/test_limit_scale.py
+++ b/tests/emulator/test_limit_scale.py
@@ -3,7 +3,7 @@
 import unittest
 
 from emulator.limit_scale import MOVING_TENANT, SharingCluster
-from hopstep.domain.limits.limiter import OVERSHOOT_BOUND, WHOLE
+from hopstep.domain.limits.limiter import OVERSHOOT_BOUND, PARTS_PER_LIMIT
 from hopstep.domain.membership import MembershipConfig
 
 NODES = 12
@@ -23,7 +23,7 @@
         largest = max(
             router.sharing.part(MOVING_TENANT, cluster.now) for router in cluster.routers.values()
         )
-        self.assertGreater(largest, WHOLE * 0.8)
+        self.assertGreater(largest, PARTS_PER_LIMIT * 0.8)
         config = MembershipConfig()
         rate = config.bytes_per_second * config.limits_ratio
         allowed = rate * (SECONDS + config.burst_seconds)
--- a/tests/services/requests/test_admission.py
+++ b/tests/services/requests/test_admission.py
@@ -10,7 +10,7 @@
 from emulator.engine.config import EngineConfig
 from hopstep.domain import fair_queue
 from hopstep.domain.configuration.document import Tenant, TenantLimits
-from hopstep.domain.limits.limiter import WHOLE
+from hopstep.domain.limits.limiter import PARTS_PER_LIMIT
 from hopstep.domain.queue_pace import QueuePace
 from hopstep.exceptions import ErrorCode, Execution, ServiceError
 from hopstep.services.requests import attempt_factory
@@ -313,7 +313,9 @@
                     await path.answer(path.request())
                 self.assertEqual(caught.exception.code, ErrorCode.RATE_LIMITED)
                 self.assertEqual(caught.exception.execution, Execution.NOT_RUN)
-                self.assertEqual(limits.take_wanted(1.0, lambda tenant: 1.0), {"library": WHOLE})
+                self.assertEqual(
+                    limits.take_wanted(1.0, lambda tenant: 1.0), {"library": PARTS_PER_LIMIT}
+                )
                 path.apply(configuration(tenants=(Tenant("library"),)))
                 await trio.sleep(1)
                 await path.answer(path.request())
--- a/tests/simulation/test_overload.py
+++ b/tests/simulation/test_overload.py
@@ -9,7 +9,7 @@
 from emulator.simulation.deployment import sample_deployment
 from emulator.simulation.history import Outcome
 from hopstep.domain.configuration.document import TenantLimits
-from hopstep.domain.limits.limiter import FLOOR_RATIO, OVERSHOOT_BOUND, WHOLE
+from hopstep.domain.limits.limiter import FLOOR_RATIO, OVERSHOOT_BOUND, PARTS_PER_LIMIT
 from hopstep.domain.retry_budget import RetryBudget
 from hopstep.services.limit_leases import LimitLeaseService
 from hopstep.services.requests.dispatcher import Dispatcher
@@ -96,7 +96,7 @@
         self.assertGreater(complete, RATE * 20 * LEAST_USED)
 
     def test_a_router_that_takes_the_whole_limit_is_caught(self):
-        variant = mock.patch.object(LimitLeaseService, "part", lambda *_: WHOLE)
+        variant = mock.patch.object(LimitLeaseService, "part", lambda *_: PARTS_PER_LIMIT)
         variant.start()
         self.addCleanup(variant.stop)
         cluster = self.run_clean(come_and_go, deployment=limited(), settle_seconds=10.0)
