--- a/emulator/exchange_platform/instances.py
+++ b/emulator/exchange_platform/instances.py
@@ -17,7 +17,7 @@
 from hopstep.domain.exchanges.request import Headers
 from hopstep.domain.exchanges.serving import RequestKind
 from hopstep.domain.instance_notices import InstanceNotice, LimitWord, NoticeListener, ignore_notice
-from hopstep.domain.quarantine.crashes import InstanceSign
+from hopstep.domain.quarantine.crashes import InstanceProbeResult
 from hopstep.exceptions import ErrorCode, Execution
 from hopstep.ports.instance_calls import (
     InstanceAnswer,
@@ -320,14 +320,14 @@
             server.end()
             self.on_ended(server)
 
-    async def look(self, instance: Instance) -> InstanceSign:
+    async def look(self, instance: Instance) -> InstanceProbeResult:
         """Look at an instance; see the port."""
         await trio.sleep(LOOK_SECONDS)
         server = self.servers.get(instance.instance_id)
         if server is not None and server.behaviour in UNHEARD:
-            return InstanceSign.NO_ANSWER
+            return InstanceProbeResult.NO_ANSWER
         reachable = server is not None and server.is_reachable
-        return InstanceSign.ANSWERS if reachable else InstanceSign.ENDED
+        return InstanceProbeResult.ANSWERS if reachable else InstanceProbeResult.ENDED
 
     def idle_addresses(self) -> set[str]:
         """Return no address: emulated calls keep no connections; see the port."""
--- a/emulator/scale.py
+++ b/emulator/scale.py
@@ -18,7 +18,7 @@
 from emulator.memory import reachable_bytes
 from emulator.scale_churn import Churn
 from hopstep.adapters.peer_keys import PeerKeys
-from hopstep.domain.membership import Action, MembershipConfig, RevisionHeard
+from hopstep.domain.membership import Action, MembershipConfig, RevisionReported
 from hopstep.domain.peer_message import EntryKind, LeavingBackEnd
 
 DEFAULT_NODES = (24, 48, 97, 195, 390)
@@ -175,7 +175,7 @@
         return {name: node.sent_bytes for name, node in self.cluster.nodes.items()}
 
     def _observe(self, node: HollowNode, action: Action, now: float) -> None:
-        if not isinstance(action, RevisionHeard):
+        if not isinstance(action, RevisionReported):
             return
         if action.revision > node.membership.own.configuration_revision:
             self._fetches.append((now, node.name, action.revision))
--- a/hopstep/ctl/quarantine.py
+++ b/hopstep/ctl/quarantine.py
@@ -113,11 +113,11 @@
         stored: How it is named.
         ledger: All kept requests; one may explain ends of another.
     """
-    crashes = [crash for crash in told.crashes if crash.life not in told.cleared]
+    crashes = [crash for crash in told.crashes if crash.incarnation not in told.cleared]
     return KeptRequest(
         fingerprint=told.fingerprint.hex(),
         tenant=stored.tenant,
         route=stored.route,
-        ends=tuple(f"{crash.life} seen by {crash.node}" for crash in crashes),
+        ends=tuple(f"{crash.incarnation} seen by {crash.node}" for crash in crashes),
         refused=ledger.refused_seconds(told.fingerprint, now=0.0) > 0,
     )
--- a/hopstep/domain/exchanges/request.py
+++ b/hopstep/domain/exchanges/request.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from hopstep.domain.exchanges.serving import Route, Tenant
-from hopstep.domain.quarantine.crashes import RequestName
+from hopstep.domain.quarantine.crashes import RequestIdentity
 from hopstep.domain.quarantine.fingerprint import request_fingerprint
 
 Headers = tuple[tuple[bytes, bytes], ...]
@@ -86,8 +86,8 @@
             priority += self.tenant.priority * PRIORITIES_OF_A_TENANT
         return max(0, min(MAX_PRIORITY, priority))
 
-    def name(self) -> RequestName:
+    def name(self) -> RequestIdentity:
         """Return what it shares with equal requests of its caller; digests the whole body."""
         caller = self.tenant.name if self.tenant is not None else ""
         fingerprint = request_fingerprint(caller, self.target, self.body)
-        return RequestName(fingerprint, caller, self.route.name)
+        return RequestIdentity(fingerprint, caller, self.route.name)
--- a/hopstep/domain/inference.py
+++ b/hopstep/domain/inference.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from hopstep.domain.configuration.document import Model, RequestClass, Tenant
-from hopstep.domain.quarantine.crashes import RequestName
+from hopstep.domain.quarantine.crashes import RequestIdentity
 from hopstep.domain.quarantine.fingerprint import request_fingerprint
 
 
@@ -34,11 +34,11 @@
     idempotency_key: str = ""
     deadline: float = float("inf")
 
-    def name(self) -> RequestName:
+    def name(self) -> RequestIdentity:
         """Return what it shares with equal requests of its caller; digests the whole prompt."""
         target = f"{self.model.name} {self.max_tokens}".encode()
         fingerprint = request_fingerprint(self.tenant.name, target, self.prompt.encode())
-        return RequestName(fingerprint, self.tenant.name, self.request_class.name)
+        return RequestIdentity(fingerprint, self.tenant.name, self.request_class.name)
 
 
 class AnswerFinish(enum.StrEnum):
--- a/hopstep/domain/membership/__init__.py
+++ b/hopstep/domain/membership/__init__.py
@@ -6,7 +6,7 @@
     LimitMessage,
     MemberChanged,
     Refuted,
-    RevisionHeard,
+    RevisionReported,
     Send,
 )
 from hopstep.domain.membership.audience import audience, labels_digest
@@ -21,7 +21,7 @@
     "Membership",
     "MembershipConfig",
     "Refuted",
-    "RevisionHeard",
+    "RevisionReported",
     "Send",
     "audience",
     "labels_digest",
--- a/hopstep/domain/membership/actions.py
+++ b/hopstep/domain/membership/actions.py
@@ -31,7 +31,7 @@
     entry: Entry
 
 
-class RevisionHeard(msgspec.Struct, frozen=True):
+class RevisionReported(msgspec.Struct, frozen=True):
     """A member told of its configuration revision: a higher one, or proof of the present one.
 
     Attributes:
@@ -70,4 +70,4 @@
     body: LimitReport | LimitGrant
 
 
-Action = Send | MemberChanged | EntryChanged | RevisionHeard | Refuted | LimitMessage
+Action = Send | MemberChanged | EntryChanged | RevisionReported | Refuted | LimitMessage
--- a/hopstep/domain/membership/protocol.py
+++ b/hopstep/domain/membership/protocol.py
@@ -15,7 +15,7 @@
     EntryChanged,
     LimitMessage,
     MemberChanged,
-    RevisionHeard,
+    RevisionReported,
 )
 from hopstep.domain.membership.anti_entropy import AntiEntropy
 from hopstep.domain.membership.budget import ByteBudget
@@ -298,7 +298,7 @@
         confirmed = gossip.confirmed_age != UNCONFIRMED
         if gossip.revision > self.own.configuration_revision or confirmed:
             age = float(gossip.confirmed_age) if confirmed else float("inf")
-            self._state.outbox.tell(RevisionHeard(sender, gossip.revision, age))
+            self._state.outbox.tell(RevisionReported(sender, gossip.revision, age))
 
     def _merge_gossip(self, gossip: Gossip, now: float, *, spread: bool) -> bool:
         changed = False
--- a/hopstep/domain/quarantine/crash_ledger.py
+++ b/hopstep/domain/quarantine/crash_ledger.py
@@ -1,8 +1,8 @@
 """Counts, for each request, the instances that have ended while it was under way there.
 
 A request whose instance has ended is one of perhaps many that were under way, and most of them
-have nothing to do with the end. So a request is refused only when ``ENDS_TO_REFUSE`` instances have
-ended under it, and each whole answer to it takes one of these ends back, or excuses one to come: a
+have nothing to do with the end. So a request is refused only when ``TERMINATIONS_TO_REFUSE``
+instances have ended under it, and each whole answer to it takes one of these ends back, or excuses one to come: a
 request that merely was there is answered far more often than its instances end. An end that
 another, refused request explains counts for that one only. What is known of a request is forgotten
 some time after the last end.
@@ -18,13 +18,13 @@
 
 from hopstep.domain.quarantine.crash_records import (
     MAX_ENDS,
-    MEMORY_SECONDS,
+    RETENTION_SECONDS,
     CrashRecords,
     drop_oldest,
 )
 from hopstep.domain.quarantine.crashes import Crash, RequestCrashes
 
-ENDS_TO_REFUSE = 3
+TERMINATIONS_TO_REFUSE = 3
 """The operators allow three retries of a request after it has ended three instances."""
 
 MAX_EXPLAINED = 1
@@ -66,7 +66,7 @@
 """Requests whose whole answers are remembered, those answered last."""
 
 
-class CountedEnd(msgspec.Struct, frozen=True):
+class CountedTermination(msgspec.Struct, frozen=True):
     """An instance's end that was counted for a request.
 
     Attributes:
@@ -79,7 +79,7 @@
     fingerprint: bytes
     crash: Crash
     ends: int
-    excused: bool = False
+    disregarded: bool = False
 
 
 class _Excuses(msgspec.Struct):
@@ -151,7 +151,7 @@
         """Whether no end of an instance counts for any request."""
         return not self._records
 
-    def note_broken(self, fingerprint: bytes, life: str, now: float) -> CountedEnd | None:
+    def note_broken(self, fingerprint: bytes, life: str, now: float) -> CountedTermination | None:
         """Note an answer that broke off; return the end that counts if the instance has ended.
 
         Args:
@@ -174,7 +174,9 @@
         for unproved in self._unproved.get(life, {}).values():
             unproved.survived = unproved.survived or unproved.at <= sent_at
 
-    def note_ended(self, life: str, now: float, *, abruptly: bool = True) -> list[CountedEnd]:
+    def note_ended(
+        self, life: str, now: float, *, abruptly: bool = True
+    ) -> list[CountedTermination]:
         """Count the end of an instance for all requests whose answers broke off there.
 
         Args:
@@ -192,7 +194,7 @@
         ]
         return [end for end in counted if end is not None]
 
-    def note_whole_answer(self, fingerprint: bytes) -> str:
+    def note_complete_response(self, fingerprint: bytes) -> str:
         """Take back the oldest end that counts for a request, or excuse one to come.
 
         Returns:
@@ -218,7 +220,7 @@
         """
         record = self._records.find(fingerprint)
         for life in record.counting() if record is not None else ():
-            if record is not None and record.ends >= ENDS_TO_REFUSE:
+            if record is not None and record.ends >= TERMINATIONS_TO_REFUSE:
                 record.clear(life)
 
     def clear(self, fingerprint: bytes) -> int:
@@ -231,11 +233,11 @@
             record.clear(life)
         return ends
 
-    def merge(self, told: RequestCrashes, now: float) -> list[CountedEnd]:
+    def merge(self, told: RequestCrashes, now: float) -> list[CountedTermination]:
         """Take what another node knows; return the ends that were new and counted."""
-        uncleared = [crash for crash in told.crashes if crash.life not in told.cleared]
+        uncleared = [crash for crash in told.crashes if crash.incarnation not in told.cleared]
         for crash in told.crashes:
-            if crash.life in told.cleared:
+            if crash.incarnation in told.cleared:
                 self._records.add(told.fingerprint, crash, now)
         for life in told.cleared[-MAX_ENDS:]:
             self._clear_told(told.fingerprint, life, now)
@@ -252,14 +254,14 @@
         record = self._records.find(fingerprint)
         if record is None or not self._is_refused(fingerprint, now):
             return 0.0
-        return max(0.0, record.last_at + MEMORY_SECONDS - now)
+        return max(0.0, record.last_at + RETENTION_SECONDS - now)
 
     def last_end_at(self, fingerprint: bytes) -> float:
         """Return when the last end under a request became known; minus infinity for none."""
         record = self._records.find(fingerprint)
         return record.last_at if record is not None else -float("inf")
 
-    def told(self, fingerprint: bytes) -> RequestCrashes:
+    def request_crashes(self, fingerprint: bytes) -> RequestCrashes:
         """Return all that is known of a request."""
         record = self._records.find(fingerprint)
         if record is None:
@@ -270,31 +272,31 @@
         """Return the requests under which more than one instance has ended."""
         return self._records.repeated()
 
-    def sharing(self, life: str) -> frozenset[bytes]:
+    def requests_at(self, life: str) -> frozenset[bytes]:
         """Return the requests that were under way when an instance ended."""
-        return self._records.sharing(life)
+        return self._records.requests_at(life)
 
     def expire(self, now: float) -> None:
         """Forget what is too old."""
         self._records.expire(now)
 
-    def _count(self, fingerprint: bytes, life: str, now: float) -> CountedEnd | None:
+    def _count(self, fingerprint: bytes, life: str, now: float) -> CountedTermination | None:
         """Count an end that this node saw."""
         return self._add(fingerprint, Crash(life, self._node), now)
 
-    def _add(self, fingerprint: bytes, crash: Crash, now: float) -> CountedEnd | None:
+    def _add(self, fingerprint: bytes, crash: Crash, now: float) -> CountedTermination | None:
         """Count an end unless it is known, or too many are.
 
         The one that would have the request refused is excused if the request was answered before.
         """
         record = self._records.add(fingerprint, crash, now)
-        if record is None or crash.life in record.cleared:
+        if record is None or crash.incarnation in record.cleared:
             return None
         excuses = self._answered.get(fingerprint)
         if excuses is None or not self._is_refused(fingerprint, now) or not excuses.use(now):
-            return CountedEnd(fingerprint, crash, record.ends)
-        record.clear(crash.life)
-        return CountedEnd(fingerprint, crash, record.ends, excused=True)
+            return CountedTermination(fingerprint, crash, record.ends)
+        record.clear(crash.incarnation)
+        return CountedTermination(fingerprint, crash, record.ends, disregarded=True)
 
     def _clear_told(self, fingerprint: bytes, life: str, now: float) -> None:
         """Let an end no longer count that another node doesn't count.
@@ -326,7 +328,7 @@
     def _is_refused(self, fingerprint: bytes, now: float) -> bool:
         """Return whether enough ends count that no other request explains."""
         record = self._records.find(fingerprint)
-        if record is None or record.ends < ENDS_TO_REFUSE:
+        if record is None or record.ends < TERMINATIONS_TO_REFUSE:
             if record is not None:
                 record.refused_at = None
             return False
@@ -334,7 +336,7 @@
             return True
         lives = record.counting()
         explained = sum(self._is_explained(life, len(lives)) for life in lives)
-        refused = len(lives) - min(explained, MAX_EXPLAINED) >= ENDS_TO_REFUSE
+        refused = len(lives) - min(explained, MAX_EXPLAINED) >= TERMINATIONS_TO_REFUSE
         if not refused:
             record.refused_at = None
         elif record.refused_at is None:
@@ -343,7 +345,7 @@
 
     def _is_explained(self, life: str, ends: int) -> bool:
         """Return whether a request that has ended more instances has ended this one too."""
-        others = (self._records.find(other) for other in self._records.sharing(life))
+        others = (self._records.find(other) for other in self._records.requests_at(life))
         return any(
             other is not None
             and len(other.crashes) > ends
--- a/hopstep/domain/quarantine/crash_records.py
+++ b/hopstep/domain/quarantine/crash_records.py
@@ -12,7 +12,7 @@
 
 from hopstep.domain.quarantine.crashes import Crash
 
-MEMORY_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 """After the last end. Longer than a client is likely to go on trying, and short enough for a
 request that was refused without cause; the longest lease of the platform's store.
 """
@@ -77,22 +77,22 @@
         """Return the requests under which more than one instance has ended."""
         return list(self._repeated)
 
-    def sharing(self, life: str) -> frozenset[bytes]:
+    def requests_at(self, life: str) -> frozenset[bytes]:
         """Return the requests that were under way when an instance ended."""
         return frozenset(self._sharing.get(life, ()))
 
     def add(self, fingerprint: bytes, crash: Crash, now: float) -> CrashRecord | None:
         """Add an end of a request; None when it is known, or too many are."""
         record = self.find(fingerprint) or CrashRecord(now)
-        if crash.life in record.crashes or not self._make_room(fingerprint, record):
+        if crash.incarnation in record.crashes or not self._make_room(fingerprint, record):
             return None
-        record.crashes[crash.life] = crash
+        record.crashes[crash.incarnation] = crash
         record.last_at = now
         self._once.pop(fingerprint, None)
         self._repeated.pop(fingerprint, None)
         tier = self._repeated if len(record.crashes) > 1 else self._once
         tier[fingerprint] = record
-        self._sharing[crash.life].add(fingerprint)
+        self._sharing[crash.incarnation].add(fingerprint)
         while len(tier) > MAX_REQUESTS:
             self._forget(*tier.popitem(last=False))
         return record
@@ -100,7 +100,7 @@
     def expire(self, now: float) -> None:
         """Forget the requests whose last end is too long ago."""
         for tier in (self._once, self._repeated):
-            while tier and now - next(iter(tier.values())).last_at >= MEMORY_SECONDS:
+            while tier and now - next(iter(tier.values())).last_at >= RETENTION_SECONDS:
                 self._forget(*tier.popitem(last=False))
 
     def _make_room(self, fingerprint: bytes, record: CrashRecord) -> bool:
--- a/hopstep/domain/quarantine/crashes.py
+++ b/hopstep/domain/quarantine/crashes.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class RequestName(msgspec.Struct, frozen=True):
+class RequestIdentity(msgspec.Struct, frozen=True):
     """What requests share that ask for the same thing.
 
     Attributes:
@@ -29,7 +29,7 @@
         node: The node that saw it.
     """
 
-    life: str
+    incarnation: str
     node: str
 
 
@@ -49,7 +49,7 @@
     cleared: tuple[str, ...] = ()
 
 
-class InstanceSign(enum.StrEnum):
+class InstanceProbeResult(enum.StrEnum):
     """What a look at an instance shows."""
 
     ANSWERS = "answers"
@@ -57,7 +57,7 @@
     NO_ANSWER = "no_answer"
 
 
-class EndEvidence(enum.StrEnum):
+class TerminationEvidence(enum.StrEnum):
     """What shows that an instance has ended."""
 
     REFUSED = "refused"
--- a/hopstep/platform/instances.py
+++ b/hopstep/platform/instances.py
@@ -16,7 +16,7 @@
     NoticeListener,
     ignore_notice,
 )
-from hopstep.domain.quarantine.crashes import InstanceSign
+from hopstep.domain.quarantine.crashes import InstanceProbeResult
 from hopstep.exceptions import ErrorCode, Execution
 from hopstep.platform import names
 from hopstep.platform.http_client import HttpCall, HttpClient, SendTrace, SendWithdrawnError
@@ -43,9 +43,9 @@
 FAILURES = (httpcore.ProtocolError, httpcore.NetworkError, httpcore.TimeoutException)
 
 SIGNS = {
-    True: InstanceSign.ANSWERS,
-    False: InstanceSign.ENDED,
-    None: InstanceSign.NO_ANSWER,
+    True: InstanceProbeResult.ANSWERS,
+    False: InstanceProbeResult.ENDED,
+    None: InstanceProbeResult.NO_ANSWER,
 }
 """By whether an instance's address takes connections. A port is closed as its process ends."""
 
@@ -153,7 +153,7 @@
             _check_head(response, call)
             yield HttpInstanceAnswer(response)
 
-    async def look(self, instance: Instance) -> InstanceSign:
+    async def look(self, instance: Instance) -> InstanceProbeResult:
         """Look at an instance; see the port."""
         return SIGNS[await self._client.listens(instance.address, CONNECT_SECONDS)]
 
--- a/hopstep/ports/instance_calls.py
+++ b/hopstep/ports/instance_calls.py
@@ -11,7 +11,7 @@
 from hopstep.domain.exchanges.instances import Instance
 from hopstep.domain.exchanges.request import ExchangeRequest, Headers
 from hopstep.domain.instance_notices import NoticeListener, ignore_notice
-from hopstep.domain.quarantine.crashes import InstanceSign
+from hopstep.domain.quarantine.crashes import InstanceProbeResult
 from hopstep.exceptions import ErrorCode, Execution, PortError
 
 
@@ -139,7 +139,7 @@
         """
 
     @abc.abstractmethod
-    async def look(self, instance: Instance) -> InstanceSign:
+    async def look(self, instance: Instance) -> InstanceProbeResult:
         """Return whether something listens at an instance's address, or it has surely ended."""
 
     @abc.abstractmethod
--- a/hopstep/services/cluster.py
+++ b/hopstep/services/cluster.py
@@ -8,7 +8,7 @@
 
 from hopstep.domain.configuration.document import AcceptedConfiguration
 from hopstep.domain.engines import EngineFacts
-from hopstep.domain.membership import Action, EntryChanged, RevisionHeard
+from hopstep.domain.membership import Action, EntryChanged, RevisionReported
 from hopstep.domain.peer_message import EngineEntry, EntryKind, LeavingBackEnd
 from hopstep.services.configuration.holder import ConfigurationHolder
 from hopstep.services.configuration.sync import ConfigurationSync
@@ -123,7 +123,7 @@
 
     def _take(self, action: Action) -> None:
         """Pass on what another router shared."""
-        if isinstance(action, RevisionHeard):
+        if isinstance(action, RevisionReported):
             self._synchronization.latest_revision_hint(
                 action.revision, action.member.name, action.confirmed_age_seconds
             )
--- a/hopstep/services/exchanges/directory/instance_changes.py
+++ b/hopstep/services/exchanges/directory/instance_changes.py
@@ -16,7 +16,7 @@
 from hopstep.domain.exchanges.instance_table import InstanceTable, is_same_life
 from hopstep.domain.exchanges.instances import Instance, InstanceLife
 from hopstep.domain.exchanges.store_contact import ENTRY_LAPSE_SECONDS, StoreContact
-from hopstep.domain.quarantine.crashes import EndEvidence
+from hopstep.domain.quarantine.crashes import TerminationEvidence
 from hopstep.logs import emit
 from hopstep.services.exchanges.directory.news import News
 
@@ -29,7 +29,7 @@
 LEAVES, HAS_ENDED = "leaves", "has_ended"
 """What is known of a life that an entry shows as it was before."""
 
-EndListener = Callable[[InstanceLife, EndEvidence], None]
+EndListener = Callable[[InstanceLife, TerminationEvidence], None]
 """Told a life of an instance that is over, and what shows it."""
 
 
@@ -57,7 +57,7 @@
         known = self._table.get(instance.instance_id)
         drained = known is not None and known.instance.draining
         if known is not None and not is_same_life(known.instance, instance):
-            self._note_ended(known.instance.life, EndEvidence.RESTARTED)
+            self._note_ended(known.instance.life, TerminationEvidence.RESTARTED)
         is_new = self._table.put(instance)
         if drained and not is_new and not instance.draining:
             self._keep_leaving(instance, news)
@@ -94,7 +94,7 @@
         if removed.draining:
             self._remember_leaving(removed)
         if not self._table.is_leaving(removed):
-            self._note_ended(removed.life, EndEvidence.UNLISTED)
+            self._note_ended(removed.life, TerminationEvidence.UNLISTED)
         self._ended[removed.life] = None
         while len(self._ended) > MAX_ENDED_LIVES:
             self._ended.popitem(last=False)
@@ -102,7 +102,7 @@
     def expire_lapsed(self) -> None:
         """Forget instances whose entries lapsed while the store was away and didn't come back."""
         for instance in self._table.expire(trio.current_time()):
-            self._note_ended(instance.life, EndEvidence.UNLISTED)
+            self._note_ended(instance.life, TerminationEvidence.UNLISTED)
             lapsed = instance.instance_id
             emit(log_events.INSTANCE_REMOVED, instance=lapsed, source=LAPSED, age_ms=0)
 
@@ -144,7 +144,7 @@
             revision=news.place.revision,
         )
 
-    def _note_ended(self, life: InstanceLife, evidence: EndEvidence) -> None:
+    def _note_ended(self, life: InstanceLife, evidence: TerminationEvidence) -> None:
         """Tell of a life that is over."""
         for listener in self._end_listeners:
             listener(life, evidence)
--- a/hopstep/services/exchanges/requests/exchange.py
+++ b/hopstep/services/exchanges/requests/exchange.py
@@ -11,7 +11,7 @@
 from hopstep.domain.exchanges.instance_view import InstanceView
 from hopstep.domain.exchanges.request import ExchangeRequest
 from hopstep.domain.exchanges.selection import Candidate
-from hopstep.domain.quarantine.crashes import EndEvidence
+from hopstep.domain.quarantine.crashes import TerminationEvidence
 from hopstep.exceptions import ErrorCode, Execution, ServiceError
 from hopstep.logs import emit
 from hopstep.ports.exchange_front import ClientAnswer
@@ -185,7 +185,7 @@
         """Learn what a refusal tells of an instance; see ``_go_on`` for what is returned."""
         if error.replaced:
             view.replaced = True
-            self._parts.quarantine.note_ended(view.life, EndEvidence.REPLACED)
+            self._parts.quarantine.note_ended(view.life, TerminationEvidence.REPLACED)
             return ""
         prompt = self._request.prompt
         if not error.stale_version or prompt is None or view.drop_assumption(prompt.model):
--- a/hopstep/services/exchanges/requests/instance_attempt.py
+++ b/hopstep/services/exchanges/requests/instance_attempt.py
@@ -9,7 +9,7 @@
 from hopstep.domain.exchanges.request import ExchangeRequest
 from hopstep.domain.exchanges.selection import Candidate
 from hopstep.domain.instance_admission import Purpose
-from hopstep.domain.quarantine.crashes import RequestName
+from hopstep.domain.quarantine.crashes import RequestIdentity
 from hopstep.exceptions import ErrorCode, Execution
 from hopstep.ports.instance_calls import (
     InstanceAnswer,
@@ -33,7 +33,7 @@
         self,
         parts: ExchangeParts,
         request: ExchangeRequest,
-        name: RequestName,
+        name: RequestIdentity,
         relay: AnswerRelay,
         outcome: ExchangeOutcome,
         candidate: Candidate,
--- a/hopstep/services/exchanges/requests/quarantine_gate.py
+++ b/hopstep/services/exchanges/requests/quarantine_gate.py
@@ -6,7 +6,7 @@
 
 from hopstep.domain.exchanges.instance_view import InstanceView
 from hopstep.domain.exchanges.request import ExchangeRequest
-from hopstep.domain.quarantine.crashes import RequestName
+from hopstep.domain.quarantine.crashes import RequestIdentity
 from hopstep.exceptions import ErrorCode, Execution
 from hopstep.ports.instance_calls import InstanceCallError, InstanceCalls
 from hopstep.services.exchanges.requests.exchange_parts import ExchangeOutcome
@@ -46,7 +46,7 @@
         self._is_trial = False
 
     @functools.cached_property
-    def name(self) -> RequestName:
+    def name(self) -> RequestIdentity:
         """What it shares with equal requests of its caller."""
         return self._request.name()
 
--- a/hopstep/services/quarantine/crash_entries.py
+++ b/hopstep/services/quarantine/crash_entries.py
@@ -52,7 +52,7 @@
         told = [
             crash
             for crash in known.crashes
-            if crash.node == self._quarantine.node or crash.life in cleared
+            if crash.node == self._quarantine.node or crash.incarnation in cleared
         ]
         entry = CrashEntry(RequestCrashes(fingerprint, tuple(told[-MAX_TOLD:]), cleared))
         self._membership.publish(EntryKind.CRASHES, str(slot), entry)
--- a/hopstep/services/quarantine/quarantine.py
+++ b/hopstep/services/quarantine/quarantine.py
@@ -14,13 +14,17 @@
 import trio
 
 from hopstep import log_events
-from hopstep.domain.quarantine.crash_ledger import ENDS_TO_REFUSE, CountedEnd, CrashLedger
+from hopstep.domain.quarantine.crash_ledger import (
+    TERMINATIONS_TO_REFUSE,
+    CountedTermination,
+    CrashLedger,
+)
 from hopstep.domain.quarantine.crash_records import MAX_REQUESTS
 from hopstep.domain.quarantine.crashes import (
-    EndEvidence,
-    InstanceSign,
+    InstanceProbeResult,
     RequestCrashes,
-    RequestName,
+    RequestIdentity,
+    TerminationEvidence,
 )
 from hopstep.logs import emit
 from hopstep.services.quarantine.trial_verdicts import Look, TrialVerdicts
@@ -48,7 +52,7 @@
 LOGGED_FROM_ENDS = 2
 """One end says nothing about a request: most of those that it broke off just were there."""
 
-ABRUPT = frozenset({EndEvidence.REFUSED, EndEvidence.RESTARTED})
+ABRUPT = frozenset({TerminationEvidence.REFUSED, TerminationEvidence.RESTARTED})
 """Evidence of an end at once, with which all answers under way at the instance broke off."""
 
 EXPIRED = "expired"
@@ -89,7 +93,7 @@
         self.node = node
         self.changed = trio.Event()
         self._ledger = CrashLedger(node)
-        self._names: OrderedDict[bytes, RequestName] = OrderedDict()
+        self._names: OrderedDict[bytes, RequestIdentity] = OrderedDict()
         self._refused: set[bytes] = set()
         self._listeners: list[SeenListener] = []
         self._end_listeners: list[EndListener] = []
@@ -166,7 +170,7 @@
 
     def told(self, fingerprint: bytes) -> RequestCrashes:
         """Return all that is known of a request."""
-        return self._ledger.told(fingerprint)
+        return self._ledger.request_crashes(fingerprint)
 
     def ends(self, fingerprint: bytes) -> int:
         """Return how many instances have ended under a request, as far as it counts."""
@@ -177,15 +181,15 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    def name(self, fingerprint: bytes) -> RequestName:
+    def name(self, fingerprint: bytes) -> RequestIdentity:
         """Return how a request is named in the log, as far as this node has met it."""
-        return self._names.get(fingerprint, RequestName(fingerprint))
+        return self._names.get(fingerprint, RequestIdentity(fingerprint))
 
     def repeated(self) -> list[bytes]:
         """Return the requests under which more than one instance has ended."""
         return self._ledger.repeated()
 
-    def note_broken(self, request: RequestName, life: str, look: Look | None = None) -> None:
+    def note_broken(self, request: RequestIdentity, life: str, look: Look | None = None) -> None:
         """Note a request whose answer broke off, or that was left before it was answered.
 
         Args:
@@ -205,7 +209,7 @@
         elif look is not None and life not in self._looking:
             self._begin_look(life, look)
 
-    def note_left(self, request: RequestName, life: str, look: Look) -> None:
+    def note_left(self, request: RequestIdentity, life: str, look: Look) -> None:
         """Note a request that was left before it was answered whole; see ``note_broken``.
 
         The instance is looked at for the verdict on a try only: clients leave often.
@@ -221,11 +225,11 @@
         if self._tried.pop(fingerprint, None) is not None:
             self._verdicts.forget(fingerprint)
             self._ledger.release(fingerprint)
-        if self._ledger.note_whole_answer(fingerprint):
+        if self._ledger.note_complete_response(fingerprint):
             self._note_changed(fingerprint, seen_here=True)
             self._review(fingerprint, ANSWERED)
 
-    def note_ended(self, life: str, evidence: EndEvidence) -> None:
+    def note_ended(self, life: str, evidence: TerminationEvidence) -> None:
         """Note that an instance has ended.
 
         Args:
@@ -249,12 +253,12 @@
     def take(self, told: Iterable[RequestCrashes]) -> None:
         """Take what other nodes tell, or what is in the store."""
         for request in told:
-            before = self._ledger.told(request.fingerprint)
+            before = self._ledger.request_crashes(request.fingerprint)
             ends = self._ledger.merge(request, trio.current_time())
             for end in ends:
                 self._announce(end)
-            if self._ledger.told(request.fingerprint) != before:
-                excused_here = any(end.excused for end in ends)
+            if self._ledger.request_crashes(request.fingerprint) != before:
+                excused_here = any(end.disregarded for end in ends)
                 self._note_changed(request.fingerprint, seen_here=excused_here)
                 self._review(request.fingerprint, ANSWERED)
 
@@ -270,7 +274,7 @@
         If one more has it refused, wait for the other nodes' word as well.
         """
         looking = self._looking.get(life)
-        if looking is not None and self._ledger.ends(fingerprint) >= ENDS_TO_REFUSE - 1:
+        if looking is not None and self._ledger.ends(fingerprint) >= TERMINATIONS_TO_REFUSE - 1:
             with trio.move_on_after(SETTLING_SECONDS):
                 await looking.wait()
         await self._hear_others(fingerprint)
@@ -312,21 +316,21 @@
                 if number:
                     await trio.sleep(LOOK_SPACING_SECONDS)
                 sign = await look()
-                if sign is InstanceSign.ENDED:
-                    self.note_ended(life, EndEvidence.REFUSED)
-                if sign is not InstanceSign.NO_ANSWER:
+                if sign is InstanceProbeResult.ENDED:
+                    self.note_ended(life, TerminationEvidence.REFUSED)
+                if sign is not InstanceProbeResult.NO_ANSWER:
                     return
         finally:
             self._looking.pop(life).set()
 
-    def _remember(self, request: RequestName) -> None:
+    def _remember(self, request: RequestIdentity) -> None:
         """Keep how a request is named in the log."""
         self._names[request.fingerprint] = request
         self._names.move_to_end(request.fingerprint)
         while len(self._names) > MAX_REQUESTS:
             self._names.popitem(last=False)
 
-    def _note_counted(self, end: CountedEnd) -> None:
+    def _note_counted(self, end: CountedTermination) -> None:
         """Log an end that this node has seen, and have it told to the others."""
         self._announce(end)
         self._note_changed(end.fingerprint, seen_here=True)
@@ -338,10 +342,10 @@
                 listener(fingerprint)
         self.wake()
 
-    def _announce(self, end: CountedEnd) -> None:
+    def _announce(self, end: CountedTermination) -> None:
         """Tell of an end that counts for a request, and of what follows for it and others."""
         for listener in self._end_listeners:
-            listener(end.crash.life)
+            listener(end.crash.incarnation)
         name = self.name(end.fingerprint)
         if end.ends >= LOGGED_FROM_ENDS:
             emit(
@@ -349,12 +353,12 @@
                 fingerprint=end.fingerprint.hex(),
                 tenant=name.caller,
                 route=name.route,
-                instance=end.crash.life,
+                instance=end.crash.incarnation,
                 seen_by=end.crash.node,
                 ends=end.ends,
             )
         self._review(end.fingerprint, EXPLAINED)
-        for sharing in self._ledger.sharing(end.crash.life) & self._refused:
+        for sharing in self._ledger.requests_at(end.crash.incarnation) & self._refused:
             self._review(sharing, EXPLAINED)
 
     def _review(self, fingerprint: bytes, reason: str) -> None:
@@ -375,13 +379,13 @@
     def _log_refusal(self, fingerprint: bytes) -> None:
         """Log that a request is refused from now on."""
         name = self.name(fingerprint)
-        known = self._ledger.told(fingerprint)
+        known = self._ledger.request_crashes(fingerprint)
         emit(
             log_events.REQUEST_QUARANTINED,
             fingerprint=fingerprint.hex(),
             tenant=name.caller,
             route=name.route,
-            ends=[f"{crash.life} seen by {crash.node}" for crash in known.crashes],
+            ends=[f"{crash.incarnation} seen by {crash.node}" for crash in known.crashes],
             seconds=round(self.refused_seconds(fingerprint)),
         )
 
--- a/hopstep/services/quarantine/trial_verdicts.py
+++ b/hopstep/services/quarantine/trial_verdicts.py
@@ -12,7 +12,7 @@
 import msgspec
 import trio
 
-from hopstep.domain.quarantine.crashes import InstanceSign
+from hopstep.domain.quarantine.crashes import InstanceProbeResult
 
 VERDICT_SECONDS = 8.0
 """After a run without an answer, for the end of an instance that it reached to be seen: its port is
@@ -21,7 +21,7 @@
 VERDICT_CHECK_SECONDS = 1.0
 """Between two looks for runs that are due."""
 
-Look = Callable[[], Awaitable[InstanceSign]]
+Look = Callable[[], Awaitable[InstanceProbeResult]]
 """Looks at an instance once."""
 
 GiveBack = Callable[[bytes], Awaitable[None]]
@@ -92,7 +92,7 @@
         """Give a run back, unless an instance that it reached may have ended under it."""
         trial = self._trials.pop(fingerprint)
         for look in trial.lives.values():
-            if look is not None and await look() is not InstanceSign.ANSWERS:
+            if look is not None and await look() is not InstanceProbeResult.ANSWERS:
                 return
         if self._give_back is not None:
             await self._give_back(fingerprint)
--- a/hopstep/services/requests/engine_ends.py
+++ b/hopstep/services/requests/engine_ends.py
@@ -6,7 +6,7 @@
 
 from hopstep.domain.attempts import AttemptState
 from hopstep.domain.inference import InferenceRequest
-from hopstep.domain.quarantine.crashes import EndEvidence, InstanceSign
+from hopstep.domain.quarantine.crashes import InstanceProbeResult, TerminationEvidence
 from hopstep.domain.routing.routing_table import RoutingTable
 from hopstep.exceptions import ErrorCode, ServiceError
 from hopstep.ports.engine import EnginePort
@@ -106,16 +106,20 @@
             return 0.0
         return self._quarantine.refused_seconds(request.name().fingerprint)
 
-    async def _look(self, address: str, incarnation: str) -> InstanceSign:
+    async def _look(self, address: str, incarnation: str) -> InstanceProbeResult:
         """Look at an engine: another incarnation shows that this one has ended."""
         facts = await probe_engine(self._port, address)
         if facts is None:
-            return InstanceSign.NO_ANSWER
-        return InstanceSign.ANSWERS if facts.incarnation == incarnation else InstanceSign.ENDED
+            return InstanceProbeResult.NO_ANSWER
+        return (
+            InstanceProbeResult.ANSWERS
+            if facts.incarnation == incarnation
+            else InstanceProbeResult.ENDED
+        )
 
     def _note_restart(self, address: str, incarnation: str) -> None:
         """Note that an incarnation of an engine is over."""
-        self._quarantine.note_ended(f"{address}@{incarnation}", EndEvidence.RESTARTED)
+        self._quarantine.note_ended(f"{address}@{incarnation}", TerminationEvidence.RESTARTED)
 
 
 def _life(attempt: Attempt) -> str:
--- a/tests/domain/quarantine/test_crash_ledger.py
+++ b/tests/domain/quarantine/test_crash_ledger.py
@@ -2,14 +2,14 @@
 
 from hopstep.domain.quarantine.crash_ledger import (
     AT_ONCE_SECONDS,
-    ENDS_TO_REFUSE,
     EXCUSING_SECONDS,
     MAX_ANSWERED,
     MAX_EXCUSED,
+    TERMINATIONS_TO_REFUSE,
     UNPROVED_SECONDS,
     CrashLedger,
 )
-from hopstep.domain.quarantine.crash_records import MAX_ENDS, MAX_REQUESTS, MEMORY_SECONDS
+from hopstep.domain.quarantine.crash_records import MAX_ENDS, MAX_REQUESTS, RETENTION_SECONDS
 from hopstep.domain.quarantine.crashes import Crash, RequestCrashes
 
 FATAL = b"fatal"
@@ -30,7 +30,7 @@
         return self.ledger.refused_seconds(fingerprint, now) > 0
 
     def test_a_request_is_refused_after_three_instances_have_ended_under_it(self):
-        for number in range(ENDS_TO_REFUSE):
+        for number in range(TERMINATIONS_TO_REFUSE):
             self.assertFalse(self.refused(FATAL))
             self.end_under(FATAL, f"i{number}")
         self.assertTrue(self.refused(FATAL))
@@ -88,7 +88,7 @@
 
     def test_each_whole_answer_takes_one_end_back(self):
         self.end_under(FATAL, "i1", "i2")
-        self.assertEqual(self.ledger.note_whole_answer(FATAL), "i1")
+        self.assertEqual(self.ledger.note_complete_response(FATAL), "i1")
         self.end_under(FATAL, "i3")
         self.assertFalse(self.refused(FATAL))
         self.end_under(FATAL, "i4")
@@ -98,12 +98,12 @@
         for number in range(100):
             self.end_under(FATAL, f"i{number}")
             self.assertFalse(self.refused(FATAL))
-            self.ledger.note_whole_answer(FATAL)
+            self.ledger.note_complete_response(FATAL)
 
     def test_answers_of_before_excuse_some_ends(self):
         for _ in range(100):
-            self.ledger.note_whole_answer(FATAL)
-        for number in range(MAX_EXCUSED + ENDS_TO_REFUSE):
+            self.ledger.note_complete_response(FATAL)
+        for number in range(MAX_EXCUSED + TERMINATIONS_TO_REFUSE):
             self.assertFalse(self.refused(FATAL))
             self.end_under(FATAL, f"i{number}")
         self.assertTrue(self.refused(FATAL))
@@ -118,28 +118,28 @@
 
     def test_answers_of_before_excuse_only_ends_that_come_together(self):
         for _ in range(100):
-            self.ledger.note_whole_answer(FATAL)
+            self.ledger.note_complete_response(FATAL)
         excused = int(EXCUSING_SECONDS) + 1
-        self.assertEqual(self.end_one_a_second_until_refused(), ENDS_TO_REFUSE + excused)
+        self.assertEqual(self.end_one_a_second_until_refused(), TERMINATIONS_TO_REFUSE + excused)
 
     def test_what_another_node_excuses_begins_the_time_for_excuses_here_too(self):
         for _ in range(100):
-            self.ledger.note_whole_answer(FATAL)
-        crashes = tuple(Crash(f"i{number}", "n2") for number in range(ENDS_TO_REFUSE))
+            self.ledger.note_complete_response(FATAL)
+        crashes = tuple(Crash(f"i{number}", "n2") for number in range(TERMINATIONS_TO_REFUSE))
         self.ledger.merge(RequestCrashes(FATAL, crashes, ("i2",)), 0.0)
         self.end_under(FATAL, "j1", at=EXCUSING_SECONDS + 0.1)
         self.assertTrue(self.refused(FATAL, EXCUSING_SECONDS + 0.1))
 
     def test_a_whole_answer_lets_later_ends_be_excused_again(self):
-        self.ledger.note_whole_answer(FATAL)
+        self.ledger.note_complete_response(FATAL)
         for moment in range(0, 100, 10):
-            for number in range(ENDS_TO_REFUSE):
-                self.ledger.note_whole_answer(FATAL)
+            for number in range(TERMINATIONS_TO_REFUSE):
+                self.ledger.note_complete_response(FATAL)
                 self.end_under(FATAL, f"i{moment + number}", at=float(moment))
             self.assertFalse(self.refused(FATAL, float(moment)))
 
     def test_answers_to_one_request_excuse_no_other(self):
-        self.ledger.note_whole_answer(OTHER)
+        self.ledger.note_complete_response(OTHER)
         self.end_under(FATAL, "i1")
         self.assertEqual(self.ledger.ends(FATAL), 1)
 
@@ -147,18 +147,18 @@
         ends = 0
         while not self.refused(FATAL):
             self.end_under(FATAL, f"i{ends}", f"j{ends}")
-            self.ledger.note_whole_answer(FATAL)
+            self.ledger.note_complete_response(FATAL)
             ends += 1
             self.assertLess(ends, 5)
 
     def test_it_is_forgotten_some_time_after_the_last_end(self):
         self.end_under(FATAL, "i1", "i2", at=0.0)
         self.end_under(FATAL, "i3", at=10.0)
-        self.ledger.expire(MEMORY_SECONDS)
-        self.assertTrue(self.refused(FATAL, MEMORY_SECONDS))
+        self.ledger.expire(RETENTION_SECONDS)
+        self.assertTrue(self.refused(FATAL, RETENTION_SECONDS))
         self.assertFalse(self.ledger.is_empty)
-        self.assertFalse(self.refused(FATAL, 10.0 + MEMORY_SECONDS))
-        self.ledger.expire(10.0 + MEMORY_SECONDS)
+        self.assertFalse(self.refused(FATAL, 10.0 + RETENTION_SECONDS))
+        self.ledger.expire(10.0 + RETENTION_SECONDS)
         self.assertTrue(self.ledger.is_empty)
 
     def test_clearing_takes_all_ends_back(self):
@@ -229,9 +229,9 @@
         self.ledger.merge(
             RequestCrashes(OTHER, tuple(Crash(life, "n2") for life in ("j1", "j2", "i4"))), 1.0
         )
-        self.assertEqual(self.ledger.refused_seconds(OTHER, MEMORY_SECONDS), 0)
-        self.ledger.expire(MEMORY_SECONDS)
-        self.assertGreater(self.ledger.refused_seconds(OTHER, MEMORY_SECONDS), 0)
+        self.assertEqual(self.ledger.refused_seconds(OTHER, RETENTION_SECONDS), 0)
+        self.ledger.expire(RETENTION_SECONDS)
+        self.assertGreater(self.ledger.refused_seconds(OTHER, RETENTION_SECONDS), 0)
 
 
 class MergeTest(unittest.TestCase):
@@ -252,7 +252,7 @@
     def test_what_is_told_again_changes_nothing(self):
         self.ledger.merge(self.told("i1", "i2", "i3"), 0.0)
         self.assertEqual(self.ledger.merge(self.told("i3", "i2", "i1"), 100.0), [])
-        self.assertEqual(self.ledger.refused_seconds(FATAL, 100.0), MEMORY_SECONDS - 100.0)
+        self.assertEqual(self.ledger.refused_seconds(FATAL, 100.0), RETENTION_SECONDS - 100.0)
 
     def test_what_was_cleared_elsewhere_stays_cleared(self):
         self.ledger.merge(self.told("i1", "i2"), 0.0)
@@ -266,8 +266,8 @@
             for life in lives:
                 ledger.note_broken(FATAL, life, 0.0)
                 ledger.note_ended(life, 0.0)
-        self.ledger.note_whole_answer(FATAL)
-        told = self.ledger.told(FATAL), other.told(FATAL)
+        self.ledger.note_complete_response(FATAL)
+        told = self.ledger.request_crashes(FATAL), other.told(FATAL)
         self.ledger.merge(told[1], 0.0)
         other.merge(told[0], 0.0)
         self.assertEqual((self.ledger.ends(FATAL), other.ends(FATAL)), (2, 2))
@@ -298,7 +298,7 @@
 
     def test_answers_at_one_node_excuse_ends_that_others_saw(self):
         self.ledgers[3].note_whole_answer(FATAL)
-        for number in range(ENDS_TO_REFUSE):
+        for number in range(TERMINATIONS_TO_REFUSE):
             self.end_at(number, f"i{number}")
             self.tell_all()
         self.assertEqual(self.refusing(), [False] * 4)
@@ -309,13 +309,13 @@
     def test_ends_count_together_however_many_nodes_have_answered_before(self):
         for ledger in self.ledgers:
             for _ in range(100):
-                ledger.note_whole_answer(FATAL)
+                ledger.note_complete_response(FATAL)
         ends = 0
         while not all(self.refusing()):
             self.end_at(ends % len(self.ledgers), f"i{ends}")
             self.tell_all()
             ends += 1
-        self.assertEqual(ends, MAX_EXCUSED + ENDS_TO_REFUSE)
+        self.assertEqual(ends, MAX_EXCUSED + TERMINATIONS_TO_REFUSE)
 
     def test_answers_at_all_nodes_add_up(self):
         """Twelve answers at three nodes, and all eight instances of a service end at once.
@@ -325,7 +325,7 @@
         """
         for ledger in self.ledgers[:3]:
             for _ in range(4):
-                ledger.note_whole_answer(FATAL)
+                ledger.note_complete_response(FATAL)
         for number in range(8):
             self.end_at(number % 3, f"i{number}")
             self.tell_all()
@@ -349,12 +349,12 @@
     def test_remembered_answers_are_bounded(self):
         ledger = CrashLedger("n1")
         for number in range(3 * MAX_ANSWERED):
-            ledger.note_whole_answer(number.to_bytes(16, "big"))
+            ledger.note_complete_response(number.to_bytes(16, "big"))
         self.assertEqual(len(ledger._answered), MAX_ANSWERED)
 
     def test_requests_with_one_end_do_not_push_out_those_with_several(self):
         ledger = CrashLedger("n1")
-        crashes = tuple(Crash(f"i{number}", "n") for number in range(ENDS_TO_REFUSE))
+        crashes = tuple(Crash(f"i{number}", "n") for number in range(TERMINATIONS_TO_REFUSE))
         ledger.merge(RequestCrashes(FATAL, crashes), 0.0)
         for number in range(3 * MAX_REQUESTS):
             fingerprint = number.to_bytes(16, "big")
--- a/tests/domain/test_membership_stateful.py
+++ b/tests/domain/test_membership_stateful.py
@@ -18,7 +18,7 @@
 from emulator.link_faults import LinkFaults, LinkQuality
 from hopstep.adapters.peer_codec import PeerCodec, ReplayWindow
 from hopstep.adapters.peer_keys import PeerKeys
-from hopstep.domain.membership import MembershipConfig, RevisionHeard, table
+from hopstep.domain.membership import MembershipConfig, RevisionReported, table
 from hopstep.domain.membership.anti_entropy import AntiEntropy
 from hopstep.domain.membership.state import MembershipState
 from hopstep.domain.peer_message import (
@@ -70,7 +70,7 @@
 
     def observe(self, node, action, now):
         """Take over every revision that is heard of, as if it were fetched at once."""
-        if isinstance(action, RevisionHeard):
+        if isinstance(action, RevisionReported):
             self.cluster.act(node, node.membership.set_revision(action.revision, now))
 
     def node(self, name):
--- a/tests/emulator/test_hollow_cluster.py
+++ b/tests/emulator/test_hollow_cluster.py
@@ -3,7 +3,7 @@
 import unittest
 
 from emulator.link_faults import LinkQuality
-from hopstep.domain.membership import EntryChanged, MembershipConfig, RevisionHeard
+from hopstep.domain.membership import EntryChanged, MembershipConfig, RevisionReported
 from hopstep.domain.peer_message import EntryKind, HotPrefix, LeavingBackEnd, MemberState
 from tests.emulator.cluster_samples import SEEDS, make_cluster, names, until_agreement
 
@@ -174,7 +174,7 @@
         heard = set()
 
         def observe(node, action, now):
-            if isinstance(action, RevisionHeard) and action.revision == 3:
+            if isinstance(action, RevisionReported) and action.revision == 3:
                 heard.add(node.name)
                 cluster.act(node, node.membership.set_revision(3, now))
 
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -12,7 +12,7 @@
 from hopstep.domain.exchanges.instances import Instance, NamedWeights
 from hopstep.domain.exchanges.request import ExchangeRequest, Prompt
 from hopstep.domain.exchanges.serving import RequestKind, Route, Tenant
-from hopstep.domain.quarantine.crashes import InstanceSign
+from hopstep.domain.quarantine.crashes import InstanceProbeResult
 from hopstep.exceptions import ErrorCode, Execution
 from hopstep.platform.http_client import HttpClient
 from hopstep.platform.instances import HttpInstances
@@ -136,12 +136,12 @@
 
     def test_a_look_tells_an_instance_that_listens_from_one_that_has_ended(self):
         async def script(instances, instance):
-            self.assertIs(await instances.look(instance), InstanceSign.ANSWERS)
+            self.assertIs(await instances.look(instance), InstanceProbeResult.ANSWERS)
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
                 address = f"127.0.0.1:{closed.getsockname()[1]}"
             ended = msgspec.structs.replace(instance, address=address)
-            self.assertIs(await instances.look(ended), InstanceSign.ENDED)
+            self.assertIs(await instances.look(ended), InstanceProbeResult.ENDED)
 
         self.run_with(RawServer(b""), script)
 
@@ -156,7 +156,7 @@
                     connection.setblocking(False)
                     connection.connect_ex(address)
                 dark = msgspec.structs.replace(instance, address=f"127.0.0.1:{address[1]}")
-                self.assertIs(await instances.look(dark), InstanceSign.NO_ANSWER)
+                self.assertIs(await instances.look(dark), InstanceProbeResult.NO_ANSWER)
                 for connection in waiting:
                     connection.close()
 
--- a/tests/services/exchanges/test_crash_news.py
+++ b/tests/services/exchanges/test_crash_news.py
@@ -5,14 +5,14 @@
 import trio
 
 from emulator.virtual_time import run_in_virtual_time
-from hopstep.domain.quarantine.crashes import InstanceSign, RequestName
+from hopstep.domain.quarantine.crashes import InstanceProbeResult, RequestIdentity
 from hopstep.services.exchanges.peers.crash_news import MAX_REPEATS, REPEAT_SECONDS, CrashNews
 from hopstep.services.exchanges.peers.urgent_box import MAX_REQUESTS, UrgentBox
 from hopstep.services.quarantine.quarantine import Quarantine
 
 
 async def has_ended():
-    return InstanceSign.ENDED
+    return InstanceProbeResult.ENDED
 
 
 class CrashNewsTest(unittest.TestCase):
@@ -30,7 +30,7 @@
 
     def test_each_end_is_told_three_times(self):
         async def script(quarantine, box):
-            quarantine.note_broken(RequestName(b"fatal"), "i1", has_ended)
+            quarantine.note_broken(RequestIdentity(b"fatal"), "i1", has_ended)
             times = []
             with trio.move_on_after(10.0):
                 while True:
@@ -45,7 +45,7 @@
     def test_an_end_under_many_requests_is_told_in_several_messages(self):
         async def script(quarantine, box):
             for number in range(3 * MAX_REQUESTS):
-                quarantine.note_broken(RequestName(bytes([number])), f"i{number}", has_ended)
+                quarantine.note_broken(RequestIdentity(bytes([number])), f"i{number}", has_ended)
             await trio.sleep(0.1)
             messages = []
             while box.filled.is_set():
@@ -58,7 +58,7 @@
     def test_what_waits_to_be_told_again_is_bounded(self):
         async def script(quarantine, box):
             for number in range(3 * MAX_REPEATS):
-                name = RequestName(number.to_bytes(4, "big"))
+                name = RequestIdentity(number.to_bytes(4, "big"))
                 quarantine.note_broken(name, f"i{number}", has_ended)
                 if number % 100 == 0:
                     await trio.sleep(0.001)
--- a/tests/services/exchanges/test_quarantined_requests.py
+++ b/tests/services/exchanges/test_quarantined_requests.py
@@ -9,8 +9,8 @@
 from emulator.exchange_platform.instances import Behaviour
 from emulator.platform.faults import FaultOrder
 from emulator.platform.in_memory import InMemoryStore
-from hopstep.domain.quarantine.crash_ledger import ENDS_TO_REFUSE
-from hopstep.domain.quarantine.crash_records import MEMORY_SECONDS
+from hopstep.domain.quarantine.crash_ledger import TERMINATIONS_TO_REFUSE
+from hopstep.domain.quarantine.crash_records import RETENTION_SECONDS
 from hopstep.exceptions import ErrorCode, Execution
 from hopstep.ports.serving_directory import InstanceListed, InstanceRemoved
 from hopstep.services.quarantine.records import (
@@ -50,7 +50,9 @@
             if server.ended_at is not None:
                 world.publish(InstanceRemoved(instance_id))
 
-    async def end_instances(self, world, count=ENDS_TO_REFUSE, node=0, name="stream", **options):
+    async def end_instances(
+        self, world, count=TERMINATIONS_TO_REFUSE, node=0, name="stream", **options
+    ):
         """Let a request end instances, one after the other, by one node."""
         for _ in range(count):
             await world.request(name, node, body=FATAL, **options)
@@ -73,8 +75,8 @@
             self.assertEqual(trio.current_time(), started_at)
             self.assertEqual(answer.error.code, ErrorCode.REQUEST_QUARANTINED)
             self.assertIs(answer.error.execution, Execution.NOT_RUN)
-            self.assertGreater(answer.error.retry_after_seconds, MEMORY_SECONDS - 5.0)
-            self.assertEqual(self.ended(world), ENDS_TO_REFUSE)
+            self.assertGreater(answer.error.retry_after_seconds, RETENTION_SECONDS - 5.0)
+            self.assertEqual(self.ended(world), TERMINATIONS_TO_REFUSE)
 
         self.run_world(script)
 
@@ -93,18 +95,18 @@
         async def script(world):
             await self.end_instances(world, 2, name="resumable")
             await self.end_instances(world, 1, name="resumable")
-            self.assertEqual(self.ended(world), ENDS_TO_REFUSE)
+            self.assertEqual(self.ended(world), TERMINATIONS_TO_REFUSE)
 
         self.run_world(script)
 
     def test_what_may_run_once_runs_once_and_is_refused_like_any_other(self):
         async def script(world):
-            for _ in range(ENDS_TO_REFUSE):
+            for _ in range(TERMINATIONS_TO_REFUSE):
                 answer = await world.request("unsafe2", body=FATAL)
                 self.assertEqual(answer.error.code, ErrorCode.EXECUTION_UNKNOWN)
                 self.assertIs(answer.error.execution, Execution.UNKNOWN)
             await trio.sleep(TOLD_SECONDS)
-            self.assertEqual(self.ended(world), ENDS_TO_REFUSE)
+            self.assertEqual(self.ended(world), TERMINATIONS_TO_REFUSE)
             self.assertTrue(await self.refused(world, name="unsafe2"))
 
         self.run_world(script, service="plain")
@@ -114,16 +116,16 @@
             await self.end_instances(world)
             self.assertTrue(await self.refused(world, node=2))
             self.unlist_ended(world)
-            await trio.sleep(MEMORY_SECONDS / 2)
+            await trio.sleep(RETENTION_SECONDS / 2)
             self.assertFalse(await self.refused(world, node=2))
             await trio.sleep(TOLD_SECONDS)
             for node in range(3):
                 self.assertTrue(await self.refused(world, node=node))
-            self.assertEqual(self.ended(world), ENDS_TO_REFUSE + MAX_TRIALS)
-            await trio.sleep(MEMORY_SECONDS / 2 - KEPT_SECONDS)
+            self.assertEqual(self.ended(world), TERMINATIONS_TO_REFUSE + MAX_TRIALS)
+            await trio.sleep(RETENTION_SECONDS / 2 - KEPT_SECONDS)
             for node in range(3):
                 self.assertTrue(await self.refused(world, node=node))
-            await trio.sleep(MEMORY_SECONDS + KEPT_SECONDS)
+            await trio.sleep(RETENTION_SECONDS + KEPT_SECONDS)
             self.unlist_ended(world)
             await trio.sleep(KEPT_SECONDS)
             world.instances.fatal_bodies.clear()
@@ -225,7 +227,7 @@
         async def script(world):
             for server in world.instances.servers.values():
                 server.behaviour = Behaviour.LOSE_ANSWER
-            for _ in range(3 * ENDS_TO_REFUSE):
+            for _ in range(3 * TERMINATIONS_TO_REFUSE):
                 answer = await world.request("unsafe")
                 self.assertEqual(answer.error.code, ErrorCode.EXECUTION_UNKNOWN)
             self.assertTrue(world.nodes[0].quarantine.is_idle)
@@ -236,7 +238,7 @@
         async def script(world):
             for server in world.instances.servers.values():
                 server.behaviour = Behaviour.SILENT
-            for _ in range(3 * ENDS_TO_REFUSE):
+            for _ in range(3 * TERMINATIONS_TO_REFUSE):
                 with trio.move_on_after(0.1):
                     await world.request("unsafe")
             self.assertTrue(world.nodes[0].quarantine.is_idle)
@@ -295,7 +297,7 @@
             for number in range(1, ENGINES):
                 world.publish(InstanceRemoved(f"i{number}"))
             await trio.sleep(1.0)
-            for life in range(1, ENDS_TO_REFUSE + 1):
+            for life in range(1, TERMINATIONS_TO_REFUSE + 1):
                 born = msgspec.structs.replace(world.listed["i0"], born_ms=life)
                 world.instances.add(born)
                 world.publish(InstanceListed(born))
@@ -310,7 +312,7 @@
 class SharingTest(QuarantinedRequestsCase):
     async def spread_ends(self, world):
         """Let the request end instances, each by another node."""
-        for node in range(ENDS_TO_REFUSE):
+        for node in range(TERMINATIONS_TO_REFUSE):
             await world.request("stream", node, body=FATAL)
             await trio.sleep(TOLD_SECONDS)
 
@@ -319,7 +321,7 @@
             await self.spread_ends(world)
             for node in range(len(world.nodes)):
                 self.assertTrue(await self.refused(world, node))
-            self.assertEqual(self.ended(world), ENDS_TO_REFUSE)
+            self.assertEqual(self.ended(world), TERMINATIONS_TO_REFUSE)
 
         self.run_world(script, nodes=7, zones=3)
 
@@ -355,7 +357,7 @@
         async def script(world):
             await world.request("stream", 0, body=FATAL)
             world.network.loss = 1.0
-            await self.end_instances(world, ENDS_TO_REFUSE - 1)
+            await self.end_instances(world, TERMINATIONS_TO_REFUSE - 1)
             await trio.sleep(KEPT_SECONDS + 2.0)
             world.network.loss = 0.0
             await trio.sleep(KEPT_SECONDS)
@@ -398,7 +400,7 @@
             [value] = await self.kept(world)
             stored = msgspec.json.decode(value.value, type=StoredRequest)
             self.assertEqual((stored.tenant, stored.route), ("t1", "stream"))
-            self.assertEqual(len(stored.crashes), ENDS_TO_REFUSE)
+            self.assertEqual(len(stored.crashes), TERMINATIONS_TO_REFUSE)
             await InMemoryStore(world.shared).compare_and_swap(
                 value.key, value.version, b'{"lifted": true}'
             )
@@ -420,7 +422,7 @@
             )
             await trio.sleep(KEPT_SECONDS)
             self.assertFalse(await self.refused(world))
-            await self.end_instances(world, ENDS_TO_REFUSE - 1)
+            await self.end_instances(world, TERMINATIONS_TO_REFUSE - 1)
             self.assertTrue(await self.refused(world))
 
         self.run_world(script)
@@ -443,7 +445,7 @@
     def test_the_log_leads_from_a_refusal_to_the_ends_and_the_nodes_that_saw_them(self):
         async def script(world):
             with structlog.testing.capture_logs() as lines:
-                for node in range(ENDS_TO_REFUSE):
+                for node in range(TERMINATIONS_TO_REFUSE):
                     await world.request("stream", node, body=FATAL)
                     await trio.sleep(TOLD_SECONDS)
                 await world.request("stream", body=FATAL, request_id="last")
@@ -455,6 +457,6 @@
             nodes = {end.rpartition(" ")[2] for end in quarantined[0]["ends"]}
             self.assertEqual(nodes, {"n0", "n1", "n2"})
             attempts = [line for line in found if line.get("execution") == "unknown"]
-            self.assertEqual(len(attempts), ENDS_TO_REFUSE)
+            self.assertEqual(len(attempts), TERMINATIONS_TO_REFUSE)
 
         self.run_world(script)
--- a/tests/services/quarantine/test_quarantine.py
+++ b/tests/services/quarantine/test_quarantine.py
@@ -10,14 +10,14 @@
 from emulator.platform.in_memory import InMemoryStore
 from emulator.platform.shared_store import SharedStore
 from emulator.virtual_time import run_in_virtual_time
-from hopstep.domain.quarantine.crash_ledger import ENDS_TO_REFUSE
-from hopstep.domain.quarantine.crash_records import MEMORY_SECONDS
+from hopstep.domain.quarantine.crash_ledger import TERMINATIONS_TO_REFUSE
+from hopstep.domain.quarantine.crash_records import RETENTION_SECONDS
 from hopstep.domain.quarantine.crashes import (
     Crash,
-    EndEvidence,
-    InstanceSign,
+    InstanceProbeResult,
     RequestCrashes,
-    RequestName,
+    RequestIdentity,
+    TerminationEvidence,
 )
 from hopstep.domain.store_place import StorePlace
 from hopstep.services.quarantine.quarantine import EXPIRY_SECONDS, HEARING_SECONDS, Quarantine
@@ -95,7 +95,7 @@
     def test_a_refusal_that_runs_out_is_logged(self):
         async def script(quarantine):
             quarantine.take([told(FATAL, "i1", "i2", "i3")])
-            await trio.sleep(MEMORY_SECONDS + 2 * EXPIRY_SECONDS)
+            await trio.sleep(RETENTION_SECONDS + 2 * EXPIRY_SECONDS)
 
         self.assertEqual(
             self.run_script(script), [("HS3106", FATAL, ""), ("HS3107", FATAL, "expired")]
@@ -184,8 +184,8 @@
                     copy = empty if lost_whole else store._shared.model.copy()
                     await trio.sleep(TRIAL_AFTER_SECONDS)
                     self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
-                    quarantines[0].note_broken(RequestName(FATAL), "i9")
-                    quarantines[0].note_ended("i9", EndEvidence.REFUSED)
+                    quarantines[0].note_broken(RequestIdentity(FATAL), "i9")
+                    quarantines[0].note_ended("i9", TerminationEvidence.REFUSED)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS)
                     for part in records:
@@ -214,7 +214,7 @@
     def test_a_try_whose_client_leaves_is_followed_by_another_one(self):
         async def script(store, quarantines, records):
             await self.try_once(store, quarantines, records)
-            quarantines[0].note_broken(RequestName(FATAL), "i9")
+            quarantines[0].note_broken(RequestIdentity(FATAL), "i9")
             quarantines[0].end_trial(FATAL)
             self.assertEqual(await self.count_admitted(store, quarantines, records), 0)
             await trio.sleep(VERDICT_SECONDS + 2 * VERDICT_CHECK_SECONDS)
@@ -237,13 +237,13 @@
 
                 async def script(store, quarantines, records, ends_first=ends_first):
                     await self.try_once(store, quarantines, records)
-                    quarantines[0].note_broken(RequestName(FATAL), "i9")
+                    quarantines[0].note_broken(RequestIdentity(FATAL), "i9")
                     if ends_first:
-                        quarantines[0].note_ended("i9", EndEvidence.REFUSED)
+                        quarantines[0].note_ended("i9", TerminationEvidence.REFUSED)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS / 2)
                     if not ends_first:
-                        quarantines[0].note_ended("i9", EndEvidence.UNLISTED)
+                        quarantines[0].note_ended("i9", TerminationEvidence.UNLISTED)
                     await trio.sleep(2 * VERDICT_SECONDS)
                     self.assertEqual(await self.count_admitted(store, quarantines, records), 0)
 
@@ -251,9 +251,9 @@
 
     def test_a_try_whose_instance_does_not_answer_a_look_is_the_last_one(self):
         for sign, admitted in (
-            (InstanceSign.ANSWERS, 1),
-            (InstanceSign.ENDED, 0),
-            (InstanceSign.NO_ANSWER, 0),
+            (InstanceProbeResult.ANSWERS, 1),
+            (InstanceProbeResult.ENDED, 0),
+            (InstanceProbeResult.NO_ANSWER, 0),
         ):
             with self.subTest(sign=sign):
 
@@ -263,7 +263,7 @@
 
                 async def script(store, quarantines, records, look=look, admitted=admitted):
                     await self.try_once(store, quarantines, records)
-                    quarantines[0].note_left(RequestName(FATAL), "i9", look)
+                    quarantines[0].note_left(RequestIdentity(FATAL), "i9", look)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS + 2 * VERDICT_CHECK_SECONDS)
                     found = await self.count_admitted(store, quarantines, records)
@@ -307,9 +307,9 @@
             await self.tell_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
-            quarantines[0].note_broken(RequestName(FATAL), "i4")
-            quarantines[0].note_ended("i4", EndEvidence.REFUSED)
-            self.assertEqual(quarantines[0].ends(FATAL), ENDS_TO_REFUSE)
+            quarantines[0].note_broken(RequestIdentity(FATAL), "i4")
+            quarantines[0].note_ended("i4", TerminationEvidence.REFUSED)
+            self.assertEqual(quarantines[0].ends(FATAL), TERMINATIONS_TO_REFUSE)
             self.assertGreater(await quarantines[0].admit(FATAL), 0.0)
 
         self.run_script(script)
--- a/tests/services/test_membership.py
+++ b/tests/services/test_membership.py
@@ -13,7 +13,7 @@
 from emulator.virtual_time import run_in_virtual_time
 from hopstep.adapters.peer_codec import PeerCodec
 from hopstep.adapters.peer_keys import PeerKeys
-from hopstep.domain.membership import RevisionHeard
+from hopstep.domain.membership import RevisionReported
 from hopstep.domain.peer_message import EngineEntry, EntryKind
 from hopstep.services import membership
 from hopstep.services.membership import MembershipService
@@ -170,7 +170,7 @@
             services[0].follow_confirmations(lambda: 4.5)
             services[0].set_revision(8)
             await trio.sleep(3)
-            told = [action for action in heard if isinstance(action, RevisionHeard)]
+            told = [action for action in heard if isinstance(action, RevisionReported)]
             self.assertEqual({action.revision for action in told}, {8})
             self.assertEqual({action.member.name for action in told}, {"r0"})
             self.assertTrue(any(5 <= action.confirmed_age_seconds <= 6 for action in told))
