--- a/hopstep/domain/quarantine/crash_ledger.py
+++ b/hopstep/domain/quarantine/crash_ledger.py
@@ -1,11 +1,11 @@
-"""Counts, for each request, the instances that have ended while it was under way there.
-
-A request whose instance has ended is one of perhaps many that were under way, and most of them
-have nothing to do with the end. So a request is refused only when ``TERMINATIONS_TO_REFUSE``
-instances have ended under it, and each whole answer to it takes one of these ends back, or excuses one to come: a
-request that merely was there is answered far more often than its instances end. An end that
-another, refused request explains counts for that one only. What is known of a request is forgotten
-some time after the last end.
+"""Counts, for each request, the instances that have terminated while it was under way there.
+
+A request whose instance has terminated is one of perhaps many that were under way, and most of
+them have nothing to do with the termination. So a request is refused only when
+``TERMINATIONS_TO_REFUSE`` instances have terminated under it. Each complete response to it clears
+one of these terminations, or disregards one to come: a request that merely was there is answered
+far more often than its instances terminate. A termination that another, refused request explains
+counts for that one only. The record of a request is dropped some time after the last termination.
 
 Times are of the steady clock, in seconds.
 """
--- a/hopstep/domain/routing/__init__.py
+++ b/hopstep/domain/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of the engine for a request: cache picture, engine views, costs."""
+"""Choice of the engine for a request: prefix index, engine views, costs."""
--- a/hopstep/domain/routing/engine_view.py
+++ b/hopstep/domain/routing/engine_view.py
@@ -1,4 +1,4 @@
-"""What one router believes of one engine: its facts, its load, whether it can be reached.
+"""One router's view of one engine: its facts, its load, whether it can be reached.
 
 Load reports lag. Between reports the view adds what this router itself has sent since the
 report was taken, and lets reported work drain at the expected prefill speed.
@@ -14,19 +14,20 @@
 from hopstep.domain.instance_standing import InstanceStanding
 
 BACKOFF_BASE_SECONDS = 0.5
-"""Time for which an engine is avoided after a first failure."""
+"""Time in seconds for which an engine is avoided after a first failure."""
 
-RATE_SECONDS = 4.0
-"""Time constant of the rate at which this router sends work to an engine."""
+RATE_TIME_CONSTANT_SECONDS = 4.0
+"""Time constant, in seconds, of the rate at which this router sends work to an engine."""
 
-FRESH_REPORT_SECONDS = 5.0
-"""Age beyond which a report says nothing about the load any more."""
+MAX_REPORT_AGE_SECONDS = 5.0
+"""Age in seconds beyond which a load report is disregarded."""
 
-UNSEEN_SECONDS = 0.6
-"""Longest time of the other routers' inflow that is expected to be still unfinished."""
+UNREPORTED_INFLOW_SECONDS = 0.6
+"""Time in seconds: of what the other routers send, at most the inflow of this time is expected to
+be unfinished."""
 
 BACKOFF_LIMIT_SECONDS = 8.0
-"""Longest time for which an engine is avoided after a failure."""
+"""Longest time in seconds for which an engine is avoided after a failure."""
 
 
 class Dispatch(msgspec.Struct):
@@ -45,8 +46,8 @@
     started: bool = False
 
 
-class QueuePlace(msgspec.Struct, frozen=True):
-    """What the wait of a new request depends on, besides the engine.
+class WaitFactors(msgspec.Struct, frozen=True):
+    """What the expected wait of a new request depends on, besides the engine.
 
     Attributes:
         priority: Its priority; lower numbers go first.
@@ -62,13 +63,13 @@
 
 
 class EngineView:
-    """Belief about one engine; every time is in seconds of the router's monotonic clock."""
+    """State of one engine as last seen; times are in seconds of the router's monotonic clock."""
 
     def __init__(self) -> None:
-        """Start with nothing known: such an engine may be tried."""
+        """Start without any facts; an engine without facts may be tried."""
         self.facts: EngineFacts | None = None
         self.standing = InstanceStanding()
-        self._standing_of = ""
+        self._standing_incarnation = ""
         self._report = LoadReport()
         self._report_at = float("-inf")
         self._dispatches: dict[str, Dispatch] = {}
@@ -84,7 +85,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the engine said that it must get no new work."""
+        """Whether the engine announced that it must get no new work."""
         return self.facts is not None and self.facts.leaving
 
     def serves(self, model: str, weights_version: str) -> bool:
@@ -96,10 +97,10 @@
         return self.facts.weights.get(model) == weights_version
 
     def update_facts(self, facts: EngineFacts, now: float) -> None:
-        """Take newer facts; being heard of ends a backoff, and a new incarnation has no rest."""
-        if self._standing_of not in ("", facts.incarnation):
+        """Store newer facts; they end a backoff, and a new incarnation has no announced state."""
+        if self._standing_incarnation not in ("", facts.incarnation):
             self.standing = InstanceStanding()
-        self._standing_of = facts.incarnation
+        self._standing_incarnation = facts.incarnation
         self.facts = facts
         self._failures = 0
         self._avoid_until = float("-inf")
@@ -111,15 +112,15 @@
     def record_dispatch(self, nonce: str, prefill_tokens: int, priority: int, now: float) -> None:
         """Count an attempt that has just been sent."""
         self._dispatches[nonce] = Dispatch(now, prefill_tokens, priority)
-        self._rate = self._own_rate(now) + prefill_tokens / RATE_SECONDS
+        self._rate = self._own_rate(now) + prefill_tokens / RATE_TIME_CONSTANT_SECONDS
         self._rate_at = now
 
     def _own_rate(self, now: float) -> float:
         """Return the decayed rate of prompt tokens that this router has sent to be computed."""
-        return self._rate * math.exp((self._rate_at - now) / RATE_SECONDS)
+        return self._rate * math.exp((self._rate_at - now) / RATE_TIME_CONSTANT_SECONDS)
 
     def record_first_token(self, nonce: str) -> None:
-        """Note that an attempt's prefill is over, which also proves the engine alive."""
+        """Record that an attempt's prefill is over, which also proves the engine alive."""
         dispatch = self._dispatches.get(nonce)
         if dispatch is not None:
             dispatch.started = True
@@ -148,33 +149,34 @@
         )
         return max(reported + unreported, len(self._dispatches))
 
-    def waiting_prefill_tokens(self, now: float, place: QueuePlace) -> float:
+    def waiting_prefill_tokens(self, now: float, factors: WaitFactors) -> float:
         """Return the prompt tokens expected to be prefilled before a new request's own.
 
         Args:
             now: Time.
-            place: The request's place among others.
+            factors: What the request's wait depends on.
         """
         own = 0
         unreported = 0
         for dispatch in self._dispatches.values():
-            if dispatch.started or dispatch.priority > place.priority:
+            if dispatch.started or dispatch.priority > factors.priority:
                 continue
             own += dispatch.prefill_tokens
             if dispatch.sent_at > self._report_at:
                 unreported += dispatch.prefill_tokens
-        return max(self._reported_tokens(now, place) + unreported, float(own))
+        return max(self._reported_tokens(now, factors) + unreported, float(own))
 
-    def _reported_tokens(self, now: float, place: QueuePlace) -> float:
-        """Return what is left of the reported work, and what others have sent since.
+    def _reported_tokens(self, now: float, factors: WaitFactors) -> float:
+        """Return the reported work that remains, and what other routers have sent since.
 
-        Reports lag, and what the other routers send meanwhile isn't seen. They are expected to
-        send as this router does on average: prefixes draw all of them to the same engines.
+        Reports lag, and work that the other routers send in between isn't in them. They are
+        expected to send at this router's average rate, as equal prefixes lead all routers to the
+        same engines.
         """
         elapsed = now - self._report_at
-        if elapsed > FRESH_REPORT_SECONDS:
+        if elapsed > MAX_REPORT_AGE_SECONDS:
             return 0.0
-        inflow = place.other_routers * self._own_rate(now) * place.share_before
-        drained = (place.prefill_tokens_per_second - inflow) * elapsed
-        unseen = inflow * min(elapsed, UNSEEN_SECONDS)
-        return max(self._report.waiting_prefill_tokens * place.share_before - drained, unseen)
+        inflow = factors.other_routers * self._own_rate(now) * factors.share_before
+        drained = (factors.prefill_tokens_per_second - inflow) * elapsed
+        unseen = inflow * min(elapsed, UNREPORTED_INFLOW_SECONDS)
+        return max(self._report.waiting_prefill_tokens * factors.share_before - drained, unseen)
--- a/hopstep/domain/routing/event_budget.py
+++ b/hopstep/domain/routing/event_budget.py
@@ -1,8 +1,8 @@
 """Budget of bytes for reading cache events.
 
-Events only refine what answers teach, so a router reads as many as its budget lets it and skips
-the rest. The size of a batch is known only after it was read: the budget runs into debt, and
-nothing is read until the debt is paid back.
+Events only refine what the prefix index learns from dispatches and answers, so a router reads as
+many as its budget allows and skips the rest. The size of a batch is known only after it was read:
+the balance may become negative, and nothing is read until it is positive again.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         return self._balance > 0.0
 
     def spend(self, keys: int) -> None:
-        """Take note of a batch that was read.
+        """Subtract a batch that was read.
 
         Args:
             keys: Block keys in it.
--- a/hopstep/domain/routing/prefix_index.py
+++ b/hopstep/domain/routing/prefix_index.py
@@ -1,11 +1,11 @@
-"""Which engines are believed to hold which prompt prefixes: bounded, learned, never truth.
+"""Estimate of which engines hold which prompt prefixes; bounded in size, and may be wrong.
 
-The picture remembers *heads*, a sample of the block keys (``prompt_heads``), taken from the
+The index holds *heads*, a sample of the block keys (``prompt_heads``), taken from the
 prompts that this router dispatches and from the engines' cache events. A head maps to the set
-of engines believed to hold the prefix up to it. Block keys are salted by tenant and weights
+of engines expected to hold the prefix up to it. Block keys are salted by tenant and weights
 version (``hopstep.domain.blocks``), so an entry of another tenant or of older weights can't
 match. An entry belongs to one incarnation of an engine: when the incarnation or the loaded
-weights change, all entries of the engine go.
+weights change, all entries of the engine are dropped.
 
 A set of engines is one integer with a bit for each engine, so that looking up a prompt is one
 dictionary access for each head, whatever the number of engines.
@@ -16,11 +16,11 @@
 from collections.abc import Iterable, Iterator, Sequence
 
 RETIRED_BITS_BEFORE_SWEEP = 64
-"""Bits of dead incarnations that may linger before the entries are swept of them."""
+"""Bits of ended incarnations that may remain set before they are cleared from all entries."""
 
 
 class PrefixIndex:
-    """Learned map from prefix heads to the engines believed to hold them."""
+    """Map from prefix heads to the engines expected to hold them."""
 
     def __init__(self, max_heads: int, stride: int) -> None:
         """Start empty.
@@ -44,7 +44,7 @@
         return len(self._holders)
 
     def resize(self, max_heads: int) -> None:
-        """Change the bound and drop the least recently learned heads above it."""
+        """Change the maximum and drop the least recently learned heads above it."""
         self._max_heads = max_heads
         self._drop_excess()
 
@@ -60,7 +60,7 @@
         self._live_mask |= 1 << self._bits[engine]
 
     def forget_engine(self, engine: str) -> None:
-        """Drop every entry of the engine and accept none until a new incarnation begins."""
+        """Drop every entry of the engine and accept none until ``begin_incarnation``."""
         bit = self._bits.pop(engine, None)
         if bit is None:
             return
@@ -73,7 +73,7 @@
 
         Args:
             engine: Name of the engine.
-            incarnation: Incarnation that was observed; another one than current is ignored.
+            incarnation: Incarnation that was observed; ignored unless it is the current one.
             heads: Heads of the prompt, shallowest first.
             held: How many of them the engine holds.
         """
@@ -106,7 +106,7 @@
             self._clear(key, mask)
 
     def held_heads(self, heads: Sequence[int], engines: Sequence[str]) -> list[int]:
-        """Return how many leading heads each engine is believed to hold.
+        """Return how many leading heads each engine is expected to hold.
 
         Args:
             heads: Heads of a prompt, shallowest first.
@@ -142,7 +142,7 @@
         return low
 
     def _clear(self, head: int, mask: int) -> None:
-        """Take engines out of a head's holders, and drop the head when none is left."""
+        """Remove engines from a head's holders, and drop the head when no holder is left."""
         holders = self._holders.get(head)
         if holders is None:
             return
@@ -153,7 +153,7 @@
             del self._holders[head]
 
     def _drop_excess(self) -> None:
-        """Drop the least recently learned heads above the bound, those of the dead first."""
+        """Drop heads above the maximum: first those of ended incarnations, then the oldest."""
         if len(self._holders) > self._max_heads and self._retired:
             self._sweep()
         while len(self._holders) > self._max_heads:
@@ -169,7 +169,7 @@
         return self._next_bit - 1
 
     def _sweep(self) -> None:
-        """Clear the bits of dead incarnations in every entry, and free them for reuse."""
+        """Clear the bits of ended incarnations in every entry, and free them for reuse."""
         kept = ((head, holders & self._live_mask) for head, holders in self._holders.items())
         self._holders = {head: holders for head, holders in kept if holders}
         self._free.extend(self._retired)
--- a/hopstep/domain/routing/prefix_owners.py
+++ b/hopstep/domain/routing/prefix_owners.py
@@ -1,4 +1,4 @@
-"""Owners of prefixes by rendezvous hashing: where equal prefixes go with no picture at all."""
+"""Owners of prefixes by rendezvous hashing: where equal prefixes go with an empty prefix index."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from hopstep.domain.routing.prompt_heads import Prompt
 
 MAX_LOOKUPS = 1_024
-"""Lookups after which remembered rankings are dropped: prompts that come once fill them."""
+"""Lookups after which cached rankings are dropped, as prompts that come only once fill them."""
 
 
 class PrefixOwners:
-    """Ranks engines by a prompt's first head; routers without any picture agree."""
+    """Ranks engines by a prompt's first head; routers with an empty prefix index agree."""
 
     def __init__(self) -> None:
-        """Start with nothing remembered."""
+        """Start with an empty cache."""
         self._tables: dict[tuple[str, ...], Rendezvous] = {}
         self._lookups = 0
 
--- a/hopstep/domain/routing/priority_mix.py
+++ b/hopstep/domain/routing/priority_mix.py
@@ -1,21 +1,21 @@
-"""How the work that this router sends is spread over priorities."""
+"""Distribution over priorities of the work that this router sends."""
 
 from __future__ import annotations
 
 HALF_LIFE_SECONDS = 10.0
-"""Time in which the weight of past work halves."""
+"""Time in seconds in which the weight of past work halves."""
 
 
 class PriorityMix:
     """Decayed prompt tokens sent to be computed, by priority.
 
-    Load reports don't tell priorities apart, but engines serve the lower numbers first. The
-    reported work that goes before a request is taken to be as large a part as in the work that
-    this router itself sends.
+    Load reports don't distinguish priorities, but engines serve the lower numbers first. The
+    share of reported work that goes before a request is assumed to be the same as in the work
+    that this router itself sends.
     """
 
     def __init__(self) -> None:
-        """Start with nothing sent."""
+        """Start without any recorded work."""
         self._tokens: dict[int, float] = {}
         self._updated_at = 0.0
 
--- a/hopstep/domain/routing/routing_table.py
+++ b/hopstep/domain/routing/routing_table.py
@@ -1,8 +1,8 @@
-"""Everything that one router believes of engines, and the choice that follows from it.
+"""One router's view of all engines, and the choice of an engine from it.
 
-The table is deterministic: time and randomness come in as arguments, and it does no I/O. It
-never holds the configuration store or the event streams up: with none of them it still chooses,
-by rendezvous hashing on the prompt's prefix.
+The table is deterministic: time and randomness are passed in, and it does no I/O. It doesn't
+depend on the configuration store or the event streams: without them it still chooses, by
+rendezvous hashing on the prompt's prefix.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from hopstep.domain.instance_notices import InstanceNotice
 from hopstep.domain.requests_in_force import choose_kv_cache_store
 from hopstep.domain.retry_after_header import MAX_REST_SECONDS
-from hopstep.domain.routing.engine_view import EngineView, QueuePlace
+from hopstep.domain.routing.engine_view import EngineView, WaitFactors
 from hopstep.domain.routing.prefix_index import PrefixIndex
 from hopstep.domain.routing.prefix_owners import PrefixOwners
 from hopstep.domain.routing.priority_mix import PriorityMix
@@ -47,8 +47,8 @@
 from hopstep.exceptions import DomainError, ErrorCode
 
 
-class _Sent(msgspec.Struct, frozen=True):
-    """Where an attempt in flight was sent."""
+class _SentAttempt(msgspec.Struct, frozen=True):
+    """Engine, incarnation and prefix heads of an attempt in flight."""
 
     address: str
     incarnation: str
@@ -56,56 +56,56 @@
 
 
 class RoutingTable:
-    """Beliefs about engines; engines are known by their ``ip:port`` address."""
+    """Views of engines, by their ``ip:port`` addresses."""
 
     def __init__(self, random_source: random.Random, hash_prompt: HashPrompt = block_keys) -> None:
-        """Start with no belief at all: every admissible engine may be chosen at once.
+        """Start without any views: every admissible engine may be chosen at once.
 
         Args:
             random_source: Seeded source of randomness.
-            hash_prompt: Hashes a prompt; experiments give one that remembers the keys.
+            hash_prompt: Hashes a prompt; experiments pass one that caches the keys.
         """
         self._hasher = PromptHasher(hash_prompt)
         self._random = random_source
         self._index = ConfigurationIndex(Configuration())
         self._policy = RoutingPolicy()
         self._views: dict[str, EngineView] = {}
-        self._picture = PrefixIndex(
+        self._prefix_index = PrefixIndex(
             self._policy.max_prefix_heads, self._policy.prefix_stride_blocks
         )
         self._owners = PrefixOwners()
-        self._sent: dict[str, _Sent] = {}
+        self._sent: dict[str, _SentAttempt] = {}
         self._leaving: frozenset[str] = frozenset()
         self._other_routers = 0
         self._priority_mix = PriorityMix()
         self._on_restart: Callable[[str, str], None] = lambda _address, _incarnation: None
 
     def set_restart_listener(self, listener: Callable[[str, str], None]) -> None:
-        """Tell a listener of each engine seen to start anew: its address, the old incarnation."""
+        """Call a listener for each observed restart, with the address and the old incarnation."""
         self._on_restart = listener
 
     def update_configuration(self, accepted: AcceptedConfiguration) -> None:
-        """Follow a newly accepted configuration; engines that it lacks are forgotten."""
+        """Apply a newly accepted configuration; drop the views of engines that it doesn't list."""
         self._index = ConfigurationIndex(accepted.configuration)
         policy = accepted.configuration.routing
         if policy.prefix_stride_blocks != self._policy.prefix_stride_blocks:
-            self._picture = _new_picture(policy)
+            self._prefix_index = _new_prefix_index(policy)
             for address, view in self._views.items():
                 if view.incarnation:
-                    self._picture.begin_incarnation(address, view.incarnation)
+                    self._prefix_index.begin_incarnation(address, view.incarnation)
         self._policy = policy
-        self._picture.resize(policy.max_prefix_heads)
+        self._prefix_index.resize(policy.max_prefix_heads)
         routers = (item.kind is BackEndKind.ROUTER for item in accepted.configuration.back_ends)
         self._other_routers = max(sum(routers) - 1, 0)
         configured = {back_end.address for back_end in accepted.configuration.back_ends}
         for address in set(self._views) - configured:
             del self._views[address]
-            self._picture.forget_engine(address)
+            self._prefix_index.forget_engine(address)
 
     @property
     def prefix_heads(self) -> int:
-        """Heads in the prefix picture."""
-        return len(self._picture)
+        """Number of heads in the prefix index."""
+        return len(self._prefix_index)
 
     def facts(self, address: str) -> EngineFacts | None:
         """Return the latest facts of an engine, or None."""
@@ -113,26 +113,26 @@
         return view.facts if view else None
 
     def update_facts(self, address: str, facts: EngineFacts, now: float) -> None:
-        """Take facts that an engine gave; a new incarnation or new weights drop its entries."""
+        """Apply an engine's facts; a new incarnation or new weights drop its index entries."""
         view = self._view(address)
         before = view.facts
         if before is not None and before.incarnation != facts.incarnation:
             self._on_restart(address, before.incarnation)
         view.update_facts(facts, now)
         if before is None or _cache_identity(before) != _cache_identity(facts):
-            self._picture.begin_incarnation(address, facts.incarnation)
+            self._prefix_index.begin_incarnation(address, facts.incarnation)
 
     def update_leaving(self, addresses: frozenset[str]) -> None:
-        """Give no new work to these engines, whatever they say themselves."""
+        """Set the engines that get no new work, whatever their own facts say."""
         self._leaving = addresses
 
     def record_events(self, address: str, batch: CacheEventBatch) -> None:
-        """Take cache events; those of another incarnation than the known one are ignored."""
+        """Apply cache events; those of another incarnation than the one last seen are ignored."""
         for event in batch.events:
             if event.kind is CacheEventKind.STORED:
-                self._picture.record_stored(address, batch.incarnation, event.block_keys)
+                self._prefix_index.record_stored(address, batch.incarnation, event.block_keys)
             else:
-                self._picture.record_evicted(address, batch.incarnation, event.block_keys)
+                self._prefix_index.record_evicted(address, batch.incarnation, event.block_keys)
 
     def choose(
         self,
@@ -178,7 +178,7 @@
         excluded: frozenset[str],
         now: float,
     ) -> tuple[Prompt, list[Candidate]]:
-        """Return what is known of the prompt, and the usable engines, the best first."""
+        """Return the sampled prompt, and the usable engines, the best first."""
         usable = [
             back_end
             for back_end in admissible
@@ -189,8 +189,8 @@
                 ErrorCode.NO_ADMISSIBLE_BACK_END, "no admissible engine can take the request now"
             )
         prompt = self._hasher.prompt(request, self._policy.prefix_stride_blocks)
-        place = self._queue_place(request)
-        return prompt, rank(prompt, self._candidates(prompt, usable, place, now), self._policy)
+        factors = self._wait_factors(request)
+        return prompt, rank(prompt, self._candidates(prompt, usable, factors, now), self._policy)
 
     def record_dispatch(self, nonce: str, choice: Choice, now: float) -> None:
         """Count an attempt that is being sent; its prefix will be held there soon.
@@ -204,9 +204,9 @@
         tokens, priority = choice.prefill_tokens, choice.priority
         self._view(address).record_dispatch(nonce, tokens, priority, now)
         self._priority_mix.record(priority, tokens, now)
-        self._sent[nonce] = _Sent(address, choice.incarnation, choice.prefix_heads)
+        self._sent[nonce] = _SentAttempt(address, choice.incarnation, choice.prefix_heads)
         heads = choice.prefix_heads
-        self._picture.learn(address, choice.incarnation, heads, len(heads))
+        self._prefix_index.learn(address, choice.incarnation, heads, len(heads))
 
     def record_first_token(
         self, nonce: str, incarnation: str, cached_tokens: int, now: float
@@ -226,7 +226,7 @@
         view.record_first_token(nonce)
         if view.incarnation and view.incarnation != incarnation:
             self._forget_facts(sent.address)
-        self._picture.learn(sent.address, incarnation, sent.heads, len(sent.heads))
+        self._prefix_index.learn(sent.address, incarnation, sent.heads, len(sent.heads))
 
     def record_end(self, nonce: str, now: float) -> None:
         """Forget an attempt that has ended, however it ended."""
@@ -239,13 +239,13 @@
         self._view(address).record_failure(now)
 
     def record_backoff(self, address: str, seconds: float, now: float) -> None:
-        """Send an engine nothing for the time that its refusal asked for; 0 for none."""
+        """Send an engine nothing for the seconds that its refusal asked for; 0 for none."""
         if seconds > 0:
             notice = InstanceNotice(rest_seconds=min(seconds, MAX_REST_SECONDS))
             self._view(address).standing.take(notice, now)
 
     def admission(self, address: str, active: int, now: float) -> Admission:
-        """Return whether an engine takes one more request by its own word.
+        """Return whether an engine's announced state admits one more request.
 
         Args:
             address: The engine.
@@ -258,21 +258,21 @@
         return admission(AskedInstance(view.standing, active=active), Purpose.REQUEST, now)
 
     def record_precondition_failed(self, address: str, now: float) -> None:
-        """Forget what was believed of an engine that refused a precondition.
+        """Forget the facts of an engine that refused a precondition.
 
-        It runs another incarnation or other weights than believed, so it is avoided until it
-        is heard of again or its backoff ends.
+        It runs another incarnation or other weights than expected, so it is avoided until newer
+        facts arrive or its backoff ends.
         """
         self._forget_facts(address)
         self._view(address).record_failure(now)
 
     def _forget_facts(self, address: str) -> None:
-        """Count on nothing of an engine until its next facts."""
+        """Drop an engine's facts and index entries until its next facts arrive."""
         self._view(address).facts = None
-        self._picture.forget_engine(address)
+        self._prefix_index.forget_engine(address)
 
     def _view(self, address: str) -> EngineView:
-        """Return the view of an engine, made on first use."""
+        """Return the view of an engine, created on first use."""
         view = self._views.get(address)
         if view is None:
             view = self._views[address] = EngineView()
@@ -299,10 +299,10 @@
             priority=request.request_class.priority,
         )
 
-    def _queue_place(self, request: InferenceRequest) -> QueuePlace:
-        """Return what the request's wait depends on, besides the engine."""
+    def _wait_factors(self, request: InferenceRequest) -> WaitFactors:
+        """Return what the request's expected wait depends on, besides the engine."""
         priority = request.request_class.priority
-        return QueuePlace(
+        return WaitFactors(
             priority=priority,
             share_before=self._priority_mix.share_before(priority),
             prefill_tokens_per_second=self._policy.prefill_tokens_per_second,
@@ -310,14 +310,14 @@
         )
 
     def _candidates(
-        self, prompt: Prompt, usable: list[BackEnd], place: QueuePlace, now: float
+        self, prompt: Prompt, usable: list[BackEnd], factors: WaitFactors, now: float
     ) -> list[Candidate]:
-        """Return what is believed of each usable engine."""
-        held = self._picture.held_heads(prompt.heads, [item.address for item in usable])
+        """Return the expected state of each usable engine."""
+        held = self._prefix_index.held_heads(prompt.heads, [item.address for item in usable])
         ranks = self._owners.ranks(prompt, usable, self._policy.hot_prefix_copies)
         assumed = 0 if any(held) else prompt.tokens_of(len(prompt.heads))
         return [
-            self._candidate(prompt, back_end, heads, ranks, assumed, place, now)
+            self._candidate(prompt, back_end, heads, ranks, assumed, factors, now)
             for back_end, heads in zip(usable, held, strict=True)
         ]
 
@@ -328,17 +328,17 @@
         held_heads: int,
         ranks: dict[str, int],
         assumed_tokens: int,
-        place: QueuePlace,
+        factors: WaitFactors,
         now: float,
     ) -> Candidate:
-        """Return what is believed of one engine."""
+        """Return the expected state of one engine."""
         view = self._view(back_end.address)
         preference = ranks.get(back_end.name, len(ranks))
         return Candidate(
             back_end=back_end,
             incarnation=view.incarnation,
             cached_tokens=prompt.tokens_of(held_heads),
-            waiting_prefill_tokens=view.waiting_prefill_tokens(now, place),
+            waiting_prefill_tokens=view.waiting_prefill_tokens(now, factors),
             requests=view.requests(),
             suspect=view.is_suspect(now),
             preference=preference,
@@ -346,11 +346,11 @@
         )
 
 
-def _new_picture(policy: RoutingPolicy) -> PrefixIndex:
-    """Return an empty picture."""
+def _new_prefix_index(policy: RoutingPolicy) -> PrefixIndex:
+    """Return an empty index."""
     return PrefixIndex(policy.max_prefix_heads, policy.prefix_stride_blocks)
 
 
 def _cache_identity(facts: EngineFacts) -> tuple[str, dict[str, str]]:
-    """Return what an engine's cached blocks belong to."""
+    """Return the incarnation and weights that an engine's cached blocks belong to."""
     return facts.incarnation, facts.weights
--- a/hopstep/domain/routing/selection.py
+++ b/hopstep/domain/routing/selection.py
@@ -7,27 +7,28 @@
 from hopstep.domain.configuration.document import BackEnd, RoutingPolicy
 from hopstep.domain.routing.prompt_heads import Prompt
 
-CALM_WAIT_SECONDS = 0.5
-"""Shortest wait at any engine up to which recomputation has its configured weight."""
+MAX_UNWEIGHTED_WAIT_SECONDS = 0.5
+"""Wait in seconds: recomputation has its configured weight while the shortest wait at any engine
+is at most this."""
 
 BACKLOG_WEIGHT_PER_SECOND = 2.0
-"""Growth of the weight of recomputation for each further second of the shortest wait."""
+"""Relative growth of the weight of recomputation for each further second of the shortest wait."""
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """One engine that may serve the request, as believed just now.
+    """One engine that may serve the request, in its expected state.
 
     Attributes:
         back_end: The engine.
         incarnation: Incarnation last seen; empty if unknown.
-        cached_tokens: Prompt tokens that it is believed to hold in its cache.
+        cached_tokens: Prompt tokens that it is expected to hold in its cache.
         waiting_prefill_tokens: Prompt tokens expected to be prefilled before this request's.
         requests: Requests that it is expected to run and queue.
         suspect: Whether it is avoided after a failure.
         preference: Rank among the prefix's rendezvous owners, 0 first; others have a higher
             rank than every owner.
-        assumed_tokens: Prompt tokens that it may hold because it owns a prefix of which the
-            picture knows nothing; nothing relies on them.
+        assumed_tokens: Prompt tokens that it may hold because it owns a prefix that isn't in the
+            prefix index; used only to rank engines.
     """
 
     back_end: BackEnd
@@ -46,11 +47,11 @@
     Attributes:
         back_end: The engine.
         incarnation: Incarnation last seen; empty if unknown.
-        expected_cached_tokens: Prompt tokens that it is believed to hold.
+        expected_cached_tokens: Prompt tokens that it is expected to hold.
         relies_on_cache: Whether the attempt must be refused in another incarnation.
         expected_wait_seconds: Expected wait before the prefill starts.
         kv_cache_store: Address of the KV cache store to import from; empty for none.
-        full: Whether the engine is believed to be at its limit of concurrent requests.
+        full: Whether the engine is expected to be at its limit of concurrent requests.
         prefill_tokens: Prompt tokens that it is expected to recompute.
         priority: Priority of the request.
         prefix_heads: Heads of the prompt, for ``RoutingTable.record_dispatch``.
@@ -72,11 +73,11 @@
     """Return the candidates, the best first.
 
     Engines that are neither suspect nor full come first; within a group the lowest expected
-    cost wins, then the rendezvous preference, so that routers without any picture agree.
+    cost wins, then the rendezvous preference, so that routers with an empty prefix index agree.
 
     Args:
         prompt: The request's prompt.
-        candidates: Engines that may serve it; leaving and other-weights engines left out.
+        candidates: Engines that may serve it, without leaving ones and those with other weights.
         policy: Costs of the deployment.
     """
     if not candidates:
@@ -102,18 +103,18 @@
 
 
 def _is_full(candidate: Candidate) -> bool:
-    """Return whether the engine is believed to be at its limit."""
+    """Return whether the engine is expected to be at its limit of concurrent requests."""
     return candidate.requests >= candidate.back_end.max_concurrent_requests
 
 
 def _recompute_weight(candidates: list[Candidate], policy: RoutingPolicy) -> float:
     """Return the weight of recomputation, which grows with the shortest wait.
 
-    While every engine has a backlog, a request waits wherever it goes, and each recomputed
-    token makes all the others wait too: then throughput counts more than this request's wait.
+    While every engine has a backlog, a request waits at any of them, and each recomputed token
+    delays all other requests too, so throughput counts more than this request's wait.
     """
     tokens = min(candidate.waiting_prefill_tokens for candidate in candidates)
-    backlog = max(tokens / policy.prefill_tokens_per_second - CALM_WAIT_SECONDS, 0.0)
+    backlog = max(tokens / policy.prefill_tokens_per_second - MAX_UNWEIGHTED_WAIT_SECONDS, 0.0)
     return policy.recompute_weight * (1.0 + BACKLOG_WEIGHT_PER_SECOND * backlog)
 
 
