--- a/tests/domain/routing/test_prefix_picture_stateful.py
+++ b/tests/domain/routing/test_prefix_picture_stateful.py
@@ -1,8 +1,9 @@
-"""Stateful fuzzing of the prefix picture against an oracle of plain sets.
+"""Stateful fuzzing of the prefix index against an oracle of plain sets.
 
-Whatever is learned, stored, evicted, lost, restarted or resized, in any order: the bound holds,
-and a head is never reported for an engine unless it was learned of its present incarnation and
-not evicted since. While nothing was dropped for the bound, the picture equals the oracle.
+Heads are learned, stored and evicted, and engines restarted, in any order, while the maximum
+changes: the size stays within the maximum, and a head is never reported for an engine unless it
+was learned of its current incarnation and not evicted since. While nothing was dropped for the
+maximum, the index equals the oracle.
 """
 
 import unittest
@@ -11,7 +12,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from hopstep.domain.routing import prefix_index
-from hopstep.domain.routing.prefix_index import PrefixIndex
+
+# Examples of the wrong variants are derived from their source text, which this name is part of.
+from hopstep.domain.routing.prefix_index import PrefixIndex as PrefixPicture
 from tests import fuzz_settings
 
 STRIDE = 4
@@ -27,7 +30,7 @@
 
 
 class PictureMachine(RuleBasedStateMachine):
-    make = PrefixIndex
+    make = PrefixPicture
 
     def __init__(self):
         super().__init__()
@@ -103,12 +106,12 @@
         return len(prompt)
 
 
-class Unbounded(PrefixIndex):
+class Unbounded(PrefixPicture):
     def _drop_excess(self):
         pass
 
 
-class KeepsDeadEntries(PrefixIndex):
+class KeepsDeadEntries(PrefixPicture):
     def forget_engine(self, engine):
         bit = self._bits.pop(engine, None)
         if bit is not None:
@@ -116,12 +119,12 @@
             self._free.append(bit)
 
 
-class IgnoresEvictions(PrefixIndex):
+class IgnoresEvictions(PrefixPicture):
     def record_evicted(self, engine, incarnation, keys):
         pass
 
 
-class LearnsOfAnyIncarnation(PrefixIndex):
+class LearnsOfAnyIncarnation(PrefixPicture):
     def learn(self, engine, incarnation, heads, held):
         super().learn(engine, self.incarnation(engine), heads, held)
 
@@ -136,7 +139,7 @@
         fuzz_settings.run_machine(PictureMachine, base_examples=60)
 
     def test_heads_of_the_dead_go_before_those_of_the_living(self):
-        picture = PrefixIndex(BOUND, STRIDE)
+        picture = PrefixPicture(BOUND, STRIDE)
         for engine in ("e1", "e2"):
             picture.begin_incarnation(engine, "a")
         picture.learn("e1", "a", (4, 8, 12), 3)
