--- a/hopstep/domain/limits/__init__.py
+++ b/hopstep/domain/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants' limits: rates at one router, and parts leased by one owner."""
+"""Limits of tenants and instances: rates, leased parts, quotas and send permits."""
--- a/hopstep/domain/limits/fleet_usage.py
+++ b/hopstep/domain/limits/fleet_usage.py
@@ -1,10 +1,10 @@
-"""What nodes tell of what they use of something limited, and its sums over groups of nodes.
+"""Reports of nodes about their use of something limited, and sums of them over groups of nodes.
 
-That is a tenant's quota, or an instance that takes only so many requests.
+The limited thing is a tenant's quota, or an instance with a limit on its requests.
 
-Each node tells the whole of its own window, not changes, so lost, repeated and late messages do no
-harm, and a relay that has just started knows its nodes' usage with their first messages. What a
-node told before it fell silent or started anew counts until the window has passed.
+Each node reports the whole of its own window, not changes, so lost, repeated and late messages do
+no harm, and a relay that has just started knows its nodes' usage from their first messages. The
+last report before a node became unresponsive or restarted counts until the window has passed.
 """
 
 from __future__ import annotations
@@ -14,24 +14,26 @@
 
 import msgspec
 
-FRESH_SECONDS = 1.0
-"""A node that told nothing for longer isn't counted among those that are heard: five messages."""
+MAX_FRESH_AGE_SECONDS = 1.0
+"""Age in seconds up to which a report is fresh, the interval of five messages. A node without a
+fresh report isn't counted among the reporting nodes."""
 
-SWEEP_SECONDS = 0.2
-"""Between two looks for reports that are too old."""
+SWEEP_INTERVAL_SECONDS = 0.2
+"""Time in seconds between two searches for reports that are too old."""
 
-MAX_TOLD = 64
-"""Most in one message, those with the greatest usage: some 2 kB."""
+MAX_REPORTED_NAMES = 64
+"""Maximum number of names in one message, those with the greatest usage: some 2 kB."""
 
 
 class Usage(msgspec.Struct, frozen=True, array_like=True):
-    """Usage of one tenant's quota, in its unit, or of one life of an instance, in requests.
+    """Usage of one tenant's quota, in its unit, or of one instance incarnation, in requests.
 
     Attributes:
-        name: The tenant's name, or the life as ``str(InstanceLife)``.
-        admitted: Within the window; to an instance, what was sent.
-        offered: Within the last second, what was refused included; to an instance, what waits.
-        expected: To an instance, what would be sent before the next telling, beside what waits.
+        name: The tenant's name, or the instance incarnation as text.
+        admitted: Amount admitted within the window; for an instance, the requests sent.
+        offered: Amount offered within the last second, including refused requests; for an
+            instance, the requests that wait.
+        expected: For an instance, requests expected before the next report, besides those waiting.
     """
 
     name: str
@@ -40,7 +42,7 @@
     expected: int = 0
 
     def plus(self, other: Usage) -> Usage:
-        """Return the sum with other usage of the same."""
+        """Return the sum with other usage of the same name."""
         return Usage(
             self.name,
             self.admitted + other.admitted,
@@ -49,7 +51,7 @@
         )
 
     def less(self, count: int) -> Usage:
-        """Return the same with so many wants fewer, those first that wait."""
+        """Return the usage with ``count`` fewer wanted requests, waiting ones subtracted first."""
         left = max(0, count - self.offered)
         return msgspec.structs.replace(
             self, offered=max(0, self.offered - count), expected=max(0, self.expected - left)
@@ -57,16 +59,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to tell."""
+        """Whether there is nothing to report."""
         return not (self.admitted or self.offered or self.expected)
 
 
 class UsageReport(msgspec.Struct, frozen=True):
-    """What a node tells, of itself or of its group.
+    """Usage of a node or of its group.
 
     Attributes:
-        usage: By name; what isn't named has none.
-        nodes: Nodes whose usage is in it.
+        usage: Usage by name; names that are missing have none.
+        nodes: Number of nodes whose usage is in it.
     """
 
     usage: tuple[Usage, ...] = ()
@@ -74,24 +76,24 @@
 
 
 class NodeProcess(msgspec.Struct, frozen=True):
-    """A process of a node: one that starts anew has forgotten what it had admitted.
+    """A process of a node; a restarted one no longer has the usage of the earlier one.
 
     Attributes:
-        name: Of the node.
-        key: Under which the process signs its messages.
+        name: Name of the node.
+        key: Key under which the process signs its messages.
     """
 
     name: str
     key: bytes
 
 
-class _Heard(msgspec.Struct):
-    """A report.
+class _ReceivedReport(msgspec.Struct):
+    """A report with the time of its receipt.
 
     Attributes:
-        report: As it was told.
-        at: When it came.
-        fresh: Whether its process may still be there: demand and nodes of others don't count.
+        report: The report.
+        at: When it was received.
+        fresh: Whether its process may still run; the demand and nodes of other reports don't count.
     """
 
     report: UsageReport
@@ -100,24 +102,24 @@
 
 
 def largest(usage: Iterable[Usage]) -> tuple[Usage, ...]:
-    """Return the usage that is told: the greatest, up to the bound."""
+    """Return the greatest usage, at most ``MAX_REPORTED_NAMES`` names."""
     ranked = sorted(
         usage, key=lambda each: max(each.admitted, each.offered, each.expected), reverse=True
     )
-    return tuple(ranked[:MAX_TOLD])
+    return tuple(ranked[:MAX_REPORTED_NAMES])
 
 
 class UsageReports:
     """The latest report of each process, and their sum."""
 
     def __init__(self, window_seconds: float) -> None:
-        """Know none.
+        """Start without any report.
 
         Args:
-            window_seconds: For so long usage counts.
+            window_seconds: Time for which usage counts.
         """
         self._window_seconds = window_seconds
-        self._heard: dict[NodeProcess, _Heard] = {}
+        self._received: dict[NodeProcess, _ReceivedReport] = {}
         self._current: dict[str, NodeProcess] = {}
         self._admitted: Counter[str] = Counter()
         self._offered: Counter[str] = Counter()
@@ -126,13 +128,13 @@
         self._swept_at = -float("inf")
 
     def take(self, process: NodeProcess, report: UsageReport, now: float) -> None:
-        """Take a report in the place of the process's last one."""
+        """Store a report in place of the process's last one."""
         self._remove(process)
         earlier = self._current.get(process.name)
-        if earlier is not None and earlier in self._heard:
-            self._age(self._heard[earlier])
+        if earlier is not None and earlier in self._received:
+            self._mark_stale(self._received[earlier])
         self._current[process.name] = process
-        self._heard[process] = _Heard(report, now)
+        self._received[process] = _ReceivedReport(report, now)
         self._nodes += report.nodes
         for each in report.usage:
             self._admitted[each.name] += each.admitted
@@ -140,8 +142,8 @@
             self._expected[each.name] += each.expected
 
     def sum(self, now: float) -> UsageReport:
-        """Return what all that are known tell together."""
-        if now - self._swept_at >= SWEEP_SECONDS:
+        """Return the sum of all stored reports."""
+        if now - self._swept_at >= SWEEP_INTERVAL_SECONDS:
             self._swept_at = now
             self._sweep(now)
         usage = (
@@ -150,42 +152,42 @@
         return UsageReport(tuple(each for each in usage if not each.is_empty), self._nodes)
 
     def usage_by_node(self, name: str) -> dict[str, Usage]:
-        """Return what each node that is heard told last of one name."""
+        """Return the latest usage of one name, by node, for the nodes with a fresh report."""
         return {
             process.name: each
-            for process, heard in self._heard.items()
-            if heard.fresh
-            for each in heard.report.usage
+            for process, received in self._received.items()
+            if received.fresh
+            for each in received.report.usage
             if each.name == name
         }
 
     def _sweep(self, now: float) -> None:
-        """Drop what is too old, and mark what is no longer fresh."""
-        for process, heard in list(self._heard.items()):
-            if now - heard.at > self._window_seconds:
+        """Drop reports that are too old, and mark those that are no longer fresh."""
+        for process, received in list(self._received.items()):
+            if now - received.at > self._window_seconds:
                 self._remove(process)
-            elif now - heard.at > FRESH_SECONDS:
-                self._age(heard)
+            elif now - received.at > MAX_FRESH_AGE_SECONDS:
+                self._mark_stale(received)
 
-    def _age(self, heard: _Heard) -> None:
-        """Count the demand and nodes of a report no longer."""
-        if not heard.fresh:
+    def _mark_stale(self, received: _ReceivedReport) -> None:
+        """Stop counting the demand and nodes of a report."""
+        if not received.fresh:
             return
-        heard.fresh = False
-        self._nodes -= heard.report.nodes
-        for each in heard.report.usage:
+        received.fresh = False
+        self._nodes -= received.report.nodes
+        for each in received.report.usage:
             self._offered[each.name] -= each.offered
             self._expected[each.name] -= each.expected
 
     def _remove(self, process: NodeProcess) -> None:
-        """Count a process's report no longer."""
-        heard = self._heard.pop(process, None)
-        if heard is None:
+        """Drop a process's report from the sum."""
+        received = self._received.pop(process, None)
+        if received is None:
             return
-        self._age(heard)
+        self._mark_stale(received)
         if self._current.get(process.name) == process:
             del self._current[process.name]
-        for each in heard.report.usage:
+        for each in received.report.usage:
             self._admitted[each.name] -= each.admitted
 
 
@@ -196,6 +198,6 @@
     for report in reports:
         nodes += report.nodes
         for each in report.usage:
-            known = usage.get(each.name)
-            usage[each.name] = each if known is None else known.plus(each)
+            existing = usage.get(each.name)
+            usage[each.name] = each if existing is None else existing.plus(each)
     return UsageReport(tuple(usage.values()), nodes)
--- a/hopstep/domain/limits/leases.py
+++ b/hopstep/domain/limits/leases.py
@@ -2,8 +2,8 @@
 
 A part is a number of millionths of a tenant's limits. The floor is not leased: every router has
 its even share of it at any time. The rest is leased by the owner for a bounded time, counted at
-the holder from when it asked and at the owner from when it was asked. So the owner never counts
-a part as free that a holder may still use, whatever messages are lost, late or repeated.
+the holder from the sending of its report and at the owner from its receipt. So the owner never
+counts a part as free that a holder may still use, also when messages are lost, late or repeated.
 """
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 from hopstep.domain.peer_message import LimitDemand
 
 POOL = PARTS_PER_LIMIT - round(PARTS_PER_LIMIT * FLOOR_RATIO)
-"""Part of each limit that is leased."""
+"""Part of each limit that is leased, in millionths."""
 
 GROWTH_DIVISOR = 4
-"""A demand that grew by more than a quarter, beyond the part held, is reported at once."""
+"""A demand that grew by more than one part in this many, beyond the part held, is reported at
+once."""
 
 
 class _Grant(msgspec.Struct, frozen=True):
-    """What a router may hold, and what it wanted."""
+    """Part that a router may hold, and the part that it wanted."""
 
     part: int
     wanted: int
@@ -32,10 +33,10 @@
 
 
 class LimitLedger:
-    """What this router, as owner, has leased out."""
+    """Leases that this router, as owner, has granted."""
 
     def __init__(self) -> None:
-        """Start with nothing leased out."""
+        """Start without any grants."""
         self._grants: dict[str, dict[str, _Grant]] = {}
 
     def grant(
@@ -52,11 +53,11 @@
 
         Args:
             now: Time in seconds.
-            router: Who asks.
-            demand: What it wants and holds.
+            router: Name of the router that asks.
+            demand: Parts that it wants and holds.
             routers: Live routers that may serve the tenant.
             lease_seconds: Length of its leases.
-            settled: Whether this router knows of all leases; if not, nobody's part grows.
+            settled: Whether this router knows all leases; if not, no router's part grows.
         """
         grants = self._grants.setdefault(demand.tenant, {})
         for name in [key for key, grant in grants.items() if grant.ends_at <= now]:
@@ -67,7 +68,7 @@
             target = min(target, demand.held)
         free = POOL - sum(grant.part for grant in others)
         part = max(0, min(target, free))
-        # Until it takes this answer, the router goes on with what it holds.
+        # Until it applies this answer, the router uses the part that it holds.
         grants[router] = _Grant(max(part, demand.held), demand.wanted, now, now + lease_seconds)
         return part
 
@@ -76,13 +77,13 @@
 
         Args:
             tenant: Name of the tenant.
-            since: Time from which on they must have reported.
+            since: Earliest time of their reports.
         """
         grants = self._grants.get(tenant, {})
         return {name for name, grant in grants.items() if grant.reported_at >= since}
 
-    def forget_lapsed(self, now: float) -> None:
-        """Forget tenants whose leases have all ended."""
+    def forget_expired(self, now: float) -> None:
+        """Forget tenants whose leases have all expired."""
         self._grants = {
             tenant: grants
             for tenant, grants in self._grants.items()
@@ -95,7 +96,7 @@
 
 
 def _target(wanted: int, wanted_by_others: int, routers: int) -> int:
-    """Return a router's part by demand; what nobody wants is split evenly."""
+    """Return a router's part by demand; the part that no router wants is split evenly."""
     total = wanted + wanted_by_others
     if total >= POOL:
         return POOL * wanted // total
@@ -108,9 +109,9 @@
     Attributes:
         part: Leased part.
         ends_at: When it ends.
-        number: Report whose answer may change it; 0 for none.
+        number: Number of the report whose answer may change it; 0 for none.
         reported_at: When that report was made.
-        wanted: What it asked for.
+        wanted: Part that the report asked for.
     """
 
     part: int = 0
@@ -124,7 +125,7 @@
     """Leases that this router holds."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without any leases."""
         self._leases: dict[str, _Lease] = {}
 
     def part(self, tenant: str, now: float) -> int:
@@ -153,7 +154,7 @@
         return lease.ends_at if lease is not None else float("-inf")
 
     def ask(self, now: float, number: int, tenant: str, wanted: int) -> LimitDemand:
-        """Note that a report is made; only the answer to the latest one counts.
+        """Record that a report is made; only the answer to the latest one counts.
 
         Args:
             now: Time in seconds.
@@ -166,7 +167,7 @@
         return LimitDemand(tenant, wanted, self.part(tenant, now))
 
     def take(self, number: int, tenant: str, part: int, seconds: float) -> None:
-        """Take an answer, unless a later report was made.
+        """Apply an answer, unless a later report was made.
 
         Args:
             number: Number of the report that is answered.
@@ -182,7 +183,7 @@
         lease.ends_at = lease.reported_at + seconds
 
     def forget_except(self, now: float, tenants: Iterable[str]) -> None:
-        """Forget leases that have ended, of tenants that aren't looked at any more."""
+        """Forget expired leases of tenants other than the given ones."""
         kept = set(tenants)
         self._leases = {
             name: lease
--- a/hopstep/domain/limits/limit_recheck.py
+++ b/hopstep/domain/limits/limit_recheck.py
@@ -1,6 +1,6 @@
-"""When a limit that was heard long ago is asked about: a request is sent to see whether it holds.
+"""Rechecks of instance limits that were announced long ago: a request shows whether they hold.
 
-An instance may lift its limit while all requests are better served by others; nobody would hear
+An instance may lift its limit while all requests are better served by others; no node would learn
 of it then. All times are of the steady clock, in seconds.
 """
 
@@ -8,54 +8,55 @@
 
 from hopstep.domain.rendezvous import hash_name
 
-DOUBT_SECONDS = 2.0
-"""A limit that no answer has named for so long may be over."""
+RECHECK_AFTER_SECONDS = 2.0
+"""Time in seconds without a response that names a limit, after which it may no longer hold."""
 
-NODES_PER_SECOND = 50.0
-"""So many nodes come to doubt a limit in a second. What one of them hears the others know half a
-second later, so that some twenty requests at the most ask the same."""
+RECHECKING_NODES_PER_SECOND = 50.0
+"""Nodes that begin to recheck a limit in each second. The result reaches the other nodes half a
+second later, so some twenty requests at the most recheck the same limit."""
 
-ASKING_SECONDS = 1.0
-"""A node asks for one request at a time, and again after so long: a permit comes within that time,
-or expires."""
+RECHECK_INTERVAL_SECONDS = 1.0
+"""Time in seconds between two rechecks of a node, one request each: a permit comes within that
+time, or expires."""
 
-HASHES = 2.0**64
+HASH_RANGE = 2.0**64
+"""Number of values of ``hash_name``."""
 
 
-def recheck_from(heard_at: float, life: str, node: str, nodes: int) -> float:
-    """Return from when on a node asks whether a limit still holds.
+def recheck_from(named_at: float, incarnation: str, node: str, nodes: int) -> float:
+    """Return the time from which a node may recheck whether a limit still holds.
 
-    Each node has a place of its own in the order in which nodes come to doubt the limit of a life.
+    The nodes begin one after the other, in an order that differs for each instance incarnation.
 
     Args:
-        heard_at: When an answer named the limit last.
-        life: The life, as ``str(InstanceLife)``.
+        named_at: When a response named the limit last.
+        incarnation: The instance incarnation as text.
         node: Name of the node.
-        nodes: How many nodes may be alive.
+        nodes: Number of nodes that may be alive.
     """
-    share = hash_name(f"{node} {life}") / HASHES
-    return heard_at + DOUBT_SECONDS + share * nodes / NODES_PER_SECOND
+    share = hash_name(f"{node} {incarnation}") / HASH_RANGE
+    return named_at + RECHECK_AFTER_SECONDS + share * nodes / RECHECKING_NODES_PER_SECOND
 
 
 class LimitRecheck:
-    """One node's doubt of one limit."""
+    """One node's rechecks of one limit."""
 
     def __init__(self) -> None:
-        """Have asked nothing."""
+        """Start without any recheck."""
         self._wanted_at = -float("inf")
-        self._asked_at = -float("inf")
+        self._rechecked_at = -float("inf")
 
     def wants_permit(self, now: float) -> bool:
-        """Return whether a permit is asked for now, and note it."""
-        if now - max(self._wanted_at, self._asked_at) < ASKING_SECONDS:
+        """Return whether to ask for a permit now, and if so record it."""
+        if now - max(self._wanted_at, self._rechecked_at) < RECHECK_INTERVAL_SECONDS:
             return False
         self._wanted_at = now
         return True
 
     def may_recheck(self, now: float) -> bool:
-        """Return whether a request may be sent to ask."""
-        return now - self._asked_at >= ASKING_SECONDS
+        """Return whether a request may be sent to recheck the limit."""
+        return now - self._rechecked_at >= RECHECK_INTERVAL_SECONDS
 
     def note_recheck(self, now: float) -> None:
-        """Note that a request is sent to ask."""
-        self._asked_at = now
+        """Record that a request is sent to recheck the limit."""
+        self._rechecked_at = now
--- a/hopstep/domain/limits/limited_sends.py
+++ b/hopstep/domain/limits/limited_sends.py
@@ -1,4 +1,4 @@
-"""What one node sends to one life of an instance that has named a limit, and holds permits for.
+"""One node's sends and permits for one incarnation of an instance that has named a limit.
 
 All times are of the steady clock, in seconds.
 """
@@ -12,15 +12,15 @@
 from hopstep.domain.limits.usage_window import UsageWindow
 
 DEMAND_SECONDS = 1.0
-"""What would have been sent there within this time foretells what will be."""
+"""Time in seconds over which the demand is counted from which future demand is forecast."""
 
-FORETOLD_SECONDS = 0.4
-"""Permits are asked for what is expected within this time: two messages to the relay. More would
-mostly expire."""
+FORECAST_SECONDS = 0.4
+"""Permits are asked for the demand expected within this time in seconds, the interval of two
+messages to the relay. More of them would mostly expire."""
 
 
 class LimitedSends:
-    """Counts this node's sends to a limited instance, and what it would send.
+    """Counts this node's sends to a limited instance, and its demand.
 
     Attributes:
         permits: Permits that this node may use.
@@ -29,7 +29,7 @@
     """
 
     def __init__(self) -> None:
-        """Have sent nothing."""
+        """Start without any sends."""
         self.permits = PermitStock()
         self.waiting = 0
         self.claimed = 0
@@ -38,11 +38,11 @@
         self._demand = UsageWindow(DEMAND_SECONDS)
 
     def free(self, now: float) -> int:
-        """Return how many permits a request that hasn't waited may use."""
+        """Return the number of permits that requests which haven't waited may use."""
         return self.permits.held(now) - self.claimed
 
     def receive(self, count: int, until: float, now: float) -> None:
-        """Take permits that a relay gives, and that may be used until a time."""
+        """Store permits that a relay gave, and that may be used until a time."""
         self.permits.put(count, until)
         self._received.add(now, count)
 
@@ -51,24 +51,24 @@
         self._sent.add(now, 1)
 
     def note_wanted(self, now: float) -> None:
-        """Count a request that is best sent there."""
+        """Count a request for which this instance is the best choice."""
         self._demand.add(now, 1)
 
     def permits_per_second(self, now: float) -> float:
-        """Return how many permits came lately."""
+        """Return the rate at which permits were received within the window."""
         return self._received.total(now) / WINDOW_SECONDS
 
     def sent(self, now: float) -> int:
-        """Return what was sent within the window."""
+        """Return the number of sends within the window."""
         return round(self._sent.total(now))
 
-    def usage(self, life: str, now: float) -> Usage:
-        """Return what other nodes are told.
+    def usage(self, incarnation: str, now: float) -> Usage:
+        """Return the usage that is reported to other nodes.
 
         Args:
-            life: The life, as ``str(InstanceLife)``.
+            incarnation: The instance incarnation as text.
             now: The time.
         """
-        foretold = self._demand.total(now) * FORETOLD_SECONDS / DEMAND_SECONDS
-        expected = math.ceil(foretold) - self.permits.held(now)
-        return Usage(life, self.sent(now), self.waiting, max(0, expected))
+        forecast = self._demand.total(now) * FORECAST_SECONDS / DEMAND_SECONDS
+        expected = math.ceil(forecast) - self.permits.held(now)
+        return Usage(incarnation, self.sent(now), self.waiting, max(0, expected))
--- a/hopstep/domain/limits/limiter.py
+++ b/hopstep/domain/limits/limiter.py
@@ -1,7 +1,7 @@
-"""Tenant limits at one router: its even floor, and what its part of the limits lets through.
+"""Tenant limits at one router: its even floor, and the requests that its part of them admits.
 
 Each router has an even share of a floor at any time; the rest is leased by demand (see
-``limit_leases``). The bound on the sum of all parts is worked out in
+``leases``). The bound on the sum of all parts is derived in
 ``docs/design/0009-limits-and-admission.md``.
 """
 
@@ -15,26 +15,26 @@
 from hopstep.domain.configuration.document import TenantLimits
 
 PARTS_PER_LIMIT = 1_000_000
-"""A whole limit; parts are counted in millionths."""
+"""Parts in a whole limit; one part is a millionth of it."""
 
 FLOOR_RATIO = 0.2
-"""Part of each limit that is split evenly, whatever the demand."""
+"""Fraction of each limit that is split evenly among the routers, whatever the demand."""
 
 BURST_SECONDS = 1.0
-"""Seconds of its rate that a router may let through at once."""
+"""Burst that a router may admit at once, in seconds of its rate."""
 
-PROMPT_REQUESTS = 3
-"""Requests in one count beyond which a rise in demand counts at once, not smoothed."""
+SMOOTHED_REQUESTS = 3
+"""Number of requests in one count up to which a rise in demand is smoothed; more count at once."""
 
 OVERSHOOT_BOUND = FLOOR_RATIO
-"""Most by which the sum of all shares may exceed a limit, as a part of the limit."""
+"""Maximum by which the sum of all shares may exceed a limit, as a fraction of the limit."""
 
-LEAST_RETRY_SECONDS = 0.1
-"""Shortest time to come back after a concurrency refusal."""
+MIN_RETRY_SECONDS = 0.1
+"""Shortest time in seconds until a retry after a concurrency refusal."""
 
 
 class TokenBucket:
-    """A rate with a burst; may go into debt when a cost is known only afterwards.
+    """A rate with a burst; its level may become negative when a cost is known only afterwards.
 
     Args:
         now: Time in seconds.
@@ -46,7 +46,7 @@
         self._refilled_at = now
 
     def set_rate(self, now: float, rate: float) -> None:
-        """Change the rate; a first rate comes with its burst."""
+        """Change the rate; the first rate starts with a full burst."""
         self._refill(now)
         if self._rate == 0.0:
             self._level = rate * BURST_SECONDS
@@ -54,9 +54,10 @@
         self._level = min(self._level, rate * BURST_SECONDS)
 
     def wait_for(self, now: float, cost: float) -> float:
-        """Return the seconds until ``cost`` may pass; 0 when it may pass now.
+        """Return the seconds until ``cost`` may be taken; 0 when it may be taken now.
 
-        A cost above the whole burst passes when the bucket is full, and leaves a debt.
+        A cost above the whole burst may be taken when the bucket is full; the level is negative
+        afterwards.
         """
         self._refill(now)
         needed = min(cost, self._rate * BURST_SECONDS)
@@ -65,17 +66,17 @@
         return (needed - self._level) / self._rate if self._rate > 0 else math.inf
 
     def take(self, now: float, cost: float) -> None:
-        """Take ``cost``; a negative cost gives back, up to the burst."""
+        """Take ``cost``; a negative cost is a refund, up to the burst."""
         self._refill(now)
         self._level = min(self._level - cost, self._rate * BURST_SECONDS)
 
     def is_full(self, now: float) -> bool:
-        """Return whether the whole burst is there."""
+        """Return whether the whole burst is available."""
         self._refill(now)
         return self._level >= self._rate * BURST_SECONDS
 
     def _refill(self, now: float) -> None:
-        """Add what the rate allows since the last call."""
+        """Add the amount that the rate allows since the last call."""
         elapsed = max(0.0, now - self._refilled_at)
         self._refilled_at = now
         self._level = min(self._level + elapsed * self._rate, self._rate * BURST_SECONDS)
@@ -94,7 +95,7 @@
 
     Attributes:
         kind: Limit that it breaks.
-        retry_after_seconds: When to come back.
+        retry_after_seconds: Time until a retry may be admitted.
     """
 
     kind: LimitKind
@@ -121,7 +122,7 @@
         self.running = 0
 
     def update(self, now: float, limits: TenantLimits, part: int) -> None:
-        """Take in the limits in force and this router's part of them.
+        """Set the limits in force and this router's part of them.
 
         Args:
             now: Time in seconds.
@@ -134,10 +135,10 @@
         self._tokens.set_rate(now, limits.tokens_per_second * self._fraction)
 
     def take_wanted(self, seconds: float, smoothing_seconds: float) -> int:
-        """Return the millionths of its limits that the tenant wants here, and count anew.
+        """Return the millionths of its limits that the tenant wants here, and reset the counts.
 
-        Demand is smoothed, so that single requests don't move parts to and fro; what goes
-        beyond a few requests at a time counts at once.
+        Demand is smoothed, so that single requests don't move parts back and forth; demand above
+        ``SMOOTHED_REQUESTS`` at a time counts at once.
 
         Args:
             seconds: Time since the last call.
@@ -152,14 +153,16 @@
         )
         self._wanted += (1.0 - math.exp(-seconds / smoothing_seconds)) * (latest - self._wanted)
         offered = max(self._offered_requests, self._peak_running + self._refused_running)
-        prompt = latest * (1.0 - PROMPT_REQUESTS / offered) if offered > PROMPT_REQUESTS else 0.0
-        self._wanted = min(1.0, max(prompt, self._wanted))
+        immediate = (
+            latest * (1.0 - SMOOTHED_REQUESTS / offered) if offered > SMOOTHED_REQUESTS else 0.0
+        )
+        self._wanted = min(1.0, max(immediate, self._wanted))
         self._offered_requests, self._offered_tokens = 0, 0.0
         self._peak_running, self._refused_running = self.running, 0
         return int(self._wanted * PARTS_PER_LIMIT)
 
     def try_admit(self, now: float, tokens: float) -> LimitRefusal | None:
-        """Let a request in, or return why not; ``leave`` must follow an entry once.
+        """Admit a request, or return why not; each admission needs one ``release``.
 
         Args:
             now: Time in seconds.
@@ -180,19 +183,19 @@
         return None
 
     def release(self, now: float, unused_tokens: float) -> None:
-        """Let a request out and give back the tokens that it didn't use."""
+        """End an admitted request and refund the tokens that it didn't use."""
         self.running -= 1
         if self._limits.tokens_per_second > 0:
             self._tokens.take(now, -unused_tokens)
 
     def is_idle(self, now: float) -> bool:
-        """Return whether nothing would be lost by forgetting it: no request, no debt."""
+        """Return whether it holds no state worth keeping: no request, and full buckets."""
         return self.running == 0 and self._requests.is_full(now) and self._tokens.is_full(now)
 
     def concurrency(self) -> int | None:
-        """Return how many requests this router lets in at once; None for no limit.
+        """Return the number of requests that this router admits at once; None for no limit.
 
-        At least one, so that a small limit doesn't shut a tenant out of a router.
+        At least one, so that a small limit doesn't exclude a tenant from a router.
         """
         if self._limits.max_concurrent_requests <= 0:
             return None
@@ -202,7 +205,7 @@
         """Return the first limit that a request breaks."""
         concurrency = self.concurrency()
         if concurrency is not None and self.running >= concurrency:
-            return LimitRefusal(LimitKind.CONCURRENCY, LEAST_RETRY_SECONDS)
+            return LimitRefusal(LimitKind.CONCURRENCY, MIN_RETRY_SECONDS)
         if self._limits.requests_per_second > 0:
             wait = self._requests.wait_for(now, 1.0)
             if wait > 0:
--- a/hopstep/domain/limits/owners.py
+++ b/hopstep/domain/limits/owners.py
@@ -1,8 +1,8 @@
-"""The routers that share the limits of some tenants: who owns them, since when, and the floor.
+"""The routers that share the limits of a group of tenants: the owner, since when, and the floor.
 
 Tenants that the same routers may serve form one group. Each tenant has one owner in it, by
-rendezvous hashing over the group's live routers. A new owner doesn't know what the earlier one
-has leased out, so a router must know for how long it has been the owner without a break.
+rendezvous hashing over the group's live routers. A new owner doesn't have the earlier one's
+leases, so a router records for how long it has been the owner without a break.
 """
 
 from __future__ import annotations
@@ -15,28 +15,30 @@
 from hopstep.domain.rendezvous import Rendezvous
 
 MAX_VIEWS = 8
-"""Earlier views that are remembered; what was in force before them counts as unknown."""
+"""Number of earlier views that are kept; the owners before them count as unknown."""
 
-MAX_GAP_SECONDS = 2.5
-"""Time between two looks at the live routers above which this router must have been paused."""
+MAX_UPDATE_GAP_SECONDS = 2.5
+"""Time in seconds between two updates of the live routers above which this router must have been
+paused."""
 
 LEASE_SECONDS = 12.0
-"""Length of a lease in a small group: longer than it takes to find an owner dead."""
+"""Length in seconds of a lease in a small group: longer than it takes to detect a dead owner."""
 
 SMALL_GROUP = 20
-"""Routers up to which leases have that length; beyond it grows as their number does, since a
-router has as many owners to report to."""
+"""Number of routers up to which a lease has ``LEASE_SECONDS``. Beyond it the length grows with the
+number, since a router has as many owners to report to."""
 
 FEW_TENANTS = 100
-"""Tenants up to which leases have that length; beyond it grows as their number does."""
+"""Number of tenants up to which a lease has ``LEASE_SECONDS``; beyond it the length grows with
+the number."""
 
 RENEWALS = 4
-"""Times that a holder asks within a lease."""
+"""Number of reports that a holder makes within a lease."""
 
 _KEY_PREFIX = "limits/"
 
 
-class _EndedView(msgspec.Struct, frozen=True):
+class _PastView(msgspec.Struct, frozen=True):
     """An earlier view of the live routers; None for an unknown one.
 
     Attributes:
@@ -51,7 +53,7 @@
 
 
 class LimitOwners:
-    """One group's present view of its live routers, and those of the recent past."""
+    """One group's current view of its live routers, and its recent views."""
 
     def __init__(self, own_name: str, now: float) -> None:
         """Start with an unknown past.
@@ -65,7 +67,7 @@
         self._expected = 1
         self._tenants = 0
         self._current = Rendezvous.unweighted(self._names)
-        self._ended: deque[_EndedView] = deque((_EndedView(now),))
+        self._past: deque[_PastView] = deque((_PastView(now),))
         self._updated_at = now
 
     @property
@@ -81,42 +83,42 @@
 
     @property
     def renewal_seconds(self) -> float:
-        """Time between two reports of a tenant, and the most by which views may differ."""
+        """Time between two reports of a tenant, and the longest time for which views may differ."""
         return self.lease_seconds / RENEWALS
 
     @property
     def learning_seconds(self) -> float:
-        """Time for which a new owner leases out only what is held already.
+        """Time for which a new owner leases only the parts that are already held.
 
-        An earlier owner may go on for as long as views differ; its last lease ends a lease later.
-        It is shorter when every router that there may be has reported to the new owner.
+        An earlier owner may grant leases while views differ, and its last one ends a lease later.
+        The time is shorter when every router that may exist has reported to the new owner.
         """
         return self.lease_seconds + self.renewal_seconds
 
     def update(
         self, now: float, live_routers: frozenset[str], expected: int, tenants: int = 0
     ) -> None:
-        """Take in which routers of the group take new work; this one may be missing.
+        """Update the routers of the group that take new work; this one may be missing.
 
-        After a pause the past counts as unknown: others may have been the owners meanwhile.
+        After a pause the past counts as unknown: others may have been the owners during it.
 
         Args:
             now: Time in seconds.
             live_routers: Their names.
-            expected: Routers that there may be, down ones included.
+            expected: Number of routers that may exist, including those that are down.
             tenants: Tenants of the group in the configuration.
         """
         self._expected, self._tenants = expected, tenants
-        if now - self._updated_at > MAX_GAP_SECONDS:
-            self._ended.clear()
-            self._ended.append(_EndedView(now))
+        if now - self._updated_at > MAX_UPDATE_GAP_SECONDS:
+            self._past.clear()
+            self._past.append(_PastView(now))
         self._updated_at = now
         if live_routers == self._names or not live_routers:
             return
-        self._ended.append(_EndedView(now, self._current, self.routers))
-        if len(self._ended) > MAX_VIEWS:
-            self._ended.popleft()
-            self._ended[0] = _EndedView(self._ended[0].ended_at)
+        self._past.append(_PastView(now, self._current, self.routers))
+        if len(self._past) > MAX_VIEWS:
+            self._past.popleft()
+            self._past[0] = _PastView(self._past[0].ended_at)
         self._names = live_routers
         self._current = self._current.updated(dict.fromkeys(live_routers, 1.0))
 
@@ -125,12 +127,12 @@
         return _owner(self._current, tenant)
 
     def owner_since(self, tenant: str) -> float:
-        """Return since when this router, now the owner, has been so without a break.
+        """Return the time since which this router has been the owner without a break.
 
         Args:
             tenant: Name of the tenant.
         """
-        for view in reversed(self._ended):
+        for view in reversed(self._past):
             if view.owners is None or _owner(view.owners, tenant) != self._own_name:
                 return view.ended_at
         return float("-inf")
@@ -138,16 +140,16 @@
     def floor_part(self, now: float) -> int:
         """Return this router's millionths of any limit, whatever the demand.
 
-        It shrinks at once and grows when the views of all routers agree; where the past is
-        unknown, all routers that there may be are reckoned with.
+        It shrinks at once and grows when the views of all routers agree; while the past is
+        unknown, all routers that may exist are counted.
         """
         since = now - self.learning_seconds
         counts = [
             view.routers if view.owners else self._expected
-            for view in self._ended
+            for view in self._past
             if view.ended_at > since
         ]
-        if now - self._updated_at > MAX_GAP_SECONDS:
+        if now - self._updated_at > MAX_UPDATE_GAP_SECONDS:
             counts.append(self._expected)
         return int(PARTS_PER_LIMIT * FLOOR_RATIO) // max(self.routers, *counts, 1)
 
--- a/hopstep/domain/limits/quota_ledger.py
+++ b/hopstep/domain/limits/quota_ledger.py
@@ -1,10 +1,10 @@
-"""One node's part in holding tenants' quotas over all nodes, by what it knows of their usage.
+"""One node's part in enforcing tenants' quotas over all nodes, from the reported usage of all.
 
 Load pattern: a tenant that sends several times its quota, at all nodes or at one; and the many that
-stay below theirs, of which none may be refused. Each node admits its share, by demand, of what is
-left of a quota as of the last telling, and counts what it has admitted itself since. So all nodes
-together admit no more than what is left, however late they hear of each other; see design 0026 for
-the bound and for what a node may do that hears nobody or has forgotten.
+stay below theirs, of which none may be refused. Each node admits its share, by demand, of the units
+left in a quota as of the last report, and counts the units that it has admitted itself since. So
+all nodes together admit no more than is left, however late the reports are; see design 0026 for
+the bound, and for nodes that receive no reports or have restarted.
 
 Times are of the steady clock, in seconds.
 """
@@ -18,38 +18,40 @@
 from hopstep.domain.limits.fleet_usage import Usage, UsageReport, largest
 from hopstep.domain.limits.usage_window import UsageWindow
 
-USED_TOLERANCE = 0.25
-"""Part of the operators' tolerance above a quota that is used; the rest is for shares that add up
-to more than one while demand moves, and for chance."""
+TOLERANCE_FRACTION = 0.25
+"""Fraction of the operators' tolerance above a quota that is used; the rest covers shares that add
+up to more than one while demand moves, and random variation."""
 
 DEMAND_SECONDS = 1.0
-"""Demand is what was offered within this time: two tellings between zones take 0.6 s."""
+"""Time in seconds over which offered units count as demand: two reports between zones take
+0.6 s."""
 
 MAX_USAGE_AGE_SECONDS = 1.5
-"""A node that was told nothing for longer takes itself for cut off."""
+"""Age in seconds of the fleet's usage above which a node regards itself as cut off."""
 
-PREFERRED_SECONDS = 1.0
-"""For so long what more nodes have told goes before what fewer have told later."""
+COVERAGE_PREFERENCE_SECONDS = 1.0
+"""Time in seconds for which a usage report covering more nodes takes precedence over a later one
+covering fewer."""
 
-TELLING_SECONDS = 0.4
-"""What this node admitted within this time before it asked is known to the one that it asked, but
-not to all others yet: two of their messages. Without counting it as unknown all nodes together
-would admit too much."""
+REPORT_PROPAGATION_SECONDS = 0.4
+"""Time in seconds, the interval of two messages. Units that this node admitted within this time
+before it asked may be in the answer, but not all other nodes have them yet. Unless they count as
+unreported, all nodes together admit too much."""
 
-REDRAW_SECONDS = 0.8
-"""A draw counts for so long: until all nodes know what was admitted by it. Drawn anew with each
-telling, many nodes would admit too much together."""
+DRAW_SECONDS = 0.8
+"""Time in seconds for which a draw counts: until all nodes have the admissions made by it. With a
+new draw for each report, many nodes together would admit too much."""
 
-LEAST_WAIT_SECONDS = 0.2
-"""Between two tellings nothing changes."""
+MIN_WAIT_SECONDS = 0.2
+"""Shortest wait in seconds; between two reports nothing changes."""
 
 
 class QuotaBounds(msgspec.Struct, frozen=True):
-    """What operators tolerate.
+    """Operators' tolerance for exceeding a quota.
 
     Attributes:
         window_seconds: Length of the window over which usage is counted.
-        overshoot: Share by which a quota may be exceeded in a window.
+        overshoot: Fraction by which a quota may be exceeded in a window.
         slack: Units by which it may be exceeded beyond that.
     """
 
@@ -62,10 +64,10 @@
     """A tenant's quota over all nodes.
 
     Attributes:
-        per_second: Units a second.
-        burst: Units on top, in any window.
+        per_second: Units per second.
+        burst: Additional units in any window.
         in_tokens: Whether units are tokens; requests otherwise.
-        plain_tokens: Tokens that a request counts which doesn't name its own.
+        plain_tokens: Tokens counted for a request that doesn't name its own number.
     """
 
     per_second: float
@@ -74,10 +76,10 @@
     plain_tokens: int = 0
 
     def cost(self, tokens: int | None) -> int:
-        """Return what a request counts.
+        """Return the units that a request counts.
 
         Args:
-            tokens: Of its prompt and longest answer; None when it doesn't say.
+            tokens: Tokens of its prompt and longest answer; None when it doesn't name them.
         """
         if not self.in_tokens:
             return 1
@@ -85,11 +87,11 @@
 
 
 class FleetUsage(msgspec.Struct, frozen=True):
-    """What a node was told of all nodes, itself included.
+    """Usage of all nodes as reported to a node, itself included.
 
     Attributes:
         report: Usage, and the number of nodes in it.
-        asked_at: What this node admitted until then is in it.
+        asked_at: Time up to which this node's own admissions are in it.
     """
 
     report: UsageReport
@@ -97,14 +99,14 @@
 
 
 class QuotaDecision(msgspec.Struct, frozen=True):
-    """Whether a request is admitted, and by what.
+    """Whether a request is admitted, and the figures behind the decision.
 
     Attributes:
-        wait_seconds: Until one like it may be admitted; 0 when this one is.
+        wait_seconds: Time until a request like it may be admitted; 0 when this one is.
         free_units: Units that this node may still admit.
-        share: This node's share of what is left.
-        used: Units that all nodes had admitted, as far as known.
-        nodes: Nodes of which that is known.
+        share: This node's share of the units left.
+        used: Units that all nodes had admitted, as reported.
+        nodes: Number of nodes in that report.
     """
 
     wait_seconds: float
@@ -115,38 +117,38 @@
 
 
 class _TenantWindows:
-    """What one tenant was admitted and offered at this node."""
+    """Units admitted and offered for one tenant at this node."""
 
     def __init__(self, window_seconds: float) -> None:
         self.admitted = UsageWindow(window_seconds)
         self.offered = UsageWindow(DEMAND_SECONDS)
-        self.drawn = 1.0
+        self.draw_value = 1.0
         self.redraw_at = -float("inf")
 
 
 class QuotaLedger:
-    """What one node has admitted, knows of the others, and may admit."""
+    """One node's admissions, the reported usage of all nodes, and the decisions from both."""
 
     def __init__(self, bounds: QuotaBounds, now: float) -> None:
-        """Know nothing.
+        """Start without any usage.
 
         Args:
-            bounds: What operators tolerate.
+            bounds: Operators' tolerance.
             now: Start of the process.
         """
         self._bounds = bounds
         self._started_at = now
         self._tenants: dict[str, _TenantWindows] = {}
         self._fleet: FleetUsage | None = None
-        self._told: dict[str, Usage] = {}
+        self._usage_by_tenant: dict[str, Usage] = {}
 
     def own_report(self, quotas: Mapping[str, TenantQuota], now: float, nodes: int) -> UsageReport:
-        """Return this node's usage, to tell others.
+        """Return this node's usage, to report to others.
 
         Args:
-            quotas: By tenant.
+            quotas: Quotas by tenant.
             now: The time.
-            nodes: Nodes that may be alive.
+            nodes: Number of nodes that may be alive.
         """
         if now - self._started_at < self._bounds.window_seconds:
             for tenant in quotas:
@@ -154,7 +156,10 @@
         usage = (
             Usage(
                 tenant,
-                round(windows.admitted.total(now) + self._forgotten(quotas[tenant], now, nodes)),
+                round(
+                    windows.admitted.total(now)
+                    + self._usage_before_start(quotas[tenant], now, nodes)
+                ),
                 round(windows.offered.total(now)),
             )
             for tenant, windows in self._tenants.items()
@@ -166,88 +171,93 @@
 
     @property
     def has_fleet_usage(self) -> bool:
-        """Whether anybody has told this process what all nodes have used."""
+        """Whether this process has received the usage of all nodes."""
         return self._fleet is not None
 
     def update_fleet_usage(self, fleet: FleetUsage) -> None:
-        """Take what all nodes have used; what fewer nodes have told doesn't replace it at once."""
-        known = self._fleet
-        fewer = known is not None and fleet.report.nodes < known.report.nodes
-        if known is not None and fewer and fleet.asked_at - known.asked_at < PREFERRED_SECONDS:
+        """Store the usage of all nodes; one that covers fewer nodes replaces it after a while."""
+        current = self._fleet
+        fewer = current is not None and fleet.report.nodes < current.report.nodes
+        if (
+            current is not None
+            and fewer
+            and fleet.asked_at - current.asked_at < COVERAGE_PREFERENCE_SECONDS
+        ):
             return
         self._fleet = fleet
-        self._told = {each.name: each for each in fleet.report.usage}
+        self._usage_by_tenant = {each.name: each for each in fleet.report.usage}
 
     def admit(
         self, tenant: str, quota: TenantQuota, cost: int, now: float, nodes: int, draw: float
     ) -> QuotaDecision:
-        """Admit and count a request, or return when to come back.
+        """Admit and count a request, or return when to retry.
 
-        Where a node's share is less than one request, it is admitted by chance in proportion: of
-        many nodes as many admit one as fit. One draw counts until the others know of it.
+        Where a node's share is less than one request, it is admitted with a probability in
+        proportion, so that of many nodes as many admit one as fit. One draw counts until the
+        other nodes have its result.
 
         Args:
-            tenant: Its name.
+            tenant: Name of the tenant.
             quota: Its quota.
-            cost: What the request counts.
+            cost: Units that the request counts.
             now: The time.
-            nodes: Nodes that may be alive.
-            draw: Drawn evenly between 0 and 1.
+            nodes: Number of nodes that may be alive.
+            draw: Random number, uniform between 0 and 1.
         """
         windows = self._windows(tenant)
         windows.offered.add(now, cost)
-        share, used, unseen, heard = self._known(tenant, quota, windows, now, nodes)
-        part = min(1.0, heard / max(1, nodes))
-        free_units = share * (self._target(quota) * part - used) - unseen
+        share, used, unreported, reporting = self._fleet_state(tenant, quota, windows, now, nodes)
+        part = min(1.0, reporting / max(1, nodes))
+        free_units = share * (self._target(quota) * part - used) - unreported
         if now >= windows.redraw_at:
-            windows.drawn, windows.redraw_at = draw, now + REDRAW_SECONDS
-        if free_units > 0 and free_units >= windows.drawn * cost:
+            windows.draw_value, windows.redraw_at = draw, now + DRAW_SECONDS
+        if free_units > 0 and free_units >= windows.draw_value * cost:
             windows.admitted.add(now, cost)
-            return QuotaDecision(0.0, free_units, share, used, heard)
+            return QuotaDecision(0.0, free_units, share, used, reporting)
         refilled = max(share * part * quota.per_second, 1e-9)
         wait = (cost - free_units) / refilled
-        wait = min(self._bounds.window_seconds, max(LEAST_WAIT_SECONDS, wait))
-        return QuotaDecision(wait, free_units, share, used, heard)
+        wait = min(self._bounds.window_seconds, max(MIN_WAIT_SECONDS, wait))
+        return QuotaDecision(wait, free_units, share, used, reporting)
 
     def refund(self, tenant: str, cost: int, now: float) -> None:
-        """Count a request no longer that was admitted and has not run."""
+        """Stop counting a request that was admitted and has not run."""
         self._windows(tenant).admitted.add(now, -cost)
 
-    def _known(
+    def _fleet_state(
         self, tenant: str, quota: TenantQuota, windows: _TenantWindows, now: float, nodes: int
     ) -> tuple[float, float, float, int]:
-        """Return this node's share, what is used, what others don't know of it, and who is heard.
+        """Return this node's share, units used, own units not yet reported, and reporting nodes.
 
-        A node that hears nobody counts for one: it has an even part of the quota for itself.
+        A node that receives no reports counts as one node: it has an even part of the quota.
         """
         fleet = self._fleet
         if fleet is None or now - fleet.asked_at > MAX_USAGE_AGE_SECONDS:
-            own = windows.admitted.total(now) + self._forgotten(quota, now, nodes)
+            own = windows.admitted.total(now) + self._usage_before_start(quota, now, nodes)
             return 1.0, own, 0.0, 1
-        told = self._told.get(tenant)
+        reported = self._usage_by_tenant.get(tenant)
         offered = windows.offered.total(now)
-        demand = max(offered, told.offered if told is not None else 0.0, 1.0)
-        used = told.admitted if told is not None else 0.0
-        unseen = windows.admitted.since(fleet.asked_at - TELLING_SECONDS)
-        return min(1.0, offered / demand), used, unseen, fleet.report.nodes
+        demand = max(offered, reported.offered if reported is not None else 0.0, 1.0)
+        used = reported.admitted if reported is not None else 0.0
+        unreported = windows.admitted.since(fleet.asked_at - REPORT_PROPAGATION_SECONDS)
+        return min(1.0, offered / demand), used, unreported, fleet.report.nodes
 
     def _target(self, quota: TenantQuota) -> float:
         """Return the units that all nodes together may admit in a window."""
         promised = quota.per_second * self._bounds.window_seconds + quota.burst
         tolerated = promised * self._bounds.overshoot + self._bounds.slack
-        return promised + USED_TOLERANCE * tolerated
+        return promised + TOLERANCE_FRACTION * tolerated
 
-    def _forgotten(self, quota: TenantQuota, now: float, nodes: int) -> float:
-        """Return what this node counts for the part of the window before it started.
+    def _usage_before_start(self, quota: TenantQuota, now: float, nodes: int) -> float:
+        """Return the units that this node assumes for the part of the window before its start.
 
-        Its part of a tenant that used its rate: if all nodes start anew at once, they admit no more
-        than the rate until a window has passed.
+        It assumes its even part of the tenant's rate: if all nodes restart at once, they admit no
+        more than the rate until a window has passed.
         """
         unknown = self._bounds.window_seconds - (now - self._started_at)
         return max(0.0, unknown) * quota.per_second / max(1, nodes)
 
     def _windows(self, tenant: str) -> _TenantWindows:
-        """Return what a tenant was admitted and offered here."""
+        """Return the windows of a tenant, created on first use."""
         windows = self._tenants.get(tenant)
         if windows is None:
             windows = self._tenants[tenant] = _TenantWindows(self._bounds.window_seconds)
--- a/hopstep/domain/limits/send_permits.py
+++ b/hopstep/domain/limits/send_permits.py
@@ -1,9 +1,9 @@
 """Permits to send requests to an instance that takes only so many from all nodes together.
 
-One relay gives permits out (``PermitAllocator``), never more than the instance's limit leaves of a
-window; the other relays hold those for their nodes, and each node those for its own requests
-(``PermitStock``). A permit that isn't used expires, so nodes that fall silent, restart or are
-suspended hold nothing for long. All times are of the steady clock, in seconds.
+One relay allocates permits (``PermitAllocator``), never more than the instance's limit leaves in a
+window; the other relays hold permits for their nodes, and each node for its own requests
+(``PermitStock``). An unused permit expires, so nodes that become unresponsive, restart or are
+suspended hold none for long. All times are of the steady clock, in seconds.
 """
 
 from __future__ import annotations
@@ -15,49 +15,51 @@
 import msgspec
 
 WINDOW_SECONDS = 4.0
-"""Span over which operators count the requests that a limited instance gets."""
+"""Time in seconds over which operators count the requests that a limited instance gets."""
 
 PERMIT_SECONDS = 1.0
-"""For so long a permit may be used, also by whom it is handed on to: five messages between nodes.
-Nodes with a request or two a second use most of theirs."""
+"""Lifetime of a permit in seconds, also when it is passed on: the interval of five messages between
+nodes. Nodes with a request or two a second use most of their permits."""
 
 REPORT_SECONDS = 0.4
-"""After so long the use of a permit is known to the relay that gave it: two messages."""
+"""Time in seconds after which the relay that gave a permit has the report of its use: the interval
+of two messages."""
 
-LEAST_EXTRA_SECONDS = 0.0
+MIN_EXTRA_SECONDS = 0.0
 MAX_EXTRA_SECONDS = 1.8
-"""Permits are given for a window that is longer by an extra between these, since a permit counts as
-given for a while after it was used or has expired. The extra is found from what was sent, and what
-is sent within ``WINDOW_SECONDS`` never exceeds what is given for the longer one."""
+"""Bounds in seconds of the extra by which the window of given permits is longer, since a permit
+counts as given for a while after it was used or has expired. The extra is adjusted by the reported
+sends, and the sends within ``WINDOW_SECONDS`` never exceed the permits for the longer window."""
 
 EXTRA_PER_SECOND = 0.25
-"""Change of the extra in a second, up while less than the limit is sent, else down."""
+"""Change of the extra in seconds per second: up while less than the limit is sent, else down."""
 
 FIRST_EXTRA_SECONDS = 0.7
-"""Extra of an allocator that hasn't seen yet what is sent."""
+"""Extra in seconds of an allocator that has no reported sends yet."""
 
-SINGLE_BELOW = 3.0
-"""Where a window has room for fewer permits, one is given at a time as it falls due: whole
+SINGLE_PERMIT_BELOW = 3.0
+"""Number of permits in a window below which they are given one at a time as each falls due: whole
 permits would exceed the limit or fall short of it by up to a half."""
 
-SINGLE_SECONDS = 0.6
-"""A single permit that wasn't used within this time is taken for one that won't be: who wanted it
-has gone elsewhere."""
+SINGLE_PERMIT_SECONDS = 0.6
+"""Time in seconds after which an unused single permit is assumed to stay unused, as the request
+that wanted it was sent to another instance."""
 
 MIN_LIMIT_PER_SECOND = 0.25
-"""Limits below this one count as this one, so that the fleet finds out when they are lifted."""
+"""Lowest limit in requests per second; lower ones count as this one, so that the nodes detect when
+they are lifted."""
 
 MIN_REPORTING_SHARE = 0.25
-"""A group of nodes that hears fewer of all nodes than this gives no permits: at most four groups
-that don't hear each other can, so they exceed a limit by four requests at most."""
+"""Fraction of all nodes whose reports a group of nodes must receive to give permits. At most four
+groups that are cut off from each other can, so they exceed a limit by four requests at most."""
 
 
 class Wants(msgspec.Struct, frozen=True):
     """Permits that nodes would use.
 
     Attributes:
-        waiting: Requests that wait for one now.
-        ahead: Requests that are expected before the next permits can come.
+        waiting: Requests that wait for a permit now.
+        ahead: Requests that are expected before the next permits can arrive.
     """
 
     waiting: int = 0
@@ -65,49 +67,49 @@
 
 
 class FleetCoverage(msgspec.Struct, frozen=True):
-    """How much of the fleet is heard.
+    """Fraction of the fleet whose reports are received.
 
     Attributes:
-        heard: Nodes whose sends are told, this one included.
-        nodes: Nodes that may be alive.
+        reporting: Number of nodes whose sends are reported, this one included.
+        nodes: Number of nodes that may be alive.
     """
 
-    heard: int
+    reporting: int
     nodes: int
 
     @property
     def share(self) -> float:
         """Part of the limit that this group of nodes may give out."""
-        share = min(1.0, self.heard / max(1, self.nodes))
+        share = min(1.0, self.reporting / max(1, self.nodes))
         return share if share >= MIN_REPORTING_SHARE else 0.0
 
 
 class PermitStock:
-    """Permits that are held, until they are used or expire."""
+    """Permits that are held until they are used or expire."""
 
     def __init__(self) -> None:
-        """Hold none."""
+        """Start without any permits."""
         self._expiries: list[float] = []
 
     def put(self, count: int, until: float) -> None:
-        """Hold more permits, which may be used until a time."""
+        """Add permits that may be used until a time."""
         for _permit in range(count):
             bisect.insort(self._expiries, until)
 
     def held(self, now: float) -> int:
-        """Return how many permits may be used now."""
+        """Return the number of permits that may be used now."""
         del self._expiries[: bisect.bisect_right(self._expiries, now)]
         return len(self._expiries)
 
     def take_one(self, now: float) -> float | None:
-        """Use the permit that expires first; return until when it may be used, None for none."""
+        """Use the permit that expires first; return its expiry time, or None without a permit."""
         return self._expiries.pop(0) if self.held(now) else None
 
     def take(self, count: int, now: float) -> list[float]:
-        """Take up to so many permits, those first that expire first; return until when each holds.
+        """Take up to ``count`` permits, the earliest expiry first; return their expiry times.
 
         Args:
-            count: Most that are taken.
+            count: Maximum number of permits.
             now: The time.
         """
         taken = max(0, min(count, self.held(now)))
@@ -117,13 +119,13 @@
 
 
 class PermitAllocator:
-    """Gives out permits for one life of an instance."""
+    """Allocates permits for one incarnation of an instance."""
 
     def __init__(self, started_at: float) -> None:
-        """Have given none.
+        """Start without any given permits.
 
         Args:
-            started_at: Start of this process: what it gave out before then it has forgotten.
+            started_at: Start of this process; permits given before it are not on record.
         """
         self._started_at = started_at
         self._given: deque[tuple[float, str, int]] = deque()
@@ -140,43 +142,45 @@
         wants: Mapping[str, Wants],
         now: float,
     ) -> dict[str, int]:
-        """Return how many permits each relay gets now.
+        """Return the number of permits that each relay gets now.
 
         Args:
-            per_second: Limit of the instance, over all nodes.
-            sent: Requests that the nodes which are heard have sent it within the window.
-            reach: How much of the fleet is heard.
+            per_second: Limit of the instance in requests per second, over all nodes.
+            sent: Requests that the reporting nodes have sent to it within the window.
+            reach: Fraction of the fleet that reports.
             wants: Permits that the nodes of each relay would use.
             now: The time.
         """
         per_second = max(per_second, MIN_LIMIT_PER_SECOND)
-        room = int(self._room(per_second, sent, reach, now))
+        free = int(self._free_permits(per_second, sent, reach, now))
         shares: dict[str, int] = {}
-        room -= self._share_out(shares, {relay: w.waiting for relay, w in wants.items()}, room)
-        self._share_out(shares, {relay: w.ahead for relay, w in wants.items()}, room)
+        free -= self._distribute(shares, {relay: w.waiting for relay, w in wants.items()}, free)
+        self._distribute(shares, {relay: w.ahead for relay, w in wants.items()}, free)
         for relay, count in shares.items():
             self._given.append((now, relay, count))
             self._note_due(per_second * reach.share, count, now)
         return shares
 
     def given_since(self, since: float) -> int:
-        """Return how many permits were given after a time."""
+        """Return the number of permits given after a time."""
         return sum(count for at, _relay, count in self._given if at > since)
 
     def given_to(self, relay: str, since: float) -> int:
-        """Return how many permits a relay was given after a time."""
+        """Return the number of permits given to a relay after a time."""
         return sum(count for at, given, count in self._given if given == relay and at > since)
 
-    def _room(self, per_second: float, sent: int, reach: FleetCoverage, now: float) -> float:
-        """Return how many permits may be given now."""
+    def _free_permits(
+        self, per_second: float, sent: int, reach: FleetCoverage, now: float
+    ) -> float:
+        """Return the number of permits that may be given now."""
         share = per_second * reach.share
-        counted = sent + self._given_lately(now) + self._forgotten(share, now)
+        counted = sent + self._outstanding(now) + self._assumed_before_start(share, now)
         self._adjust_extra(share, sent, now)
-        most = share * (WINDOW_SECONDS + self._extra_seconds)
-        if most >= SINGLE_BELOW:
-            return most - counted
-        is_due = now >= self._due_at and counted < SINGLE_BELOW
-        may_be_unused = sent + self.given_since(now - SINGLE_SECONDS) < 1
+        capacity = share * (WINDOW_SECONDS + self._extra_seconds)
+        if capacity >= SINGLE_PERMIT_BELOW:
+            return capacity - counted
+        is_due = now >= self._due_at and counted < SINGLE_PERMIT_BELOW
+        may_be_unused = sent + self.given_since(now - SINGLE_PERMIT_SECONDS) < 1
         return 1.0 if share > 0 and (is_due or may_be_unused) else 0.0
 
     def _adjust_extra(self, share: float, sent: int, now: float) -> None:
@@ -185,29 +189,29 @@
         self._adjusted_at = now
         step = step if sent <= share * WINDOW_SECONDS else -step
         extra = min(MAX_EXTRA_SECONDS, self._extra_seconds + step)
-        self._extra_seconds = max(LEAST_EXTRA_SECONDS, extra)
+        self._extra_seconds = max(MIN_EXTRA_SECONDS, extra)
 
-    def _forgotten(self, share: float, now: float) -> float:
-        """Return what this group counts for the part of the window before this process."""
+    def _assumed_before_start(self, share: float, now: float) -> float:
+        """Return the sends assumed for the part of the window before this process started."""
         return max(0.0, WINDOW_SECONDS - (now - self._started_at)) * share
 
     def _note_due(self, share: float, count: int, now: float) -> None:
-        """Note when the next permit is due where they are given one at a time."""
+        """Record when the next permit is due where they are given one at a time."""
         interval = count / share
         self._due_at = max(self._due_at, now - interval) + interval
 
-    def _given_lately(self, now: float) -> int:
-        """Return the permits that may be used still, or be used without that being known."""
+    def _outstanding(self, now: float) -> int:
+        """Return the permits that may still be used, or whose use may not be reported yet."""
         while self._given and self._given[0][0] <= now - PERMIT_SECONDS - REPORT_SECONDS:
             self._given.popleft()
         return sum(count for _at, _relay, count in self._given)
 
-    def _share_out(self, shares: dict[str, int], wanted: dict[str, int], room: int) -> int:
-        """Give relays one permit after the other, in turn, and return how many were given."""
+    def _distribute(self, shares: dict[str, int], wanted: dict[str, int], free: int) -> int:
+        """Give the relays one permit each in turn, and return the number of permits given."""
         relays = sorted(relay for relay, count in wanted.items() if count > 0)
         left = {relay: wanted[relay] for relay in relays}
         given = 0
-        while relays and given < room:
+        while relays and given < free:
             self._turn += 1
             relay = relays[self._turn % len(relays)]
             shares[relay] = shares.get(relay, 0) + 1
--- a/hopstep/domain/limits/sharing.py
+++ b/hopstep/domain/limits/sharing.py
@@ -1,8 +1,8 @@
 """One router's part in sharing tenants' limits: as a holder of leases and as an owner.
 
-Pure: takes the time, the live routers and demands, returns messages. A router reports what it
-wants of a tenant's limits to the owner, one message for all tenants of one owner, and the
-owner answers with leases.
+Without I/O: takes the time, the live routers and demands, returns messages. A router reports the
+part that it wants of each tenant's limits to the owner, one message for all tenants of one owner,
+and the owner answers with leases.
 """
 
 from __future__ import annotations
@@ -16,23 +16,24 @@
 from hopstep.domain.limits.owners import LimitOwners
 from hopstep.domain.peer_message import LimitDemand, LimitGrant, LimitReport
 
-DEMANDS_IN_REPORT = 24
-"""Tenants in one report, so that it fits into a datagram."""
+MAX_DEMANDS_IN_REPORT = 24
+"""Maximum number of tenants in one report, so that it fits into a datagram."""
 
 REPORT_RATIO = 0.5
-"""Part of its floor above which a tenant's demand at this router is worth a report."""
+"""Fraction of its floor above which a tenant's demand at this router is reported."""
 
 ALWAYS_REPORTED = 64
-"""Up to so many tenants are reported also when idle, so that they wake with an even share."""
+"""Number of tenants up to which idle ones are reported too, so that they start with an even
+share."""
 
 SOON_RATIO = 0.5
-"""Part of the renewal time after which a tenant goes along with a report that is made anyway."""
+"""Fraction of the renewal time after which a tenant is added to a report that is made anyway."""
 
-PENDING_REPORTS = 1_024
-"""Latest reports whose answers are still awaited."""
+MAX_PENDING_REPORTS = 1_024
+"""Number of latest reports whose answers are still accepted."""
 
 NOT_OWNED = -1
-"""Answered for a tenant whose limits another router owns: nothing changes."""
+"""Part in an answer for a tenant whose limits another router owns: the lease stays as it is."""
 
 
 class AddressedReport(msgspec.Struct, frozen=True):
@@ -43,14 +44,14 @@
 
 
 class _Address(msgspec.Struct, frozen=True):
-    """Owner of tenants whose leases have one length, so that they fit into one answer."""
+    """Owner and lease length of tenants that one answer can cover."""
 
     owner: str
     lease_seconds: float
 
 
 class LimitSharing:
-    """Leases, ledger and groups of one router."""
+    """Held leases, granted leases and tenant groups of one router."""
 
     def __init__(self, own_name: str, now: float) -> None:
         """Start without any lease.
@@ -64,41 +65,41 @@
         self._ledger = LimitLedger()
         self._live_routers = frozenset({own_name})
         self._known_routers = 1
-        self._everyone = LimitOwners(own_name, now)
+        self._all_routers = LimitOwners(own_name, now)
         self._groups: dict[frozenset[str], LimitOwners] = {}
         self._admitted: Mapping[str, frozenset[str]] = {}
         self._tenants: Counter[frozenset[str]] = Counter()
-        self._moved_until: dict[str, float] = {}
+        self._unsettled_until: dict[str, float] = {}
         self._number = 0
         self._latest: dict[str, tuple[int, int]] = {}
         self._pending: dict[int, tuple[str, ...]] = {}
 
     def update_routers(self, now: float, live_routers: Iterable[str], known_routers: int) -> None:
-        """Take in which routers there are.
+        """Update the routers.
 
         Args:
             now: Time in seconds.
             live_routers: Routers that take new work.
-            known_routers: Routers known, dead ones included.
+            known_routers: Number of known routers, dead ones included.
         """
         self._live_routers = frozenset(live_routers)
         self._known_routers = max(known_routers, len(self._live_routers))
         everyone = self._tenants[frozenset()]
-        self._everyone.update(now, self._live_routers, self._known_routers, everyone)
+        self._all_routers.update(now, self._live_routers, self._known_routers, everyone)
         for admitted, group in self._groups.items():
             self._update_group(now, admitted, group)
 
     def set_admitted(self, now: float, admitted: Mapping[str, frozenset[str]]) -> None:
-        """Take in which routers may serve each tenant by a new configuration.
+        """Set the routers that may serve each tenant by a new configuration.
 
         Args:
             now: Time in seconds.
-            admitted: Names by tenant; none means any router.
+            admitted: Router names by tenant; an empty set means any router.
         """
         longest = max(group.learning_seconds for group in self._all_groups())
         for tenant, routers in self._admitted.items():
             if admitted.get(tenant, routers) != routers:
-                self._moved_until[tenant] = now + longest
+                self._unsettled_until[tenant] = now + longest
         self._admitted = admitted
         self._tenants = Counter(admitted.values())
         self._groups = {
@@ -122,10 +123,10 @@
         return self._group(tenant).renewal_seconds
 
     def reports(self, now: float, wanted: dict[str, int]) -> Iterator[AddressedReport]:
-        """Give the reports that are due, most urgent first; own tenants are settled here.
+        """Yield the reports that are due, most urgent first; own tenants are answered here.
 
-        A report that is given counts as made. The caller stops when no more can be sent; what
-        is left is due at the next call.
+        A report that is yielded counts as made. The caller stops when no more can be sent; the
+        remaining reports are due at the next call.
 
         Args:
             now: Time in seconds.
@@ -144,11 +145,11 @@
     def answer(
         self, now: float, router: str, incarnation: int, report: LimitReport
     ) -> LimitGrant | None:
-        """Return the answer to a report, or None when a later one has come before it.
+        """Return the answer to a report, or None when a later one was received before it.
 
         Args:
             now: Time in seconds.
-            router: Who reports.
+            router: Name of the reporting router.
             incarnation: Its incarnation.
             report: The report.
         """
@@ -159,19 +160,19 @@
         return self._answer(now, router, report)
 
     def take(self, grant: LimitGrant) -> None:
-        """Take an owner's answer; late and repeated ones change nothing."""
+        """Apply an owner's answer; late and repeated ones change nothing."""
         tenants = self._pending.pop(grant.number, ())
         for tenant, part in zip(tenants, grant.parts, strict=False):
             if part != NOT_OWNED:
                 self._holder.take(grant.number, tenant, part, grant.lease_seconds)
 
     def _group(self, tenant: str) -> LimitOwners:
-        return self._groups.get(self._admitted.get(tenant, frozenset()), self._everyone)
+        return self._groups.get(self._admitted.get(tenant, frozenset()), self._all_routers)
 
     def _knows_all_leases(self, tenant: str, group: LimitOwners, now: float) -> bool:
-        """Return whether leases of an earlier owner have ended or are in the ledger."""
-        if self._has_moved(tenant, now):
-            # Routers that may not serve it any more hold leases and don't report them here.
+        """Return whether the leases of an earlier owner have expired or are in the ledger."""
+        if self._is_unsettled(tenant, now):
+            # Routers that may no longer serve it hold leases and don't report them here.
             return False
         since = group.owner_since(tenant)
         if now - since >= group.learning_seconds:
@@ -181,9 +182,9 @@
             return False
         return admitted <= self._ledger.reporters(tenant, since)
 
-    def _has_moved(self, tenant: str, now: float) -> bool:
-        """Return whether leases of the group that a tenant was of may go on."""
-        return now < self._moved_until.get(tenant, now)
+    def _is_unsettled(self, tenant: str, now: float) -> bool:
+        """Return whether leases of a tenant's earlier group may still be in force."""
+        return now < self._unsettled_until.get(tenant, now)
 
     def _update_group(self, now: float, admitted: frozenset[str], group: LimitOwners) -> None:
         live = self._live_routers & admitted
@@ -198,25 +199,25 @@
         }
 
     def _all_groups(self) -> Iterator[LimitOwners]:
-        yield self._everyone
+        yield self._all_routers
         yield from self._groups.values()
 
     def _forget(self, now: float, reported: Iterable[str]) -> None:
         self._holder.forget_except(now, reported)
-        self._ledger.forget_lapsed(now)
-        for tenant in [key for key in self._moved_until if not self._has_moved(key, now)]:
-            del self._moved_until[tenant]
+        self._ledger.forget_expired(now)
+        for tenant in [key for key in self._unsettled_until if not self._is_unsettled(key, now)]:
+            del self._unsettled_until[tenant]
         if len(self._latest) > 2 * self._known_routers:
             self._latest = {
                 name: order for name, order in self._latest.items() if name in self._live_routers
             }
-        for number in [old for old in self._pending if old <= self._number - PENDING_REPORTS]:
+        for number in [old for old in self._pending if old <= self._number - MAX_PENDING_REPORTS]:
             del self._pending[number]
 
     def _by_owner(self, now: float, wanted: dict[str, int]) -> dict[_Address, list[str]]:
-        """Return the tenants to report by owner; owners of leases that end first come first.
+        """Return the tenants to report by owner; owners of leases that expire first come first.
 
-        A report that is made anyway carries along what would be due soon.
+        A report that is made anyway includes the tenants that would be due soon.
         """
         due = self._due(now, wanted, 1.0)
         if not due:
@@ -233,7 +234,7 @@
         return by_owner
 
     def _due(self, now: float, wanted: dict[str, int], ratio: float) -> list[str]:
-        """Return the tenants whose last report is older than a part of the renewal time."""
+        """Return the tenants whose last report is older than ``ratio`` of the renewal time."""
         interval = {group: ratio * group.renewal_seconds for group in self._all_groups()}
         return [
             tenant
@@ -248,9 +249,9 @@
     def _in_reports(
         self, now: float, tenants: list[str], wanted: dict[str, int]
     ) -> Iterator[LimitReport]:
-        """Give reports of tenants of one owner, each made only when it is asked for."""
-        for start in range(0, len(tenants), DEMANDS_IN_REPORT):
-            batch = tenants[start : start + DEMANDS_IN_REPORT]
+        """Yield reports of tenants of one owner, each made only when it is requested."""
+        for start in range(0, len(tenants), MAX_DEMANDS_IN_REPORT):
+            batch = tenants[start : start + MAX_DEMANDS_IN_REPORT]
             self._number += 1
             demands = [self._holder.ask(now, self._number, name, wanted[name]) for name in batch]
             self._pending[self._number] = tuple(batch)
@@ -258,7 +259,7 @@
 
     def _answer(self, now: float, router: str, report: LimitReport) -> LimitGrant:
         groups = [self._group(demand.tenant) for demand in report.demands]
-        # The shortest: a holder must never reckon with more time than the ledger.
+        # The shortest: a holder's lease must never be longer than the one in the ledger.
         seconds = min((group.lease_seconds for group in groups), default=0.0)
         parts = tuple(self._part(now, router, demand) for demand in report.demands)
         return LimitGrant(report.number, seconds, parts)
--- a/tests/domain/limits/test_limits_stateful.py
+++ b/tests/domain/limits/test_limits_stateful.py
@@ -168,7 +168,7 @@
 
     def test_a_tenant_of_other_routers_gets_leases_when_theirs_have_ended(self):
         self.assertEqual(self.first_growth_after_a_move(), LEARNING)
-        with mock.patch.object(LimitSharing, "_has_moved", lambda *_: False):
+        with mock.patch.object(LimitSharing, "_is_unsettled", lambda *_: False):
             self.assertLess(self.first_growth_after_a_move(), LEARNING)
 
     def test_a_paused_router_goes_on_with_the_least_floor(self):
@@ -205,7 +205,7 @@
 
     def test_an_owner_that_wakes_leases_nothing_out_twice(self):
         self.assertLessEqual(self.largest_sum_after_a_pause(), BOUND)
-        with mock.patch("hopstep.domain.limits.owners.MAX_GAP_SECONDS", float("inf")):
+        with mock.patch("hopstep.domain.limits.owners.MAX_UPDATE_GAP_SECONDS", float("inf")):
             self.assertGreater(self.largest_sum_after_a_pause(), BOUND)
 
     def leased(self, *, lost):
