--- a/hopstep/domain/membership/__init__.py
+++ b/hopstep/domain/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership between routers: who is alive, and small values shared by gossip."""
+"""Membership of routers: liveness, and small values shared by gossip."""
 
 from hopstep.domain.membership.actions import (
     Action,
--- a/hopstep/domain/membership/actions.py
+++ b/hopstep/domain/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership protocol asks its caller to do or tells it."""
+"""Actions that the membership protocol returns to its caller: messages to send, and events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
     Attributes:
         address: UDP address of the receiver.
-        body: What to say; the caller adds the authenticated envelope.
+        body: Content; the caller adds the authenticated envelope.
     """
 
     address: str
@@ -32,10 +32,10 @@
 
 
 class RevisionReported(msgspec.Struct, frozen=True):
-    """A member told of its configuration revision: a higher one, or proof of the present one.
+    """A member reported its configuration revision: a higher one, or proof of the current one.
 
     Attributes:
-        member: Who has it.
+        member: Record of the member.
         revision: The revision.
         confirmed_age_seconds: Age of its proof that the revision was the latest; infinite
             without one.
@@ -47,7 +47,7 @@
 
 
 class Refuted(msgspec.Struct, frozen=True):
-    """Peers held this node suspect or dead; it has told them otherwise.
+    """Peers marked this node suspect or dead, and it has announced a refutation.
 
     Attributes:
         record: The node's own record after the refutation.
@@ -62,7 +62,7 @@
     Attributes:
         sender: Its name.
         incarnation: Its incarnation.
-        body: What it says.
+        body: Content.
     """
 
     sender: str
--- a/hopstep/domain/membership/anti_entropy.py
+++ b/hopstep/domain/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""When to compare with another member, and the messages of an exchange."""
+"""Schedule of comparisons with other members, and the messages of a comparison."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AntiEntropy:
-    """Compares with a random live member now and then, sooner while something differs."""
+    """Compares with a random live member at intervals, shorter ones while something differs."""
 
     def __init__(
         self, state: MembershipState, generator: random.Random, size_of: SizeOf, now: float
@@ -19,7 +19,7 @@
         """Plan the first exchange.
 
         Args:
-            state: What this member knows.
+            state: This member's state.
             generator: Source of random choices.
             size_of: Encoded bytes of a change.
             now: Current time in seconds.
@@ -37,7 +37,7 @@
         self.next_at = now + self._state.config.sync_seconds * spread
         self._begin(now)
 
-    def hasten(self, now: float) -> None:
+    def schedule_now(self, now: float) -> None:
         """Begin an exchange with the next tick."""
         self.next_at = now
 
@@ -49,8 +49,8 @@
 
     def on_request(self, request: SyncRequest, source: str, now: float) -> None:
         """Answer digests with the states that differ."""
-        room = self._state.outbox.room(now)
-        summary = self._synchronizer.summarize(request, self._state.own, room)
+        free_bytes = self._state.outbox.free_bytes(now)
+        summary = self._synchronizer.summarize(request, self._state.own, free_bytes)
         if summary is not None:
             self._state.outbox.send_values(source, summary, (), now)
 
@@ -65,11 +65,11 @@
         return changed
 
     def on_pull(self, request: PullRequest, sender: str, source: str, now: float) -> None:
-        """Send the records and entries that were asked for."""
+        """Send the requested records and entries."""
         member = self._state.table.get(sender)
         audience = member.record.labels_digest if member else 0
-        room = self._state.outbox.room(now)
-        values = self._synchronizer.answer(request, self._state.own, audience, room)
+        free_bytes = self._state.outbox.free_bytes(now)
+        values = self._synchronizer.answer(request, self._state.own, audience, free_bytes)
         if values:
             self._state.outbox.send_values(source, Push(), values, now)
 
--- a/hopstep/domain/membership/audience.py
+++ b/hopstep/domain/membership/audience.py
@@ -1,8 +1,8 @@
 """Which routers may hold an entry: those whose labels a tenant's selector admits.
 
-A router is known to its peers by the digest of its labels. The publisher tests the selector
-against the label sets that it knows and names the digests that pass, so no router needs to
-trust another one's reading of the configuration.
+A router announces the digest of its labels to its peers. The publisher tests the selector
+against the label sets that it has and names the digests that pass, so no router needs to
+trust another one's evaluation of the configuration.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from hopstep.domain.labels import Labels, LabelSelector
 
 MAX_AUDIENCE = 32
-"""Label sets in an audience; an entry for more isn't shared, as it would not pay its bytes."""
+"""Maximum number of label sets in an audience; an entry for more isn't shared, as the digests would
+take too many bytes."""
 
 
 def labels_digest(labels: Labels) -> int:
@@ -32,8 +33,8 @@
         label_sets: Labels of the routers in the configuration, and of this router.
 
     Returns:
-        Sorted digests, or None when the entry must not be shared: nobody is admitted, or too
-        many different label sets are.
+        Sorted digests, or None when the entry must not be shared: no label set is admitted, or
+        too many are.
     """
     admitted = {labels_digest(labels) for labels in label_sets if selector.matches(labels)}
     if not admitted or len(admitted) > MAX_AUDIENCE:
--- a/hopstep/domain/membership/budget.py
+++ b/hopstep/domain/membership/budget.py
@@ -35,7 +35,7 @@
         return int(self.available(now) + self._burst)
 
     def spend(self, size: int, now: float, *, essential: bool) -> bool:
-        """Take ``size`` bytes if the bucket admits them; return whether it did."""
+        """Take ``size`` bytes if the bucket allows them; return whether it did."""
         available = self.available(now)
         floor = -self._burst if essential else 0.0
         if available - size < floor:
--- a/hopstep/domain/membership/config.py
+++ b/hopstep/domain/membership/config.py
@@ -7,7 +7,7 @@
 import msgspec
 
 MIN_RETRANSMISSIONS = 6
-"""Lower bound, for members that know few others yet."""
+"""Lower bound on sends of a change, for members whose table has few others yet."""
 
 
 class MembershipConfig(msgspec.Struct, frozen=True):
@@ -15,26 +15,27 @@
 
     Attributes:
         heartbeat_seconds: Time between probes.
-        ack_timeout_seconds: Wait for a direct ack before the probe goes through others.
+        ack_timeout_seconds: Wait for a direct ack before other members are asked to probe.
         indirect_probes: Members asked to probe for this one.
         suspicion_seconds: Time from suspicion to death for up to ten members; grows with the
             decimal logarithm of their number, so that a refutation can come back in time.
         retransmit_multiplier: A change is sent this many times log2 of the members.
         reconnect_seconds: Time between probes of a dead member or an unreached seed.
         sync_seconds: Time between anti-entropy exchanges when nothing differs.
-        sync_retry_seconds: The same, after an exchange that brought something new.
-        sync_differing_seconds: The same, after one that found a difference and brought nothing.
+        sync_retry_seconds: The same, after an exchange that changed something here.
+        sync_differing_seconds: The same, after one that found a difference and changed nothing.
         dead_retention_seconds: Time after which a dead member is forgotten.
         left_retention_seconds: Time after which a member that left is forgotten.
-        push_fanout: Members that are told at once of an urgent change.
+        push_fanout: Members that get an urgent change at once.
         bytes_per_second: Budget of sent bytes, IP and UDP headers included.
         limits_ratio: Part of the budget that messages about tenants' limits may take.
-        burst_seconds: Seconds of the budget that may be sent at once, so that a herd of starts
-            or a healed partition doesn't wait for it.
+        burst_seconds: Seconds of the budget that may be sent at once, so that many simultaneous
+            starts or a healed partition aren't delayed by it.
         datagram_bytes: Largest datagram.
         overhead_bytes: Envelope and headers around a body.
         pause_seconds: A gap between two ticks above which this node must have been paused.
-        isolation_window_seconds: Silence of most members after which this node is isolated.
+        isolation_window_seconds: Time without messages from most members after which this node
+            is isolated.
         recent_past_seconds: Time for which a dead member still counts for the majority.
     """
 
--- a/hopstep/domain/membership/failure_detector.py
+++ b/hopstep/domain/membership/failure_detector.py
@@ -19,7 +19,7 @@
 
 
 class FailureDetector:
-    """Probes one member a heartbeat, and declares death after a suspicion unrefuted."""
+    """Probes one member per heartbeat, and declares it dead after an unrefuted suspicion."""
 
     def __init__(
         self,
@@ -31,8 +31,8 @@
         """Begin probing within one heartbeat.
 
         Args:
-            state: What this member knows.
-            isolation: Is told whom this node tries.
+            state: This member's state.
+            isolation: Detector that records the probed and the responding members.
             generator: Source of random order.
             now: Current time in seconds.
         """
@@ -44,7 +44,7 @@
         self._next_probe_at = now + generator.random() * state.config.heartbeat_seconds
 
     def tick(self, now: float) -> None:
-        """Go on with the probe under way, begin the next, and end suspicions."""
+        """Continue the probe under way, begin the next, and end suspicions."""
         self._probe_indirectly(now)
         if now >= self._next_probe_at:
             self._conclude(now)
@@ -59,7 +59,7 @@
         return min(self._next_probe_at, probe.started_at + self._state.config.ack_timeout_seconds)
 
     def after_pause(self, gap: float, now: float) -> None:
-        """Void what elapsed while this node was paused and could read no answers."""
+        """Discount the time for which this node was paused and could read no answers."""
         self._prober.current = None
         self._next_probe_at = now
         for name in self._suspected_until:
@@ -89,11 +89,11 @@
         self._state.outbox.send(address, Ping(number, request.target), now)
 
     def on_ack(self, ack: Ack, now: float) -> None:
-        """Note an ack, or pass it on to the member that asked for the probe."""
-        self._isolation.note_heard(ack.target, now)
+        """Record an ack, or pass it on to the member that asked for the probe."""
+        self._isolation.record_received(ack.target, now)
         member = self._state.table.get(ack.target)
         if member is not None:
-            member.heard_at = now
+            member.last_received_at = now
         relayed = self._prober.take_relayed(ack.number)
         if relayed is not None:
             passed_on = Ack(relayed.number, ack.target)
@@ -104,7 +104,7 @@
             probe.acked = True
 
     def watch_suspicion(self, name: str, now: float) -> None:
-        """Start or stop the time to death after a member's state changed."""
+        """Start or stop the suspicion timeout after a member's state changed."""
         member = self._state.table.get(name)
         if member is None or member.record.state is not MemberState.SUSPECT:
             self._suspected_until.pop(name, None)
@@ -120,7 +120,7 @@
             MemberState.ALIVE,
             MemberState.LEAVING,
         ):
-            # Tells a member that is wrongly held suspect or dead, so that it can refute.
+            # Informs a member that is wrongly marked suspect or dead, so that it can refute.
             extra.append(status_of(member))
         self._state.outbox.send(
             source, Ack(number, target), now, essential=True, audience=audience, extra=extra
@@ -134,7 +134,7 @@
         if probe is None or member is None:
             return
         extra = [status_of(member)] if member.record.state is MemberState.SUSPECT else []
-        self._isolation.note_tried(probe.target, now)
+        self._isolation.record_attempt(probe.target, now)
         self._state.outbox.send(
             member.record.peer_address,
             Ping(probe.number, probe.target),
@@ -174,7 +174,7 @@
         member = self._state.table.get(probe.target)
         if member is None or member.record.incarnation != probe.incarnation:
             return
-        if member.heard_at >= probe.started_at:
+        if member.last_received_at >= probe.started_at:
             return
         if member.record.state in (MemberState.ALIVE, MemberState.LEAVING):
             self._state.assert_state(probe.target, MemberState.SUSPECT, now)
@@ -184,7 +184,7 @@
         for name in self._isolation.census(self._state.table, self._generator, now):
             member = self._state.table.get(name)
             if member is not None:
-                self._isolation.note_tried(name, now)
+                self._isolation.record_attempt(name, now)
                 self.ping_address(name, member.record.peer_address, now)
 
     def _end_suspicions(self, now: float) -> None:
@@ -198,6 +198,6 @@
 
 
 def status_of(member: Member) -> MemberStatus:
-    """Return the state of a member as this node holds it."""
+    """Return the state of a member in this node's table."""
     record = member.record
     return MemberStatus(record.name, record.incarnation, record.version, record.state)
--- a/hopstep/domain/membership/gossip.py
+++ b/hopstep/domain/membership/gossip.py
@@ -39,7 +39,7 @@
 
 
 class _Waiting(msgspec.Struct):
-    """A change with the times that it was sent."""
+    """A change with the number of times that it was sent."""
 
     change: Change
     size: int
@@ -65,19 +65,19 @@
         return len(self._waiting)
 
     def put(self, change: Change) -> None:
-        """Queue a change to be sent anew."""
+        """Queue a change, with its number of sends at 0."""
         waiting = _Waiting(change, self._size_of(change), priority_of(change))
         self._waiting[_key(change)] = waiting
         self._order = None
 
-    def take(self, room: int, limit: int, audience: int, *, membership_only: bool) -> Gossip:
+    def take(self, free_bytes: int, limit: int, audience: int, *, membership_only: bool) -> Gossip:
         """Return the changes to carry in one message.
 
         Args:
-            room: Bytes that they may take.
-            limit: Times after which a change is dropped.
+            free_bytes: Bytes that they may take.
+            limit: Number of sends after which a change is dropped.
             audience: Labels digest of the receiver; restricted entries need a match.
-            membership_only: Leave everything but membership waiting.
+            membership_only: Send only membership changes; all others go on waiting.
         """
         if not self._waiting:
             return Gossip()
@@ -85,9 +85,9 @@
         for waiting in self._sorted():
             if membership_only and waiting.priority is not Priority.MEMBERSHIP:
                 break
-            if waiting.size <= room and _admits(waiting.change, audience):
+            if waiting.size <= free_bytes and _admits(waiting.change, audience):
                 chosen.append(waiting)
-                room -= waiting.size
+                free_bytes -= waiting.size
         self._count(chosen, limit)
         return pack(waiting.change for waiting in chosen)
 
@@ -109,7 +109,7 @@
 
 
 def pack(changes: Iterable[Change]) -> Gossip:
-    """Return changes by their types."""
+    """Return changes as gossip, grouped by their types."""
     statuses: list[MemberStatus] = []
     members: list[MemberRecord] = []
     entries: list[Entry] = []
--- a/hopstep/domain/membership/outbox.py
+++ b/hopstep/domain/membership/outbox.py
@@ -14,14 +14,14 @@
 from hopstep.domain.membership.gossip import Change, GossipQueue, SizeOf, pack
 from hopstep.domain.peer_message import UNCONFIRMED, Body, Gossip
 
-MAX_CONFIRMED_AGE = 3_600
-"""Oldest proof in seconds that peers are told of."""
+MAX_CONFIRMED_AGE_SECONDS = 3_600
+"""Oldest age in seconds of a confirmation that is reported to peers."""
 
-RESERVED = 4
-"""A message may take a quarter of the available bytes, so that many acks are left for later."""
+MESSAGE_DIVISOR = 4
+"""A message may take one part in this many of the available bytes, so that some remain for acks."""
 
-OVERDRAFT_ROOM = 200
-"""Bytes of membership changes that a heartbeat carries even when the budget is used up."""
+OVERDRAFT_BYTES = 200
+"""Bytes of membership changes that a heartbeat carries even when the budget is exhausted."""
 
 _BodyT = TypeVar("_BodyT", bound=Body)
 
@@ -47,17 +47,17 @@
         self.retransmissions = config.retransmissions(1)
         self.withheld = 0
 
-    def tell(self, action: Action) -> None:
+    def add_event(self, action: Action) -> None:
         """Add an action that isn't a message."""
         self._actions.append(action)
 
     def take_actions(self) -> list[Action]:
-        """Return the collected actions and start anew."""
+        """Return the collected actions and clear them."""
         actions = self._actions
         self._actions = []
         return actions
 
-    def room(self, now: float) -> int:
+    def free_bytes(self, now: float) -> int:
         """Return the bytes of values that one more message may carry."""
         limit = min(self._config.datagram_bytes, self._budget.available(now))
         return limit - self._config.overhead_bytes
@@ -83,7 +83,7 @@
             extra: Changes that this receiver must get.
 
         Returns:
-            False when the budget admits no message now.
+            False when the budget allows no message now.
         """
         known = list(extra)
         size = self._config.overhead_bytes + self._size_of(body)
@@ -92,12 +92,12 @@
         if not self._budget.spend(size, now, essential=essential):
             self.withheld += 1
             return False
-        room = min(self._config.datagram_bytes, available // RESERVED) - size
-        overdrawn = room <= 0
+        free_bytes = min(self._config.datagram_bytes, available // MESSAGE_DIVISOR) - size
+        overdrawn = free_bytes <= 0
         if overdrawn:
-            room = min(OVERDRAFT_ROOM, self._budget.overdraft(now))
+            free_bytes = min(OVERDRAFT_BYTES, self._budget.overdraft(now))
         gossip = self.queue.take(
-            room,
+            free_bytes,
             self.retransmissions,
             audience,
             membership_only=overdrawn,
@@ -119,7 +119,7 @@
 
     def _confirmed_age(self, now: float) -> int:
         age = now - self.confirmed_at
-        return math.ceil(age) if age <= MAX_CONFIRMED_AGE else UNCONFIRMED
+        return math.ceil(age) if age <= MAX_CONFIRMED_AGE_SECONDS else UNCONFIRMED
 
     def _charge(self, gossip: Gossip, now: float) -> None:
         carried = (*gossip.statuses, *gossip.members, *gossip.entries)
--- a/hopstep/domain/membership/prober.py
+++ b/hopstep/domain/membership/prober.py
@@ -1,4 +1,4 @@
-"""Whom to probe, in random order, and the probe that is under way."""
+"""Random order of the members to probe, and the probe that is under way."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
     Attributes:
         number: Number at the origin.
-        origin_address: Where the ack is passed on to.
+        origin_address: Address that the ack is passed on to.
         expires_at: When the origin no longer waits.
     """
 
@@ -64,7 +64,7 @@
         return self._next_number
 
     def start(self, table: MemberTable, now: float) -> Probe | None:
-        """Begin the next probe, or return None when there is nobody to probe."""
+        """Begin the next probe, or return None when there is no live member."""
         name = self._draw(table)
         member = table.get(name) if name else None
         if member is None:
@@ -75,7 +75,7 @@
         return self.current
 
     def relay(self, probe: RelayedProbe, now: float) -> int:
-        """Remember a probe for another member; return the number to ping under."""
+        """Store a probe for another member; return the number to ping with."""
         self._relayed = {
             number: relayed for number, relayed in self._relayed.items() if relayed.expires_at > now
         }
--- a/hopstep/domain/membership/protocol.py
+++ b/hopstep/domain/membership/protocol.py
@@ -1,8 +1,8 @@
 """The membership protocol of one router as a pure state machine.
 
-SWIM with incarnations, suspicion and refutation; changes are piggybacked on heartbeats and
-healed by anti-entropy. ``handle`` and ``tick`` take the time and return actions; the caller
-sends, authenticates and waits.
+SWIM with incarnations, suspicion and refutation; changes are piggybacked on heartbeats, and
+lost ones are repaired by anti-entropy. ``handle`` and ``tick`` take the time and return actions;
+the caller sends, authenticates and waits.
 """
 
 from __future__ import annotations
@@ -46,10 +46,10 @@
 )
 
 JOIN_RETRY_SECONDS = 1.0
-"""Time between probes of the seeds while no other member is known."""
+"""Time in seconds between probes of the seeds while no other member is known."""
 
-FORGET_SECONDS = 30.0
-"""Time between two looks for members that are long gone."""
+FORGET_INTERVAL_SECONDS = 30.0
+"""Time in seconds between two searches for members whose retention has passed."""
 
 
 class Membership:
@@ -89,7 +89,7 @@
         self._reconnect_at = now
         self._housekeeping_at = now
         self._forget_at = now
-        self._asked: set[str] = set()
+        self._pulled_names: set[str] = set()
 
     @property
     def own(self) -> MemberRecord:
@@ -103,7 +103,7 @@
 
     @property
     def withheld(self) -> int:
-        """Messages that the byte budget has kept back."""
+        """Number of messages that weren't sent because of the byte budget."""
         return self._state.outbox.withheld
 
     def members(self) -> list[MemberRecord]:
@@ -114,7 +114,7 @@
     def alive(self) -> list[MemberRecord]:
         """Return the records of members that take new work, the own one included, by name.
 
-        Suspects are among them: most suspicions are refuted.
+        Suspects are included, as most suspicions are refuted.
         """
         records = [
             member.record
@@ -131,7 +131,7 @@
         return list(self._state.entries.entries(kind))
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether most members of the recent past are silent (see ``isolation``)."""
+        """Return whether most members of the recent past are unresponsive (see ``isolation``)."""
         return self._isolation.is_isolated(self._state.table, now)
 
     def next_wakeup(self) -> float:
@@ -144,7 +144,7 @@
         )
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due."""
+        """Run all steps that are due."""
         self._note_time(now)
         self._detector.tick(now)
         if now >= self._reconnect_at:
@@ -155,7 +155,7 @@
         return self._take_actions(now)
 
     def handle(self, message: PeerMessage, source: str, now: float) -> list[Action]:
-        """Take an authenticated message.
+        """Handle an authenticated message.
 
         Args:
             message: Message.
@@ -183,7 +183,7 @@
         elif isinstance(body, PullRequest):
             self._anti_entropy.on_pull(body, message.sender, source, now)
         elif isinstance(body, LimitReport | LimitGrant):
-            self._state.outbox.tell(LimitMessage(message.sender, message.incarnation, body))
+            self._state.outbox.add_event(LimitMessage(message.sender, message.incarnation, body))
         if summarized or (pulled and changed):
             self._anti_entropy.after_answer(now, changed=changed)
         return self._take_actions(now)
@@ -200,19 +200,19 @@
 
         Args:
             kind: Kind of the entry.
-            subject: What it is about. Kinds whose subjects would grow without bound (hot
+            subject: Subject of the entry. Kinds whose subjects would grow without bound (hot
                 prefixes) use numbered slots, as withdrawn entries are kept.
             value: The value.
             now: Current time in seconds.
             audience: Labels digests of the routers that may hold it; empty means all.
         """
         entry = self._state.publish(kind, subject, value, audience)
-        self._state.outbox.tell(EntryChanged(entry))
+        self._state.outbox.add_event(EntryChanged(entry))
         self._spread_urgent(kind, now)
         return self._take_actions(now)
 
     def set_revision(self, revision: int, now: float) -> list[Action]:
-        """Tell some members at once, and all by heartbeats, which configuration is here."""
+        """Report the revision in force here: to some members at once, to all by heartbeats."""
         if revision <= self.own.configuration_revision:
             return []
         self._state.set_revision(revision)
@@ -226,17 +226,17 @@
 
         Args:
             name: Receiver.
-            body: What to say.
+            body: Content.
             now: Current time in seconds.
 
         Returns:
-            Whether it goes out, and what to do.
+            Whether it is sent, and the actions.
         """
         member = self._state.table.get(name)
         if member is None:
             return False, []
         size = self._size_of(body) + self._config.overhead_bytes
-        # Apart, so that an owner's own reports never keep its answers to others back.
+        # Separate budgets, so that an owner's own reports never delay its answers to others.
         budget = self._report_budget if isinstance(body, LimitReport) else self._grant_budget
         if not budget.spend(size, now, essential=False):
             return False, []
@@ -247,7 +247,7 @@
         return sent, self._take_actions(now)
 
     def confirm_revision(self, confirmed_at: float) -> None:
-        """Remember when there was proof that the revision in force is the latest.
+        """Set the time of the latest proof that the revision in force is the latest.
 
         Args:
             confirmed_at: Time of the proof by the clock of ``now``; minus infinity for none.
@@ -261,7 +261,7 @@
         return self._take_actions(now)
 
     def stop(self, now: float) -> list[Action]:
-        """Announce that this member is gone, as its last messages."""
+        """Announce that this member has left, as its last messages."""
         self._state.change_own(MemberState.LEFT)
         self._push(now)
         return self._take_actions(now)
@@ -271,15 +271,15 @@
         self._last_now = now
         if gap > self._config.pause_seconds:
             self._detector.after_pause(gap, now)
-            self._isolation.forget_tries()
-            self._anti_entropy.hasten(now)
+            self._isolation.forget_attempts()
+            self._anti_entropy.schedule_now(now)
 
     def _note_sender(self, message: PeerMessage, source: str, now: float) -> None:
-        """Note that the sender lives; pull its record if it isn't known."""
+        """Record that the sender is alive; pull its record if it isn't in the table."""
         member = self._state.table.get(message.sender)
         if member is not None and member.record.incarnation == message.incarnation:
-            member.heard_at = now
-            self._isolation.note_heard(message.sender, now)
+            member.last_received_at = now
+            self._isolation.record_received(message.sender, now)
             self._note_revision(member.record, message.body.gossip)
             return
         carried = any(record.name == message.sender for record in message.body.gossip.members)
@@ -287,10 +287,10 @@
             self._ask_for_record(message.sender, source, now)
 
     def _ask_for_record(self, name: str, source: str, now: float) -> None:
-        """Pull an unknown sender's record, once a heartbeat: two strangers ask each other."""
-        if name in self._asked:
+        """Pull an unknown sender's record, at most once a heartbeat, as it may do the same."""
+        if name in self._pulled_names:
             return
-        self._asked.add(name)
+        self._pulled_names.add(name)
         self._state.outbox.send(source, PullRequest((name,), (name,)), now)
 
     def _note_revision(self, sender: MemberRecord, gossip: Gossip) -> None:
@@ -298,7 +298,7 @@
         confirmed = gossip.confirmed_age != UNCONFIRMED
         if gossip.revision > self.own.configuration_revision or confirmed:
             age = float(gossip.confirmed_age) if confirmed else float("inf")
-            self._state.outbox.tell(RevisionReported(sender, gossip.revision, age))
+            self._state.outbox.add_event(RevisionReported(sender, gossip.revision, age))
 
     def _merge_gossip(self, gossip: Gossip, now: float, *, spread: bool) -> bool:
         changed = False
@@ -329,9 +329,9 @@
                 )
 
     def _reconnect(self, now: float) -> None:
-        """Probe a member held dead or a seed that isn't a member, to heal partitions.
+        """Probe a member marked dead or a seed that isn't a member, to end partitions.
 
-        A seed that left is probed too: it may have started anew where nobody is known to it.
+        A seed that left is probed too: it may have restarted without any other member.
         """
         alone = not self._state.table.live_names()
         wait = JOIN_RETRY_SECONDS if alone else self._config.reconnect_seconds
@@ -350,16 +350,16 @@
             self._detector.ping_address(name, address, now)
 
     def _housekeep(self, now: float) -> None:
-        """Follow isolation, and forget members that are long gone."""
+        """Update the isolation detector, and forget members whose retention has passed."""
         self._housekeeping_at = now + self._config.heartbeat_seconds
-        self._asked.clear()
+        self._pulled_names.clear()
         self._isolation.update(self._state.table, now)
         self._state.outbox.retransmissions = self._config.retransmissions(
             self._state.table.live_count()
         )
         if now < self._forget_at or self.is_isolated(now):
             return
-        self._forget_at = now + FORGET_SECONDS
+        self._forget_at = now + FORGET_INTERVAL_SECONDS
         for member in list(self._state.table):
             if now - member.changed_at >= self._retention(member.record.state):
                 self._state.table.forget(member.record.name)
--- a/hopstep/domain/membership/state.py
+++ b/hopstep/domain/membership/state.py
@@ -1,4 +1,4 @@
-"""What one member knows, and how claims of others are merged into it."""
+"""State of one member, and the merging of other members' claims into it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     def __init__(
         self, own: MemberRecord, config: MembershipConfig, size_of: SizeOf, now: float
     ) -> None:
-        """Start knowing nobody else.
+        """Start without any other member.
 
         Args:
             own: Own first record.
@@ -45,7 +45,7 @@
         self.outbox.queue.put(own)
 
     def merge_claim(self, claim: Claim, now: float, *, spread: bool) -> bool:
-        """Merge what a peer says of a member; return whether anything changed.
+        """Merge a peer's claim about a member; return whether anything changed.
 
         Args:
             claim: Record or state.
@@ -68,7 +68,7 @@
         return True
 
     def assert_state(self, name: str, state: MemberState, now: float) -> None:
-        """Claim a state of another member, over its latest record, and spread it."""
+        """Set the state of another member over its latest record, and spread the claim."""
         member = self.table.get(name)
         if member is None:
             return
@@ -77,7 +77,7 @@
         self.merge_claim(status, now, spread=True)
 
     def merge_entry(self, entry: Entry, *, spread: bool) -> bool:
-        """Take an entry of a live owner if it is newer; return whether it was."""
+        """Store an entry of a live owner if it is newer; return whether it was."""
         member = self.table.get(entry.owner)
         if member is None or not is_live(member.record.state):
             return False
@@ -87,7 +87,7 @@
             return False
         if spread:
             self.outbox.queue.put(entry)
-        self.outbox.tell(EntryChanged(entry))
+        self.outbox.add_event(EntryChanged(entry))
         return True
 
     def publish(
@@ -97,7 +97,7 @@
         value: EntryValue | None,
         audience: tuple[int, ...],
     ) -> Entry:
-        """Make a new version of an own entry and spread it."""
+        """Create a new version of an own entry and spread it."""
         self._entry_version += 1
         entry = Entry(
             self.own.name,
@@ -117,30 +117,30 @@
         self._raise_own(self.own.incarnation, self.own.version + 1, state)
 
     def set_revision(self, revision: int) -> None:
-        """Remember the configuration revision in force at this node."""
+        """Set the configuration revision in force at this node."""
         self.own = msgspec.structs.replace(self.own, configuration_revision=revision)
         self.outbox.revision = revision
 
     def _defend(self, claim: Claim) -> bool:
-        """Outbid a claim about this very member that is wrong; return whether it was."""
+        """Override a wrong claim about this member itself; return whether it was wrong."""
         own = self.own
         claimed = precedence(claim.incarnation, claim.version, claim.state)
         if claimed <= precedence(own.incarnation, own.version, own.state):
-            self._repeat_own(claim)
+            self._spread_own_again(claim)
             return False
         if claim.incarnation > own.incarnation:
-            # The clock went back over a restart: go on above the earlier incarnation.
+            # The clock went back during a restart: continue above the earlier incarnation.
             self._raise_own(claim.incarnation + 1, 0, own.state)
             self._republish()
         else:
             self._raise_own(own.incarnation, claim.version + 1, own.state)
-        self.outbox.tell(Refuted(self.own))
+        self.outbox.add_event(Refuted(self.own))
         return True
 
-    def _repeat_own(self, claim: Claim) -> None:
-        """Spread the own record again when somebody still holds an outdated one.
+    def _spread_own_again(self, claim: Claim) -> None:
+        """Spread the own record again when a peer still has an outdated one.
 
-        Everyone may have missed an earlier refutation, sent while this node was overloaded.
+        All peers may have missed an earlier refutation, sent while this node was overloaded.
         """
         own = self.own
         if claim.incarnation != own.incarnation:
@@ -149,12 +149,12 @@
             self.outbox.queue.put(MemberStatus(own.name, own.incarnation, own.version, own.state))
 
     def _raise_own(self, incarnation: int, version: int, state: MemberState) -> None:
-        started_anew = incarnation != self.own.incarnation
+        restarted = incarnation != self.own.incarnation
         self.own = msgspec.structs.replace(
             self.own, incarnation=incarnation, version=version, state=state
         )
         status = MemberStatus(self.own.name, incarnation, version, state)
-        self.outbox.queue.put(self.own if started_anew else status)
+        self.outbox.queue.put(self.own if restarted else status)
 
     def _republish(self) -> None:
         """Publish all own entries again under a new incarnation."""
@@ -168,15 +168,15 @@
         if member is None:
             return
         record = member.record
-        started_anew = previous is not None and previous.incarnation != record.incarnation
-        if started_anew or not is_live(record.state):
+        restarted = previous is not None and previous.incarnation != record.incarnation
+        if restarted or not is_live(record.state):
             self.entries.drop_owner(name)
-        if previous is None or started_anew or previous.state is not record.state:
-            self.outbox.tell(MemberChanged(record))
+        if previous is None or restarted or previous.state is not record.state:
+            self.outbox.add_event(MemberChanged(record))
 
 
 def _as_change(claim: Claim, previous: MemberRecord | None) -> Change:
-    """Return the shortest change that tells peers of a claim."""
+    """Return the shortest change that carries a claim to peers."""
     if isinstance(claim, MemberStatus):
         return claim
     if previous is None or previous.incarnation != claim.incarnation:
--- a/hopstep/domain/membership/synchronization.py
+++ b/hopstep/domain/membership/synchronization.py
@@ -1,8 +1,8 @@
 """Anti-entropy: digests of buckets, then states, then the missing values.
 
-Gossip loses changes with datagrams. Two members compare one digest for each bucket of names;
-where they differ, states and entry digests are sent, and what turns out to be missing is
-pulled. Each side pulls only, so an exchange never overwrites anything newer.
+Gossip loses changes when datagrams are lost. Two members compare one digest for each bucket of
+names; where they differ, states and entry digests are sent, and missing records and entries are
+pulled. Each side only pulls, so an exchange never overwrites anything newer.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from hopstep.domain.rumours import EntryTable
 
 NAMES_IN_PULL = 24
-"""Names in one pull: about as many as one datagram of answers can hold."""
+"""Maximum number of names in one pull: about as many as one datagram of answers can hold."""
 
 
 class Synchronizer:
-    """Makes and answers the three steps over a member table and an entry table."""
+    """Creates and answers the messages of an exchange over a member table and an entry table."""
 
     def __init__(self, table: MemberTable, entries: EntryTable, size_of: SizeOf) -> None:
         """Work over the given tables.
 
         Args:
-            table: Members but this node.
+            table: All members except this node.
             entries: Entries of all owners.
             size_of: Encoded bytes of a change.
         """
@@ -55,10 +55,12 @@
         return tuple(digests)
 
     def request(self, own: MemberRecord, generator: random.Random) -> SyncRequest:
-        """Return the first step, with a random place to start the answer at."""
+        """Return the first message, with a random bucket for the answer to start at."""
         return SyncRequest(self.digests(own), generator.randrange(BUCKETS))
 
-    def summarize(self, request: SyncRequest, own: MemberRecord, room: int) -> SyncSummary | None:
+    def summarize(
+        self, request: SyncRequest, own: MemberRecord, free_bytes: int
+    ) -> SyncSummary | None:
         """Return the states in differing buckets that fit, or None when nothing differs."""
         if len(request.digests) != BUCKETS:
             return None
@@ -69,14 +71,14 @@
             if request.digests[bucket] == ours[bucket]:
                 continue
             for status in self._bucket_statuses(bucket, own):
-                room -= self._size_of(status)
-                if room < 0:
+                free_bytes -= self._size_of(status)
+                if free_bytes < 0:
                     return SyncSummary(tuple(statuses))
                 statuses.append(status)
         return SyncSummary(tuple(statuses)) if statuses else None
 
     def missing(self, summary: SyncSummary, own: MemberRecord) -> PullRequest | None:
-        """Return what to pull after merging a summary, or None when nothing is missing."""
+        """Return the pull request after merging a summary, or None when nothing is missing."""
         members: list[str] = []
         owners: list[str] = []
         for status in summary.statuses:
@@ -93,13 +95,13 @@
         )
 
     def answer(
-        self, request: PullRequest, own: MemberRecord, audience: int, room: int
+        self, request: PullRequest, own: MemberRecord, audience: int, free_bytes: int
     ) -> list[Change]:
         """Return the pulled records and entries that fit into one datagram."""
         fitting: list[Change] = []
         for change in self._pulled(request, own, audience):
-            room -= self._size_of(change)
-            if room < 0:
+            free_bytes -= self._size_of(change)
+            if free_bytes < 0:
                 break
             fitting.append(change)
         return fitting
--- a/hopstep/domain/membership/table.py
+++ b/hopstep/domain/membership/table.py
@@ -1,4 +1,4 @@
-"""The members that one node knows, merged by incarnation, version and state."""
+"""Table of the other members at one node, merged by incarnation, version and state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hopstep.domain.rendezvous import hash_name
 
 BUCKETS = 32
-"""Buckets of member names in an anti-entropy digest."""
+"""Number of buckets of member names in an anti-entropy digest."""
 
 DIGEST_MASK = 0xFFFF_FFFF
 """Digests are 32 bits wide: a missed difference is found in the next state of the bucket."""
@@ -25,7 +25,7 @@
 
 
 def precedence(incarnation: int, version: int, state: MemberState) -> tuple[int, int, int]:
-    """Return the key by which one claim about a member beats another."""
+    """Return the key by which one claim about a member takes precedence over another."""
     return incarnation, version, _RANK[state]
 
 
@@ -40,29 +40,29 @@
 
 
 class Member:
-    """What this node knows of one member.
+    """One member in this node's table.
 
     Attributes:
         record: Latest merged record.
         changed_at: When its state last changed.
-        heard_at: When a message of its current incarnation last came from it.
+        last_received_at: When its current incarnation's last message was received.
         bucket: Digest bucket of its name.
-        planned: Whether it announced in this incarnation that it leaves.
+        planned: Whether it announced its stop in this incarnation.
     """
 
-    __slots__ = ("bucket", "changed_at", "heard_at", "planned", "record")
+    __slots__ = ("bucket", "changed_at", "last_received_at", "planned", "record")
 
     def __init__(self, record: MemberRecord, now: float) -> None:
         """Start with a first record."""
         self.record = record
         self.changed_at = now
-        self.heard_at = float("-inf")
+        self.last_received_at = float("-inf")
         self.bucket = bucket_of(record.name)
         self.planned = record.state is MemberState.LEAVING
 
 
 class MemberTable:
-    """All known members but this node itself."""
+    """All known members except this node itself."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -76,7 +76,7 @@
         return iter(self._members.values())
 
     def get(self, name: str) -> Member | None:
-        """Return a member, or None when its name isn't known."""
+        """Return a member, or None when its name isn't in the table."""
         return self._members.get(name)
 
     def live_names(self) -> list[str]:
@@ -92,7 +92,7 @@
         return len(self.live_names()) + 1
 
     def dead(self) -> list[Member]:
-        """Return the members held dead, those that left excluded."""
+        """Return the members marked dead, without those that left."""
         return [member for member in self if member.record.state is MemberState.DEAD]
 
     def digests(self) -> list[int]:
@@ -104,20 +104,20 @@
         return [member for member in self if member.bucket == bucket]
 
     def merge_record(self, record: MemberRecord, now: float) -> bool:
-        """Take a whole record if it beats what is known; return whether it did."""
+        """Store a whole record if it supersedes the current one; return whether it did."""
         member = self._members.get(record.name)
         if member is None:
             if not is_live(record.state):
                 return False
             self._replace(Member(record, now), None)
             return True
-        if not self._beats(record.incarnation, record.version, record.state, member):
+        if not self._supersedes(record.incarnation, record.version, record.state, member):
             return False
         self._update(member, record, now)
         return True
 
     def merge_status(self, status: MemberStatus, now: float) -> bool:
-        """Take a state if it beats what is known; return whether it did.
+        """Store a state if it supersedes the current one; return whether it did.
 
         A state of an unknown member or incarnation changes nothing: the whole record must be
         pulled first (``lacks_record``).
@@ -125,7 +125,7 @@
         member = self._members.get(status.name)
         if member is None or self.lacks_record(status):
             return False
-        if not self._beats(status.incarnation, status.version, status.state, member):
+        if not self._supersedes(status.incarnation, status.version, status.state, member):
             return False
         record = msgspec.structs.replace(
             member.record,
@@ -137,14 +137,14 @@
         return True
 
     def lacks_record(self, status: MemberStatus) -> bool:
-        """Return whether a live status speaks of a record that this node doesn't have."""
+        """Return whether a live status refers to a record that this node doesn't have."""
         if not is_live(status.state):
             return False
         member = self._members.get(status.name)
         return member is None or member.record.incarnation < status.incarnation
 
     def note_revision(self, name: str, revision: int) -> None:
-        """Remember the configuration revision that a member spoke of."""
+        """Store the configuration revision that a member reported."""
         member = self._members.get(name)
         if member is not None and member.record.configuration_revision < revision:
             member.record = msgspec.structs.replace(member.record, configuration_revision=revision)
@@ -152,19 +152,21 @@
     def forget(self, name: str) -> None:
         """Drop a member."""
         member = self._members.pop(name)
-        self._fold(member.record)
+        self._toggle_digest(member.record)
         self._changed()
 
-    def _beats(self, incarnation: int, version: int, state: MemberState, member: Member) -> bool:
-        known = member.record
+    def _supersedes(
+        self, incarnation: int, version: int, state: MemberState, member: Member
+    ) -> bool:
+        current = member.record
         return precedence(incarnation, version, state) > precedence(
-            known.incarnation, known.version, known.state
+            current.incarnation, current.version, current.state
         )
 
     def _update(self, member: Member, record: MemberRecord, now: float) -> None:
         previous = member.record
         if record.incarnation != previous.incarnation:
-            member.heard_at = float("-inf")
+            member.last_received_at = float("-inf")
             member.planned = False
         if record.state in (MemberState.LEAVING, MemberState.LEFT):
             member.planned = True
@@ -176,13 +178,13 @@
 
     def _replace(self, member: Member, previous: MemberRecord | None) -> None:
         if previous is not None:
-            self._fold(previous)
-        self._fold(member.record)
+            self._toggle_digest(previous)
+        self._toggle_digest(member.record)
         self._members[member.record.name] = member
         self._changed()
 
-    def _fold(self, record: MemberRecord) -> None:
-        """Add a live record to its bucket's digest, or take it out again."""
+    def _toggle_digest(self, record: MemberRecord) -> None:
+        """Add a live record to its bucket's digest, or remove it if it was added before."""
         if is_live(record.state):
             self._digests[bucket_of(record.name)] ^= record_digest(record)
 
@@ -192,5 +194,5 @@
 
 
 def record_digest(record: MemberRecord) -> int:
-    """Return the digest of a live record; suspicion doesn't count, as it is passing."""
+    """Return the digest of a live record; suspicion isn't included, as it is temporary."""
     return hash_name(f"{record.name} {record.incarnation} {record.version}") & DIGEST_MASK
--- a/tests/domain/membership/test_isolation.py
+++ b/tests/domain/membership/test_isolation.py
@@ -38,9 +38,9 @@
     for number in range(others):
         name = f"m{number}"
         if number < heard:
-            detector.note_heard(name, NOW - 1)
+            detector.record_received(name, NOW - 1)
         elif number < heard + tried:
-            detector.note_tried(name, NOW - 2)
+            detector.record_attempt(name, NOW - 2)
         elif number < heard + tried + leaving:
             table.merge_status(MemberStatus(name, 1, 1, MemberState.LEAVING), NOW - 5)
     return table, detector
@@ -66,11 +66,11 @@
         table.merge_status(MemberStatus("m3", 1, 0, MemberState.DEAD), NOW)
         later = NOW + CONFIG.recent_past_seconds + 1
         for number in range(3):
-            detector.note_heard(f"m{number}", later)
+            detector.record_received(f"m{number}", later)
         detector.update(table, later)
         # Two of four are left: without the dead one that is a majority of two out of three.
-        detector.note_heard("m0", later + 20)
-        detector.note_tried("m1", later + 10)
+        detector.record_received("m0", later + 20)
+        detector.record_attempt("m1", later + 10)
         table.merge_status(MemberStatus("m2", 1, 1, MemberState.LEFT), later)
         self.assertFalse(detector.is_isolated(table, later + 20))
 
