--- a/hopstep/domain/membership/state.py
+++ b/hopstep/domain/membership/state.py
@@ -53,7 +53,7 @@
             spread: Whether to pass a change on; false for values that were pulled.
         """
         if claim.name == self.own.name:
-            return self._defend(claim)
+            return self._refute(claim)
         known = self.table.get(claim.name)
         previous = known.record if known else None
         if isinstance(claim, MemberRecord):
@@ -121,7 +121,7 @@
         self.own = msgspec.structs.replace(self.own, configuration_revision=revision)
         self.outbox.revision = revision
 
-    def _defend(self, claim: Claim) -> bool:
+    def _refute(self, claim: Claim) -> bool:
         """Override a wrong claim about this member itself; return whether it was wrong."""
         own = self.own
         claimed = precedence(claim.incarnation, claim.version, claim.state)
--- a/tests/domain/test_membership_stateful.py
+++ b/tests/domain/test_membership_stateful.py
@@ -282,7 +282,7 @@
 
 # Wrong variant, how to switch it on, and steps under which the oracle must catch it.
 WRONG_VARIANTS = (
-    ("no refutation", patched(MembershipState, "_defend", lambda *_: False), cut_for_long),
+    ("no refutation", patched(MembershipState, "_refute", lambda *_: False), cut_for_long),
     ("state first", patched(table, "precedence", any_state_first), kill_and_restart),
     ("replays admitted", patched(ReplayWindow, "admit", lambda *_: True), inject("replayed")),
     ("tags not compared", patched(hmac, "compare_digest", lambda *_: True), inject("forged")),
