--- a/hopstep/domain/quarantine/crash_ledger.py
+++ b/hopstep/domain/quarantine/crash_ledger.py
@@ -78,7 +78,7 @@
 
     fingerprint: bytes
     crash: Crash
-    ends: int
+    terminations: int
     disregarded: bool = False
 
 
@@ -201,7 +201,7 @@
             The life whose end no longer counts; empty for none.
         """
         record = self._records.find(fingerprint)
-        if record is not None and record.ends:
+        if record is not None and record.terminations:
             life = record.counting()[0]
             record.clear(life)
             if fingerprint in self._answered:
@@ -220,7 +220,7 @@
         """
         record = self._records.find(fingerprint)
         for life in record.counting() if record is not None else ():
-            if record is not None and record.ends >= TERMINATIONS_TO_REFUSE:
+            if record is not None and record.terminations >= TERMINATIONS_TO_REFUSE:
                 record.clear(life)
 
     def clear(self, fingerprint: bytes) -> int:
@@ -228,7 +228,7 @@
         record = self._records.find(fingerprint)
         if record is None:
             return 0
-        ends = record.ends
+        ends = record.terminations
         for life in record.crashes:
             record.clear(life)
         return ends
@@ -244,10 +244,10 @@
         counted = [self._add(told.fingerprint, crash, now) for crash in uncleared]
         return [end for end in counted if end is not None]
 
-    def ends(self, fingerprint: bytes) -> int:
+    def terminations(self, fingerprint: bytes) -> int:
         """Return how many instances have ended under a request, as far as it counts."""
         record = self._records.find(fingerprint)
-        return record.ends if record is not None else 0
+        return record.terminations if record is not None else 0
 
     def refused_seconds(self, fingerprint: bytes, now: float) -> float:
         """Return for how much longer a request is kept from instances; 0 when it isn't."""
@@ -294,9 +294,9 @@
             return None
         excuses = self._answered.get(fingerprint)
         if excuses is None or not self._is_refused(fingerprint, now) or not excuses.use(now):
-            return CountedTermination(fingerprint, crash, record.ends)
+            return CountedTermination(fingerprint, crash, record.terminations)
         record.clear(crash.incarnation)
-        return CountedTermination(fingerprint, crash, record.ends, disregarded=True)
+        return CountedTermination(fingerprint, crash, record.terminations, disregarded=True)
 
     def _clear_told(self, fingerprint: bytes, life: str, now: float) -> None:
         """Let an end no longer count that another node doesn't count.
@@ -328,7 +328,7 @@
     def _is_refused(self, fingerprint: bytes, now: float) -> bool:
         """Return whether enough ends count that no other request explains."""
         record = self._records.find(fingerprint)
-        if record is None or record.ends < TERMINATIONS_TO_REFUSE:
+        if record is None or record.terminations < TERMINATIONS_TO_REFUSE:
             if record is not None:
                 record.refused_at = None
             return False
@@ -350,6 +350,6 @@
             other is not None
             and len(other.crashes) > ends
             and life not in other.cleared
-            and other.ends > ends
+            and other.terminations > ends
             for other in others
         )
--- a/hopstep/domain/quarantine/crash_records.py
+++ b/hopstep/domain/quarantine/crash_records.py
@@ -42,7 +42,7 @@
         self.refused_at: float | None = None
 
     @property
-    def ends(self) -> int:
+    def terminations(self) -> int:
         """How many ends count."""
         return len(self.counting())
 
--- a/hopstep/services/quarantine/quarantine.py
+++ b/hopstep/services/quarantine/quarantine.py
@@ -174,7 +174,7 @@
 
     def ends(self, fingerprint: bytes) -> int:
         """Return how many instances have ended under a request, as far as it counts."""
-        return self._ledger.ends(fingerprint)
+        return self._ledger.terminations(fingerprint)
 
     def wake(self) -> None:
         """Have those look again that keep or tell what is known."""
@@ -274,7 +274,10 @@
         If one more has it refused, wait for the other nodes' word as well.
         """
         looking = self._looking.get(life)
-        if looking is not None and self._ledger.ends(fingerprint) >= TERMINATIONS_TO_REFUSE - 1:
+        if (
+            looking is not None
+            and self._ledger.terminations(fingerprint) >= TERMINATIONS_TO_REFUSE - 1
+        ):
             with trio.move_on_after(SETTLING_SECONDS):
                 await looking.wait()
         await self._hear_others(fingerprint)
@@ -347,7 +350,7 @@
         for listener in self._end_listeners:
             listener(end.crash.incarnation)
         name = self.name(end.fingerprint)
-        if end.ends >= LOGGED_FROM_ENDS:
+        if end.terminations >= LOGGED_FROM_ENDS:
             emit(
                 log_events.INSTANCE_ENDED_UNDER_REQUEST,
                 fingerprint=end.fingerprint.hex(),
@@ -355,7 +358,7 @@
                 route=name.route,
                 instance=end.crash.incarnation,
                 seen_by=end.crash.node,
-                ends=end.ends,
+                ends=end.terminations,
             )
         self._review(end.fingerprint, EXPLAINED)
         for sharing in self._ledger.requests_at(end.crash.incarnation) & self._refused:
--- a/tests/domain/quarantine/test_crash_ledger.py
+++ b/tests/domain/quarantine/test_crash_ledger.py
@@ -39,7 +39,7 @@
     def test_one_end_counts_once(self):
         for _ in range(5):
             self.end_under(FATAL, "i1")
-        self.assertEqual(self.ledger.ends(FATAL), 1)
+        self.assertEqual(self.ledger.terminations(FATAL), 1)
 
     def test_a_second_life_of_an_instance_counts_anew(self):
         self.end_under(FATAL, "i1@1", "i1@2", "i1@3")
@@ -47,11 +47,11 @@
 
     def test_an_answer_that_broke_off_counts_only_when_the_instance_has_ended(self):
         self.assertIsNone(self.ledger.note_broken(FATAL, "i1", 0.0))
-        self.assertEqual(self.ledger.ends(FATAL), 0)
+        self.assertEqual(self.ledger.terminations(FATAL), 0)
         self.assertTrue(self.ledger.is_empty)
         counted = self.ledger.note_ended("i1", 0.1)
         self.assertEqual(counted[0].crash, Crash("i1", "n1"))
-        self.assertEqual(counted[0].ends, 1)
+        self.assertEqual(counted[0].terminations, 1)
 
     def test_an_answer_that_breaks_off_after_the_end_was_noticed_counts_at_once(self):
         self.ledger.note_broken(FATAL, "i1", 0.0)
@@ -141,7 +141,7 @@
     def test_answers_to_one_request_excuse_no_other(self):
         self.ledger.note_complete_response(OTHER)
         self.end_under(FATAL, "i1")
-        self.assertEqual(self.ledger.ends(FATAL), 1)
+        self.assertEqual(self.ledger.terminations(FATAL), 1)
 
     def test_a_request_that_ends_half_of_its_instances_is_refused_in_the_end(self):
         ends = 0
@@ -258,7 +258,7 @@
         self.ledger.merge(self.told("i1", "i2"), 0.0)
         self.ledger.merge(self.told("i3", cleared=("i1",)), 0.0)
         self.ledger.merge(self.told("i1"), 0.0)
-        self.assertEqual(self.ledger.ends(FATAL), 2)
+        self.assertEqual(self.ledger.terminations(FATAL), 2)
 
     def test_two_nodes_that_tell_each_other_all_agree(self):
         other = CrashLedger("n2")
@@ -270,7 +270,7 @@
         told = self.ledger.request_crashes(FATAL), other.told(FATAL)
         self.ledger.merge(told[1], 0.0)
         other.merge(told[0], 0.0)
-        self.assertEqual((self.ledger.ends(FATAL), other.ends(FATAL)), (2, 2))
+        self.assertEqual((self.ledger.terminations(FATAL), other.terminations(FATAL)), (2, 2))
 
 
 class SharedExcusesTest(unittest.TestCase):
@@ -365,4 +365,4 @@
         ledger = CrashLedger("n1")
         for number in range(3 * MAX_ENDS):
             ledger.merge(RequestCrashes(FATAL, (Crash(f"i{number}", "n"),)), 0.0)
-        self.assertEqual(ledger.ends(FATAL), MAX_ENDS)
+        self.assertEqual(ledger.terminations(FATAL), MAX_ENDS)
