--- a/hopstep/domain/quarantine/__init__.py
+++ b/hopstep/domain/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests end the instances that run them, and are kept from instances for a while."""
+"""Quarantine of requests that terminate the instances which run them."""
--- a/hopstep/domain/quarantine/crash_ledger.py
+++ b/hopstep/domain/quarantine/crash_ledger.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from hopstep.domain.quarantine.crash_records import (
-    MAX_ENDS,
+    MAX_TERMINATIONS,
     RETENTION_SECONDS,
     CrashRecords,
     drop_oldest,
@@ -25,55 +25,60 @@
 from hopstep.domain.quarantine.crashes import Crash, RequestCrashes
 
 TERMINATIONS_TO_REFUSE = 3
-"""The operators allow three retries of a request after it has ended three instances."""
+"""Number of counted terminations from which a request is refused: the operators allow three retries
+of a request after it has terminated three instances."""
 
 MAX_EXPLAINED = 1
-"""Ends of a request that others explain: callers that send two such requests side by side gain one
-end by it, and the operators allow three retries.
+"""Maximum number of a request's terminations that other requests may explain: callers that send two
+such requests at once gain one termination by it, and the operators allow three retries.
 """
 
-UNPROVED_SECONDS = 20.0
-"""An answer that broke off earlier has nothing to do with an instance's end: a silent instance is
-unlisted within some four seconds, and an unlisted one is looked for at most ten seconds.
+MAX_INTERRUPTED_AGE_SECONDS = 20.0
+"""Time in seconds: an answer that broke off earlier is unrelated to an instance's termination. An
+unresponsive instance is unlisted within some four seconds, and an unlisted one is probed for at
+most ten seconds.
 """
 
-AT_ONCE_SECONDS = 1.0
-"""An instance may answer others between the breaking off of an answer, by a client that leaves,
-and its own end under that request: it ends some tenths of a second after it has begun it. Without
-this bound requests whose clients often leave were refused after three ends of other causes.
+ABRUPT_TERMINATION_SECONDS = 1.0
+"""Time in seconds. An instance may answer other requests between the breaking off of an answer,
+because its client disconnected, and its own termination under that request: it terminates some
+tenths of a second after it has begun the request. Without this bound, requests whose clients often
+disconnect would be refused after three terminations of other causes.
 """
 
-MAX_UNPROVED_LIVES = 512
-MAX_UNPROVED_REQUESTS = 64
-"""Of each instance: as many as the largest engines work on at once."""
+MAX_INTERRUPTED_INCARNATIONS = 512
+MAX_INTERRUPTED_REQUESTS = 64
+"""Maximum number for each instance: as many as the largest engines process at once."""
 
-MAX_ENDED = 1_024
+MAX_TERMINATED_INCARNATIONS = 1_024
 
-MAX_EXCUSED = 8
-"""Ends that earlier whole answers excuse, an answer one, over all nodes: without them a popular
-request was refused for ten minutes when all instances of a service ended together. A request that
-was harmless before and ends instances now ends eleven at the most.
+MAX_DISREGARDED = 8
+"""Maximum number of terminations, over all nodes, that earlier complete responses disregard, one
+each. Otherwise a popular request would be refused for ten minutes when all instances of a service
+terminate together. A request that was harmless before and terminates instances now terminates
+eleven at the most.
 """
 
-EXCUSING_SECONDS = 2.0
-"""Ends that come later than this after the first excused one count, until the request is answered
-whole again; and what others explain later than this after a request was refused changes nothing.
-Operators count runs that are sent three seconds after the third end and more: without this bound a
-request that had been answered often would go on to end one instance after the other.
+DISREGARDING_SECONDS = 2.0
+"""Time in seconds. Terminations later than this after the first disregarded one count, until the
+next complete response; and explanations by other requests later than this after a request was
+refused change nothing. Operators count runs that are sent three seconds or more after the third
+termination. Otherwise a request that had been answered often would terminate one instance after
+the other.
 """
 
 MAX_ANSWERED = 1_024
-"""Requests whose whole answers are remembered, those answered last."""
+"""Maximum number of requests whose complete responses are kept, those answered last."""
 
 
 class CountedTermination(msgspec.Struct, frozen=True):
-    """An instance's end that was counted for a request.
+    """A termination of an instance that was counted for a request.
 
     Attributes:
-        fingerprint: Of the request.
-        crash: The end.
-        ends: How many count now.
-        excused: Whether it no longer does, since this node has seen the request answered whole.
+        fingerprint: Fingerprint of the request.
+        crash: The termination.
+        terminations: Number of terminations that count now.
+        disregarded: Whether this one doesn't count, as this node has seen a complete response.
     """
 
     fingerprint: bytes
@@ -82,13 +87,13 @@
     disregarded: bool = False
 
 
-class _Excuses(msgspec.Struct):
-    """Whole answers to a request that excuse ends to come.
+class _DisregardCredit(msgspec.Struct):
+    """Complete responses to a request, each of which disregards a later termination.
 
     Attributes:
-        left: How many this node has seen.
-        used: Ends that any node has excused since this one saw the last answer.
-        until: When they no longer do; infinite until one is used.
+        left: Number of complete responses at this node that haven't been used.
+        used: Terminations that any node has disregarded since the last complete response here.
+        until: Time until which terminations are disregarded; infinite until the first one is.
     """
 
     left: int = 0
@@ -96,31 +101,31 @@
     until: float = float("inf")
 
     def renew(self) -> None:
-        """Add a whole answer: the request ends no instances now."""
-        self.left = min(MAX_EXCUSED, self.left + 1)
+        """Add a complete response, which shows that the request terminates no instances now."""
+        self.left = min(MAX_DISREGARDED, self.left + 1)
         self.reopen()
 
     def reopen(self) -> None:
-        """Let answers excuse ends again as if none had been excused."""
+        """Allow terminations to be disregarded again as if none had been."""
         self.used = 0
         self.until = float("inf")
 
     def use(self, now: float) -> bool:
-        """Use one up; return False when none holds any longer."""
-        if not self.left or self.used >= MAX_EXCUSED or now > self.until:
+        """Use one complete response; return False when none is left or valid."""
+        if not self.left or self.used >= MAX_DISREGARDED or now > self.until:
             return False
         self.left -= 1
         self.note_used(now)
         return True
 
     def note_used(self, now: float) -> None:
-        """Note an end that is excused, here or at another node."""
+        """Record a termination that is disregarded, here or at another node."""
         self.used += 1
-        self.until = min(self.until, now + EXCUSING_SECONDS)
+        self.until = min(self.until, now + DISREGARDING_SECONDS)
 
 
-class _Unproved(msgspec.Struct):
-    """A request whose answer broke off, while it isn't known whether its instance has ended.
+class _Interruption(msgspec.Struct):
+    """A request whose answer broke off, while its instance isn't found to have terminated.
 
     Attributes:
         at: When it broke off.
@@ -132,224 +137,232 @@
 
 
 class CrashLedger:
-    """What a node knows of requests and of the ends of instances."""
+    """One node's record of requests and the terminations of instances under them."""
 
     def __init__(self, node: str) -> None:
-        """Know nothing.
+        """Start without any records.
 
         Args:
             node: Name of this node.
         """
         self._node = node
         self._records = CrashRecords()
-        self._unproved: OrderedDict[str, OrderedDict[bytes, _Unproved]] = OrderedDict()
-        self._ended: OrderedDict[str, None] = OrderedDict()
-        self._answered: OrderedDict[bytes, _Excuses] = OrderedDict()
+        self._interruptions: OrderedDict[str, OrderedDict[bytes, _Interruption]] = OrderedDict()
+        self._terminated: OrderedDict[str, None] = OrderedDict()
+        self._answered: OrderedDict[bytes, _DisregardCredit] = OrderedDict()
 
     @property
     def is_empty(self) -> bool:
-        """Whether no end of an instance counts for any request."""
+        """Whether no termination is on record for any request."""
         return not self._records
 
-    def note_broken(self, fingerprint: bytes, life: str, now: float) -> CountedTermination | None:
-        """Note an answer that broke off; return the end that counts if the instance has ended.
+    def note_broken(
+        self, fingerprint: bytes, incarnation: str, now: float
+    ) -> CountedTermination | None:
+        """Record an answer that broke off; if its instance has terminated, count and return that.
 
         Args:
-            fingerprint: Of the request.
-            life: The instance.
+            fingerprint: Fingerprint of the request.
+            incarnation: Incarnation of the instance.
             now: The time.
         """
-        if life in self._ended:
-            return self._count(fingerprint, life, now)
-        broken = self._unproved.setdefault(life, OrderedDict())
-        broken[fingerprint] = _Unproved(now)
-        broken.move_to_end(fingerprint)
-        self._unproved.move_to_end(life)
-        drop_oldest(broken, MAX_UNPROVED_REQUESTS)
-        drop_oldest(self._unproved, MAX_UNPROVED_LIVES)
+        if incarnation in self._terminated:
+            return self._count(fingerprint, incarnation, now)
+        interruptions = self._interruptions.setdefault(incarnation, OrderedDict())
+        interruptions[fingerprint] = _Interruption(now)
+        interruptions.move_to_end(fingerprint)
+        self._interruptions.move_to_end(incarnation)
+        drop_oldest(interruptions, MAX_INTERRUPTED_REQUESTS)
+        drop_oldest(self._interruptions, MAX_INTERRUPTED_INCARNATIONS)
         return None
 
-    def note_answer(self, life: str, sent_at: float) -> None:
-        """Note an instance's answer to a request that was sent at a time."""
-        for unproved in self._unproved.get(life, {}).values():
-            unproved.survived = unproved.survived or unproved.at <= sent_at
+    def note_answer(self, incarnation: str, sent_at: float) -> None:
+        """Record an instance's answer to a request that was sent at a time."""
+        for interruption in self._interruptions.get(incarnation, {}).values():
+            interruption.survived = interruption.survived or interruption.at <= sent_at
 
     def note_ended(
-        self, life: str, now: float, *, abruptly: bool = True
+        self, incarnation: str, now: float, *, abruptly: bool = True
     ) -> list[CountedTermination]:
-        """Count the end of an instance for all requests whose answers broke off there.
+        """Count the termination of an instance for all requests whose answers broke off there.
 
         Args:
-            life: The instance.
+            incarnation: Incarnation of the instance.
             now: The time.
-            abruptly: Whether it has ended just then, and not some time before.
+            abruptly: Whether it has terminated just now, and not some time before.
         """
         if abruptly:
-            self._ended[life] = None
-            drop_oldest(self._ended, MAX_ENDED)
+            self._terminated[incarnation] = None
+            drop_oldest(self._terminated, MAX_TERMINATED_INCARNATIONS)
         counted = [
-            self._count(fingerprint, life, now)
-            for fingerprint, unproved in self._unproved.pop(life, {}).items()
-            if self._may_have_ended_it(unproved, now - unproved.at, abruptly=abruptly)
+            self._count(fingerprint, incarnation, now)
+            for fingerprint, interruption in self._interruptions.pop(incarnation, {}).items()
+            if self._may_have_terminated(interruption, now - interruption.at, abruptly=abruptly)
         ]
-        return [end for end in counted if end is not None]
+        return [termination for termination in counted if termination is not None]
 
     def note_complete_response(self, fingerprint: bytes) -> str:
-        """Take back the oldest end that counts for a request, or excuse one to come.
+        """Clear the oldest counted termination of a request, or disregard one to come.
 
         Returns:
-            The life whose end no longer counts; empty for none.
+            The incarnation whose termination no longer counts; empty for none.
         """
         record = self._records.find(fingerprint)
         if record is not None and record.terminations:
-            life = record.counting()[0]
-            record.clear(life)
+            incarnation = record.counting()[0]
+            record.clear(incarnation)
             if fingerprint in self._answered:
                 self._answered[fingerprint].reopen()
-            return life
-        self._answered.setdefault(fingerprint, _Excuses()).renew()
+            return incarnation
+        self._answered.setdefault(fingerprint, _DisregardCredit()).renew()
         self._answered.move_to_end(fingerprint)
         drop_oldest(self._answered, MAX_ANSWERED)
         return ""
 
     def release(self, fingerprint: bytes) -> None:
-        """Take back the oldest ends until a request isn't refused: a try was answered whole.
+        """Clear the oldest terminations until a request isn't refused: a trial got a whole answer.
 
-        One more end has it refused again. Taking back one alone, as for any whole answer, left
-        requests refused that had five to seven ends by then.
+        One more termination makes it refused again. Clearing only one, as for any complete
+        response, would leave requests refused that have five to seven terminations by then.
         """
         record = self._records.find(fingerprint)
-        for life in record.counting() if record is not None else ():
+        for incarnation in record.counting() if record is not None else ():
             if record is not None and record.terminations >= TERMINATIONS_TO_REFUSE:
-                record.clear(life)
+                record.clear(incarnation)
 
     def clear(self, fingerprint: bytes) -> int:
-        """Take back all ends that count for a request, and return how many these were."""
+        """Clear all counted terminations of a request, and return their number."""
         record = self._records.find(fingerprint)
         if record is None:
             return 0
-        ends = record.terminations
-        for life in record.crashes:
-            record.clear(life)
-        return ends
-
-    def merge(self, told: RequestCrashes, now: float) -> list[CountedTermination]:
-        """Take what another node knows; return the ends that were new and counted."""
-        uncleared = [crash for crash in told.crashes if crash.incarnation not in told.cleared]
-        for crash in told.crashes:
-            if crash.incarnation in told.cleared:
-                self._records.add(told.fingerprint, crash, now)
-        for life in told.cleared[-MAX_ENDS:]:
-            self._clear_told(told.fingerprint, life, now)
-        counted = [self._add(told.fingerprint, crash, now) for crash in uncleared]
-        return [end for end in counted if end is not None]
+        terminations = record.terminations
+        for incarnation in record.crashes:
+            record.clear(incarnation)
+        return terminations
+
+    def merge(self, received: RequestCrashes, now: float) -> list[CountedTermination]:
+        """Merge another node's record; return the terminations that were new and counted."""
+        uncleared = [
+            crash for crash in received.crashes if crash.incarnation not in received.cleared
+        ]
+        for crash in received.crashes:
+            if crash.incarnation in received.cleared:
+                self._records.add(received.fingerprint, crash, now)
+        for incarnation in received.cleared[-MAX_TERMINATIONS:]:
+            self._clear_received(received.fingerprint, incarnation, now)
+        counted = [self._add(received.fingerprint, crash, now) for crash in uncleared]
+        return [termination for termination in counted if termination is not None]
 
     def terminations(self, fingerprint: bytes) -> int:
-        """Return how many instances have ended under a request, as far as it counts."""
+        """Return the number of terminations that count for a request."""
         record = self._records.find(fingerprint)
         return record.terminations if record is not None else 0
 
     def refused_seconds(self, fingerprint: bytes, now: float) -> float:
-        """Return for how much longer a request is kept from instances; 0 when it isn't."""
+        """Return the remaining seconds for which a request is refused; 0 when it isn't."""
         record = self._records.find(fingerprint)
         if record is None or not self._is_refused(fingerprint, now):
             return 0.0
         return max(0.0, record.last_at + RETENTION_SECONDS - now)
 
     def last_end_at(self, fingerprint: bytes) -> float:
-        """Return when the last end under a request became known; minus infinity for none."""
+        """Return when the last termination of a request was recorded; minus infinity for none."""
         record = self._records.find(fingerprint)
         return record.last_at if record is not None else -float("inf")
 
     def request_crashes(self, fingerprint: bytes) -> RequestCrashes:
-        """Return all that is known of a request."""
+        """Return the record of a request, to share with other nodes."""
         record = self._records.find(fingerprint)
         if record is None:
             return RequestCrashes(fingerprint)
         return RequestCrashes(fingerprint, tuple(record.crashes.values()), tuple(record.cleared))
 
     def repeated(self) -> list[bytes]:
-        """Return the requests under which more than one instance has ended."""
+        """Return the requests under which more than one instance has terminated."""
         return self._records.repeated()
 
-    def requests_at(self, life: str) -> frozenset[bytes]:
-        """Return the requests that were under way when an instance ended."""
-        return self._records.requests_at(life)
+    def requests_at(self, incarnation: str) -> frozenset[bytes]:
+        """Return the requests that were under way when an instance terminated."""
+        return self._records.requests_at(incarnation)
 
     def expire(self, now: float) -> None:
-        """Forget what is too old."""
+        """Drop records that are too old."""
         self._records.expire(now)
 
-    def _count(self, fingerprint: bytes, life: str, now: float) -> CountedTermination | None:
-        """Count an end that this node saw."""
-        return self._add(fingerprint, Crash(life, self._node), now)
+    def _count(self, fingerprint: bytes, incarnation: str, now: float) -> CountedTermination | None:
+        """Count a termination that this node observed."""
+        return self._add(fingerprint, Crash(incarnation, self._node), now)
 
     def _add(self, fingerprint: bytes, crash: Crash, now: float) -> CountedTermination | None:
-        """Count an end unless it is known, or too many are.
+        """Count a termination unless it is on record, or too many are.
 
-        The one that would have the request refused is excused if the request was answered before.
+        One that would make the request refused is disregarded if the request was answered before.
         """
         record = self._records.add(fingerprint, crash, now)
         if record is None or crash.incarnation in record.cleared:
             return None
-        excuses = self._answered.get(fingerprint)
-        if excuses is None or not self._is_refused(fingerprint, now) or not excuses.use(now):
+        credit = self._answered.get(fingerprint)
+        if credit is None or not self._is_refused(fingerprint, now) or not credit.use(now):
             return CountedTermination(fingerprint, crash, record.terminations)
         record.clear(crash.incarnation)
         return CountedTermination(fingerprint, crash, record.terminations, disregarded=True)
 
-    def _clear_told(self, fingerprint: bytes, life: str, now: float) -> None:
-        """Let an end no longer count that another node doesn't count.
+    def _clear_received(self, fingerprint: bytes, incarnation: str, now: float) -> None:
+        """Clear a termination that another node has cleared.
 
-        It counts among those that may be excused here too: otherwise each node could excuse as many
-        ends by its own answers.
+        It counts towards those that may be disregarded here too: otherwise each node could
+        disregard as many terminations by its own answers.
         """
         record = self._records.find(fingerprint)
-        if record is None or life in record.cleared:
+        if record is None or incarnation in record.cleared:
             return
-        record.clear(life)
-        excuses = self._answered.get(fingerprint)
-        if excuses is not None:
-            excuses.note_used(now)
+        record.clear(incarnation)
+        credit = self._answered.get(fingerprint)
+        if credit is not None:
+            credit.note_used(now)
 
     @staticmethod
-    def _may_have_ended_it(unproved: _Unproved, seconds: float, *, abruptly: bool) -> bool:
-        """Return whether an instance may have ended under a request.
+    def _may_have_terminated(
+        interruption: _Interruption, seconds: float, *, abruptly: bool
+    ) -> bool:
+        """Return whether an instance may have terminated under a request.
 
         Args:
-            unproved: The request.
-            seconds: From the breaking off of its answer until the end was noticed.
-            abruptly: Whether the instance has ended just then.
+            interruption: The request's interruption.
+            seconds: Time from the breaking off of its answer until the termination was detected.
+            abruptly: Whether the instance has terminated just then.
         """
-        if unproved.survived:
-            return abruptly and seconds <= AT_ONCE_SECONDS
-        return seconds <= UNPROVED_SECONDS
+        if interruption.survived:
+            return abruptly and seconds <= ABRUPT_TERMINATION_SECONDS
+        return seconds <= MAX_INTERRUPTED_AGE_SECONDS
 
     def _is_refused(self, fingerprint: bytes, now: float) -> bool:
-        """Return whether enough ends count that no other request explains."""
+        """Return whether enough terminations count that no other request explains."""
         record = self._records.find(fingerprint)
         if record is None or record.terminations < TERMINATIONS_TO_REFUSE:
             if record is not None:
                 record.refused_at = None
             return False
-        if record.refused_at is not None and now - record.refused_at > EXCUSING_SECONDS:
+        if record.refused_at is not None and now - record.refused_at > DISREGARDING_SECONDS:
             return True
-        lives = record.counting()
-        explained = sum(self._is_explained(life, len(lives)) for life in lives)
-        refused = len(lives) - min(explained, MAX_EXPLAINED) >= TERMINATIONS_TO_REFUSE
+        incarnations = record.counting()
+        explained = sum(
+            self._is_explained(incarnation, len(incarnations)) for incarnation in incarnations
+        )
+        refused = len(incarnations) - min(explained, MAX_EXPLAINED) >= TERMINATIONS_TO_REFUSE
         if not refused:
             record.refused_at = None
         elif record.refused_at is None:
             record.refused_at = now
         return refused
 
-    def _is_explained(self, life: str, ends: int) -> bool:
-        """Return whether a request that has ended more instances has ended this one too."""
-        others = (self._records.find(other) for other in self._records.requests_at(life))
+    def _is_explained(self, incarnation: str, count: int) -> bool:
+        """Return whether a request with more counted terminations shares this one."""
+        others = (self._records.find(other) for other in self._records.requests_at(incarnation))
         return any(
             other is not None
-            and len(other.crashes) > ends
-            and life not in other.cleared
-            and other.terminations > ends
+            and len(other.crashes) > count
+            and incarnation not in other.cleared
+            and other.terminations > count
             for other in others
         )
--- a/hopstep/domain/quarantine/crashes.py
+++ b/hopstep/domain/quarantine/crashes.py
@@ -1,4 +1,4 @@
-"""What is known, and told to other nodes, of one request under which instances have ended."""
+"""Records, shared between nodes, of a request under which instances have terminated."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RequestIdentity(msgspec.Struct, frozen=True):
-    """What requests share that ask for the same thing.
+    """Identity of a request, the same for equal requests of one caller.
 
     Attributes:
         fingerprint: Digest of caller, path and body.
@@ -22,11 +22,11 @@
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """The end of an instance while a request was under way there.
+    """The termination of an instance while a request was under way there.
 
     Attributes:
-        life: The instance and its start: one that starts again has another life.
-        node: The node that saw it.
+        incarnation: The instance and its start; a restarted instance has another incarnation.
+        node: The node that observed it.
     """
 
     incarnation: str
@@ -34,14 +34,14 @@
 
 
 class RequestCrashes(msgspec.Struct, frozen=True, array_like=True):
-    """All that a node knows of one request.
+    """One node's record of the crashes of one request.
 
-    Two of them are merged by joining both lists, so they may come late, twice and in any order.
+    Two records are merged by joining both lists, so they may arrive late, twice and in any order.
 
     Attributes:
-        fingerprint: Of the request.
-        crashes: Ends of instances.
-        cleared: Lives whose ends no longer count.
+        fingerprint: Fingerprint of the request.
+        crashes: Terminations of instances.
+        cleared: Incarnations whose terminations no longer count.
     """
 
     fingerprint: bytes
@@ -50,7 +50,7 @@
 
 
 class InstanceProbeResult(enum.StrEnum):
-    """What a look at an instance shows."""
+    """Result of a probe of an instance."""
 
     ANSWERS = "answers"
     ENDED = "ended"
@@ -58,7 +58,7 @@
 
 
 class TerminationEvidence(enum.StrEnum):
-    """What shows that an instance has ended."""
+    """Evidence that an instance has terminated."""
 
     REFUSED = "refused"
     REPLACED = "replaced"
--- a/hopstep/domain/quarantine/fingerprint.py
+++ b/hopstep/domain/quarantine/fingerprint.py
@@ -1,22 +1,24 @@
-"""Tells whether two requests of one caller ask for the same thing."""
+"""Fingerprints of requests; equal requests of one caller have the same one."""
 
 from __future__ import annotations
 
 import hashlib
 
 FINGERPRINT_BYTES = 16
-"""Of a digest: two of 10^12 different requests are equal with a chance below 10^-14."""
+"""Bytes of a digest: two of 10^12 different requests collide with a probability below 10^-14."""
 
 LENGTH_BYTES = 8
+"""Bytes of the length that precedes each hashed part."""
+
 PURPOSE = b"hopstep.request"
-"""Keeps these digests apart from others over the same bytes."""
+"""Personalization of the hash, so that these digests differ from others over the same bytes."""
 
 
 def request_fingerprint(caller: str, target: bytes, body: bytes) -> bytes:
-    """Return a digest that requests share which the caller would call the same.
+    """Return a digest that is the same for equal requests of one caller.
 
-    The caller's name salts it, so that no caller's requests can be mistaken for another's, and
-    equal prompts of two callers show as different in logs and in the store.
+    The caller's name is part of it, so that no caller's requests can be mistaken for another's, and
+    equal prompts of two callers have different digests in logs and in the store.
 
     Args:
         caller: Name of the tenant; empty where requests carry no key.
