--- a/hopstep/domain/configuration/__init__.py
+++ b/hopstep/domain/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: document, rules, log of changes, look-ups."""
+"""The operators' configuration: document, validation rules, log of changes, index."""
--- a/hopstep/domain/configuration/coverage.py
+++ b/hopstep/domain/configuration/coverage.py
@@ -1,7 +1,7 @@
-"""Selectors that match nothing: found by labels and models alone, whatever is leaving.
+"""Detection of selectors that match nothing, by labels and models alone; ``leaving`` is ignored.
 
-Engines with equal labels and models are looked at once, so that the cost follows the number of
-kinds of engines and not the number of engines.
+Engines with equal labels and models are checked once, so that the cost grows with the number of
+distinct engines and not with the number of engines.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 def coverage_problems(configuration: Configuration) -> Iterator[Problem]:
-    """Return selectors, classes and models that no listed back end can serve.
+    """Return problems for selectors, classes and models that no listed back end can serve.
 
     A model need not be served everywhere: a tenant and class are covered when some engine
-    admits them for some model. What they ask beyond it is refused when the request comes.
+    admits them for some model. Requests for other models are refused on arrival.
     """
     reduced = msgspec.structs.replace(configuration, back_ends=_distinct(configuration.back_ends))
     yield from _unserved_models(reduced)
@@ -46,7 +46,7 @@
 
 
 def _unserved_models(configuration: Configuration) -> Iterator[Problem]:
-    """Return models that no engine serves."""
+    """Return problems for models that no engine serves."""
     served = {name for back_end in configuration.back_ends for name in back_end.models}
     for index, model in enumerate(configuration.models):
         if model.name not in served:
@@ -54,7 +54,7 @@
 
 
 def _tenant_coverage(configuration: Configuration, tenant: Tenant, path: str) -> Iterator[Problem]:
-    """Return what a tenant's selector leaves empty."""
+    """Return problems for a tenant's selector that matches no engine or router."""
     if not place_tenant(configuration, tenant, BackEndKind.ENGINE).admissible:
         yield Problem(f"{path}.selector", "matches no engine")
         return
--- a/hopstep/domain/configuration/decoding.py
+++ b/hopstep/domain/configuration/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of operators' documents with errors that name the field."""
+"""Decoding of operators' documents, with errors that name the field."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def convert_document(
     value: object, document_type: type[Document], code: ErrorCode = ErrorCode.INVALID_CONFIGURATION
 ) -> Document:
-    """Turn decoded TOML, JSON or CBOR into a typed document.
+    """Convert decoded TOML, JSON or CBOR to a typed document.
 
     Args:
         value: Maps, lists and scalars.
@@ -35,7 +35,7 @@
 
 
 def _with_path(text: str, code: ErrorCode) -> ValidationError:
-    """Split the path off a decoding error."""
+    """Return a validation error with the message and path of a decoding error."""
     match = _PATH_PATTERN.match(text)
     message = match["message"] if match else text
     path = (match["path"] or "") if match else ""
--- a/hopstep/domain/configuration/encoding.py
+++ b/hopstep/domain/configuration/encoding.py
@@ -36,7 +36,7 @@
 
 
 class _EditRecord(msgspec.Struct, forbid_unknown_fields=True):
-    """An edit on the wire; ``item`` is typed by ``section``."""
+    """An edit on the wire; ``section`` determines the type of ``item``."""
 
     section: Section
     name: str
@@ -68,33 +68,33 @@
 
 
 def encode(value: msgspec.Struct) -> bytes:
-    """Return the bytes of a change, a snapshot or a transfer."""
+    """Return the encoding of a change, a snapshot or a transfer."""
     return cbor2.dumps(msgspec.to_builtins(value))
 
 
 def decode_change(data: bytes) -> Change:
-    """Return the change of some bytes.
+    """Return the change that the bytes encode.
 
     Raises:
-        ValidationError: When they hold none.
+        ValidationError: When they don't encode a change.
     """
     return _to_change(convert_document(_load(data), _ChangeRecord))
 
 
 def decode_snapshot(data: bytes) -> AcceptedConfiguration:
-    """Return the snapshot of some bytes.
+    """Return the snapshot that the bytes encode.
 
     Raises:
-        ValidationError: When they hold none.
+        ValidationError: When they don't encode a snapshot.
     """
     return convert_document(_load(data), AcceptedConfiguration)
 
 
 def decode_transfer(data: bytes) -> ConfigurationTransfer:
-    """Return the transfer of some bytes.
+    """Return the transfer that the bytes encode.
 
     Raises:
-        ValidationError: When they hold none.
+        ValidationError: When they don't encode a transfer.
     """
     record = convert_document(_load(data), _TransferRecord)
     changes = tuple(
@@ -104,7 +104,7 @@
 
 
 def _load(data: bytes) -> object:
-    """Return the maps and lists of some bytes."""
+    """Return the decoded maps and lists."""
     try:
         value: object = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, RecursionError):
--- a/hopstep/domain/configuration/index.py
+++ b/hopstep/domain/configuration/index.py
@@ -1,7 +1,7 @@
-"""Look-ups over one configuration that cost the same however many items it has.
+"""Look-ups in one configuration, at a cost independent of its number of items.
 
 Most back ends share their labels with others, so a selector is matched against each distinct set
-of labels once, and the result is remembered for as long as the configuration is in force.
+of labels once, and the result is cached while the configuration is in force.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class _Named(Protocol):
-    """An item of the configuration."""
+    """An item of the configuration that has a name."""
 
     @property
     def name(self) -> str:
@@ -36,8 +36,8 @@
 class ConfigurationIndex:
     """Items by name, and placements by selector; agrees with ``hopstep.domain.placement``.
 
-    Results are remembered by selector, class and model, so their number is bounded by the
-    configuration; a new configuration starts with a new index.
+    Results are cached by selector, class and model, so their number is bounded by the
+    configuration; a new configuration gets a new index.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -74,7 +74,7 @@
         return engines
 
     def tenant_back_ends(self, tenant: Tenant, kind: BackEndKind) -> tuple[BackEnd, ...]:
-        """Return the back ends of a kind that may hold the tenant's data, in order."""
+        """Return a tenant's admissible back ends of a kind, in configuration order."""
         key = (tenant.selector.requirements(), kind)
         placed = self._placed.get(key)
         if placed is None:
--- a/hopstep/domain/configuration/log.py
+++ b/hopstep/domain/configuration/log.py
@@ -1,7 +1,7 @@
 """The accepted configuration as an append-only log of changes.
 
 A change is a set of whole-item replacements on a base revision. Two changes conflict when they
-edit the same item to different ends; others are rebased, each on the other.
+set the same item to different values; otherwise the later one is rebased on the earlier one.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     """Replacement of one whole item.
 
     Attributes:
-        section: Section.
+        section: Section of the item.
         name: Name of the item.
         item: New item; None removes it (or resets routing to its defaults).
     """
@@ -60,10 +60,10 @@
     """A change as an operator submits it and as the log holds it.
 
     Attributes:
-        change_id: Identity; a change is accepted once at most under it.
-        author: Who made it.
-        note: Why.
-        base_revision: Revision that the edits were made on; in the log always the one before.
+        change_id: Identity; at most one change is accepted with it.
+        author: Name of the author.
+        note: Reason for the change.
+        base_revision: Revision that the edits were made on; in the log always the preceding one.
         edits: Replacements, at most one for each item.
     """
 
@@ -75,7 +75,7 @@
 
 
 class AcceptedChange(msgspec.Struct, frozen=True):
-    """A change with the revision that it made."""
+    """A change with the revision that it created."""
 
     revision: int
     change: Change
@@ -85,7 +85,7 @@
     """An item that another accepted change has edited differently.
 
     Attributes:
-        section: Section.
+        section: Section of the item.
         name: Name of the item.
         revision: Latest revision that edited it.
         author: Author of that revision.
@@ -102,7 +102,7 @@
 
 
 class ConfigurationTransfer(msgspec.Struct, frozen=True):
-    """What brings a holder of an older revision up to date.
+    """Snapshot and changes that update a holder of an older revision.
 
     Attributes:
         snapshot: A whole configuration to start from; None when the changes suffice.
@@ -121,7 +121,7 @@
 
 
 def empty_configuration() -> AcceptedConfiguration:
-    """Return revision 0, on which the first change is made."""
+    """Return revision 0, the base of the first change."""
     return AcceptedConfiguration(0, Configuration())
 
 
@@ -148,7 +148,7 @@
 
 
 def apply_edits(configuration: Configuration, edits: Sequence[Edit]) -> Configuration:
-    """Return the configuration with the edits made; replaced items keep their place."""
+    """Return the configuration with the edits applied; replaced items keep their position."""
     sections = {section: _named(configuration, section) for section in LIST_SECTIONS}
     routing = configuration.routing
     for edit in edits:
@@ -163,7 +163,7 @@
 
 
 def apply_change(accepted: AcceptedConfiguration, change: Change) -> AcceptedConfiguration:
-    """Return the revision that a change of the log makes.
+    """Return the configuration after a change of the log.
 
     Raises:
         DomainError: When the change was not accepted on exactly this revision.
@@ -180,10 +180,10 @@
 def apply_transfer(
     current: AcceptedConfiguration, transfer: ConfigurationTransfer
 ) -> AcceptedConfiguration:
-    """Return the highest revision that ``current`` and a transfer lead to; never a lower one.
+    """Return the highest revision that ``current`` and a transfer lead to, at least ``current``.
 
     Raises:
-        DomainError: When a change doesn't apply on the one before it (a gap).
+        DomainError: When a change isn't based on the preceding one (a gap).
     """
     if transfer.snapshot is not None and transfer.snapshot.revision > current.revision:
         current = transfer.snapshot
@@ -202,7 +202,7 @@
 def conflicts_with(
     change: Change, current: Configuration, later: Sequence[AcceptedChange]
 ) -> tuple[Conflict, ...]:
-    """Return the items that later changes edited to something else.
+    """Return the items that later changes set to another value.
 
     Args:
         change: Change on an older base.
@@ -233,7 +233,7 @@
 
 
 def rebase(change: Change, revision: int) -> Change:
-    """Return the change on another base; check ``conflicts_with`` first."""
+    """Return the change with another base revision; check ``conflicts_with`` first."""
     return msgspec.structs.replace(change, base_revision=revision)
 
 
--- a/hopstep/domain/configuration/problems.py
+++ b/hopstep/domain/configuration/problems.py
@@ -1,4 +1,4 @@
-"""The finding that validation of a configuration gives."""
+"""Result type of the validation of a configuration."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """A broken rule.
+    """A violation of a validation rule.
 
     Attributes:
         field: Path of the field, such as ``tenants[2].selector``.
-        message: What was expected and what is there; never holds keys.
+        message: Expected and actual value; never contains keys.
     """
 
     field: str
--- a/hopstep/domain/configuration/validation.py
+++ b/hopstep/domain/configuration/validation.py
@@ -1,7 +1,7 @@
 """Rules that a configuration must meet before it is accepted.
 
-``leaving`` is not looked at: draining the last engine of a tenant is allowed, and its requests
-are then refused. A selector that matches nothing by labels is an error here.
+``leaving`` is ignored: draining the last engine of a tenant is allowed, and its requests are then
+refused. A selector that matches nothing by labels is an error.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
 
 
 def validate(configuration: Configuration) -> tuple[Problem, ...]:
-    """Return every broken rule, in document order; empty when the document is good."""
+    """Return all problems, in document order; empty when the document is valid."""
     problems = [
         *_back_end_problems(configuration.back_ends),
         *_tenant_problems(configuration),
@@ -94,7 +94,7 @@
 
 
 def require_valid(configuration: Configuration) -> Configuration:
-    """Return the configuration if it is good.
+    """Return the configuration if it is valid.
 
     Raises:
         ValidationError: With the first problem's field.
@@ -108,7 +108,7 @@
 
 
 def _back_end_problems(back_ends: tuple[BackEnd, ...]) -> Iterator[Problem]:
-    """Check back ends by themselves."""
+    """Check back ends without their references."""
     yield from _duplicates("back_ends", "name", (item.name for item in back_ends))
     yield from _duplicates("back_ends", "address", (item.address for item in back_ends))
     for index, back_end in enumerate(back_ends):
@@ -123,7 +123,7 @@
 
 
 def _tenant_problems(configuration: Configuration) -> Iterator[Problem]:
-    """Check tenants by themselves."""
+    """Check tenants without their references."""
     yield from _duplicates("tenants", "name", (item.name for item in configuration.tenants))
     owners: dict[str, str] = {}
     for index, tenant in enumerate(configuration.tenants):
@@ -149,7 +149,7 @@
 
 
 def _class_problems(classes: tuple[RequestClass, ...]) -> Iterator[Problem]:
-    """Check request classes by themselves."""
+    """Check request classes."""
     yield from _duplicates("classes", "name", (item.name for item in classes))
     for index, request_class in enumerate(classes):
         path = f"classes[{index}]"
@@ -161,7 +161,7 @@
 
 
 def _model_problems(models: tuple[Model, ...]) -> Iterator[Problem]:
-    """Check models by themselves."""
+    """Check models."""
     yield from _duplicates("models", "name", (item.name for item in models))
     for index, model in enumerate(models):
         path = f"models[{index}]"
@@ -172,14 +172,16 @@
 
 
 def _reference_problems(configuration: Configuration) -> Iterator[Problem]:
-    """Check that every name that is referred to exists."""
+    """Check that every referenced name exists."""
     models = {model.name for model in configuration.models}
     classes = {request_class.name for request_class in configuration.classes}
     for index, back_end in enumerate(configuration.back_ends):
-        yield from _dangling(f"back_ends[{index}].models", back_end.models, models, "model")
+        yield from _reference_list_problems(
+            f"back_ends[{index}].models", back_end.models, models, "model"
+        )
     for index, tenant in enumerate(configuration.tenants):
         path = f"tenants[{index}]"
-        yield from _dangling(f"{path}.classes", tenant.classes, classes, "class")
+        yield from _reference_list_problems(f"{path}.classes", tenant.classes, classes, "class")
         if tenant.default_class not in (tenant.classes or classes):
             yield Problem(
                 f"{path}.default_class",
@@ -187,7 +189,9 @@
             )
 
 
-def _dangling(field: str, names: Iterable[str], known: set[str], what: str) -> Iterator[Problem]:
+def _reference_list_problems(
+    field: str, names: Iterable[str], known: set[str], what: str
+) -> Iterator[Problem]:
     """Check one list of references."""
     for position, name in enumerate(names):
         if name not in known:
@@ -196,13 +200,13 @@
 
 def _duplicates(section: str, attribute: str, values: Iterable[str]) -> Iterator[Problem]:
     """Check that values of a list are unique."""
-    first_places: dict[str, int] = {}
+    first_indexes: dict[str, int] = {}
     for index, value in enumerate(values):
-        if value in first_places:
+        if value in first_indexes:
             field = f"{section}[{index}].{attribute}" if attribute else f"{section}[{index}]"
-            yield Problem(field, f"duplicate of {section}[{first_places[value]}]: {value!r}")
+            yield Problem(field, f"duplicate of {section}[{first_indexes[value]}]: {value!r}")
         else:
-            first_places[value] = index
+            first_indexes[value] = index
 
 
 def _name_problems(path: str, name: str) -> Iterator[Problem]:
@@ -230,7 +234,7 @@
 
 
 def _selector_problems(field: str, selector: LabelSelector) -> Iterator[Problem]:
-    """Check the form of a selector."""
+    """Check the names and operators of a selector."""
     yield from _label_problems(f"{field}.match_labels", selector.match_labels)
     for index, requirement in enumerate(selector.match_expressions):
         path = f"{field}.match_expressions[{index}]"
