--- a/hopstep/domain/configuration/document.py
+++ b/hopstep/domain/configuration/document.py
@@ -14,7 +14,7 @@
 
 
 class BackEndKind(enum.StrEnum):
-    """Role of a labelled back end."""
+    """What a labelled back end does."""
 
     ENGINE = "engine"
     KV_CACHE_STORE = "kv_cache_store"
@@ -22,7 +22,7 @@
 
 
 class BackEnd(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A labelled process that may hold prompts, cached state or answers.
+    """A labelled place where prompts, cached state or answers may be.
 
     Attributes:
         name: Unique name.
@@ -48,7 +48,7 @@
 
     Attributes:
         requests_per_second: Sustained request rate.
-        tokens_per_second: Sustained prompt plus generated tokens per second.
+        tokens_per_second: Sustained prompt plus generated tokens a second.
         max_concurrent_requests: Requests running or queued at once.
         max_queued_requests: Requests waiting for an engine, at one router.
     """
@@ -65,7 +65,7 @@
     Attributes:
         name: Unique name.
         key_hashes: Hex SHA-256 of each bearer key.
-        selector: Selects the engines, KV cache stores and routers that may hold its data.
+        selector: Where the tenant's data may be (engines, KV cache stores, routers).
         limits: Limits over all routers.
         weight: Share in fair ordering, relative to other tenants.
         classes: Names of the classes that the tenant may use; empty means all.
@@ -86,11 +86,11 @@
 
     Attributes:
         name: Unique name.
-        selector: Narrows the tenant's selector further, for engines only.
+        selector: Narrows the tenant's places further, for engines only.
         priority: Order at routers and engines; lower numbers go first.
         repeatable: False for requests that must run at most once.
         max_queue_seconds: Longest expected wait for an engine; beyond it requests are refused.
-        deadline_seconds: Longest time until a response is complete.
+        deadline_seconds: Longest time for a whole answer.
         max_output_tokens: Upper bound for ``max_tokens``.
         hedge: Whether a slow first token may start a second attempt elsewhere.
     """
@@ -120,18 +120,18 @@
 
 
 class RoutingPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Routing parameters of one deployment; ``docs/OPERATIONS.md`` lists their effects.
+    """Weights of one deployment; see ``docs/OPERATIONS.md`` for what moves which measure.
 
     Attributes:
-        prefix_stride_blocks: Average number of blocks for each one whose key is indexed.
-        max_prefix_heads: Maximum number of prefix heads indexed for all engines together.
-        recompute_weight: Cost of recomputing one second of prefill, relative to ``wait_weight``.
+        prefix_stride_blocks: Blocks for each one whose key is remembered, on average.
+        max_prefix_heads: Prefix heads remembered for all engines together.
+        recompute_weight: Cost of recomputing a second of prefill, against ``wait_weight``.
         wait_weight: Cost of one second of expected wait.
-        load_bound: Ratio of an engine's requests to the mean above which others are preferred.
+        load_bound: Load of the preferred engine, over the mean, at which others are tried.
         prefill_tokens_per_second: Expected prefill speed of an engine.
-        import_tokens_per_second: Expected speed of KV import; 0 disables imports.
+        import_tokens_per_second: Expected speed of KV import; 0 switches imports off.
         hot_prefix_copies: Owners of a prefix that are preferred among engines of equal cost.
-        hedge_after_seconds: Wait for a first token before a hedge; 0 disables hedging.
+        hedge_after_seconds: Wait for a first token before a hedge; 0 switches hedging off.
         retry_ratio: Retries allowed, as a share of first attempts.
         max_concurrent_weight_loads: Engines that load weights at once.
     """
