--- a/tests/domain/configuration/test_index.py
+++ b/tests/domain/configuration/test_index.py
@@ -1,4 +1,4 @@
-"""The index agrees with the plain placement rules, item by item."""
+"""The configuration index gives the same placements as ``hopstep.domain.placement``."""
 
 import random
 import unittest
@@ -68,7 +68,7 @@
                         expected = place_engines(configuration, *args).admissible
                         admitted += len(expected)
                         self.assertEqual(index.engines(*args), expected)
-                        self.assertEqual(index.engines(*args), expected, "remembered result")
+                        self.assertEqual(index.engines(*args), expected, "cached result")
         self.assertGreater(admitted, 100, "the samples must admit engines")
 
     def test_finds_items_by_name(self):
--- a/tests/domain/limits/limited_fleet.py
+++ b/tests/domain/limits/limited_fleet.py
@@ -1,7 +1,7 @@
-"""Ways in which many nodes may keep to the limit of one instance, simulated against each other.
+"""Simulated strategies by which many nodes keep within the limit of one instance.
 
-Requests that are best sent to the instance come to nodes; each way says which of them may go. Nodes
-tell each other what they know each 0.2 s, by way of relays, as they do in the real fleet.
+Requests for which the instance is the best choice arrive at nodes; each strategy decides which of
+them may be sent. Nodes exchange reports each 0.2 s through relays, as in the real fleet.
 """
 
 import heapq
@@ -24,31 +24,31 @@
     Wants,
 )
 
-TELLING_SECONDS = 0.2
+REPORT_INTERVAL_SECONDS = 0.2
 LATENCY_SECONDS = 0.003
 PATIENCE_SECONDS = 0.5
-"""A request waits so long for its turn; later an answer would be late."""
+"""Longest wait of a request in seconds; later an answer would be late."""
 
 NODES_PER_RELAY = 24
 ZONES = 3
 LARGE_FLEET = 300
 LARGE_FLEET_ZONES = 20
 DEMAND = 4.0
-"""Requests that come for each one that the limit allows."""
+"""Requests that arrive for each one that the limit allows."""
 
-LEAST_DEMAND = 1.0
-MOVING_SECONDS = 3.0
+MIN_DEMAND_PER_SECOND = 1.0
+DEMAND_MOVE_SECONDS = 3.0
 WARM_UP_SECONDS = 5.0
-LIFE = "i1"
+INCARNATION = "i1"
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a way has come to.
+    """Result of a strategy.
 
     Attributes:
-        of_bound: Busiest 4 s over what is allowed: more than 1 breaks the bound.
-        used: Part of the limit that was used.
-        waited: Mean wait of what was sent, in seconds.
+        of_bound: Sends in the busiest 4 s divided by the bound: more than 1 exceeds it.
+        used: Fraction of the limit that was used.
+        waited: Mean wait of the sent requests, in seconds.
     """
 
     of_bound: float
@@ -57,35 +57,35 @@
 
 
 def arrivals(demand, nodes, limit, seconds, generator):
-    """Return when requests come to which nodes.
+    """Return the time and node of each request.
 
     Args:
         demand: ``even``, ``three`` (nodes only), or ``moving`` (from node to node).
-        nodes: How many nodes.
-        limit: Requests a second that the instance takes.
-        seconds: How long.
-        generator: Draws them.
+        nodes: Number of nodes.
+        limit: Limit of the instance in requests per second.
+        seconds: Duration.
+        generator: Source of random choices.
     """
-    rate, at, found = max(DEMAND * limit, LEAST_DEMAND), 0.0, []
+    rate, at, found = max(DEMAND * limit, MIN_DEMAND_PER_SECOND), 0.0, []
     while at < seconds:
         at += generator.expovariate(rate)
         node = {
             "even": lambda: generator.randrange(nodes),
             "three": lambda: generator.randrange(min(3, nodes)),
-            "moving": lambda at=at: int(at // MOVING_SECONDS) * 7 % nodes,
+            "moving": lambda at=at: int(at // DEMAND_MOVE_SECONDS) * 7 % nodes,
         }[demand]()
         found.append((at, node))
     return found
 
 
 class EvenParts:
-    """Each node sends an even part of the limit, one request at a time, from a drawn phase on."""
+    """Each node sends an even part of the limit, one request at a time, from a random phase on."""
 
     def __init__(self, nodes, limit, generator):
         self.interval = nodes / limit
         self.due = [generator.random() * self.interval for _node in range(nodes)]
 
-    def tell(self, now):
+    def exchange_reports(self, now):
         return
 
     def offer(self, now, node):
@@ -96,19 +96,19 @@
 
 
 class FewNodes(EvenParts):
-    """As many nodes as the bound has room for requests that come at once; others send nothing."""
+    """Only as many nodes send as the bound allows simultaneous requests; others send nothing."""
 
     def __init__(self, nodes, limit, generator):
         super().__init__(min(nodes, int(2 * limit + 5)), limit, generator)
         chosen = generator.sample(range(nodes), len(self.due))
-        self.places = {node: place for place, node in enumerate(chosen)}
+        self.positions = {node: position for position, node in enumerate(chosen)}
 
     def offer(self, now, node):
-        return node in self.places and super().offer(now, self.places[node])
+        return node in self.positions and super().offer(now, self.positions[node])
 
 
 class SharesByDemand:
-    """Shares of what is left of a window, as tenants' quotas have them."""
+    """Shares of the requests left in a window, as for tenants' quotas."""
 
     def __init__(self, nodes, limit, generator):
         self.generator = generator
@@ -116,43 +116,45 @@
         bounds = QuotaBounds(WINDOW_SECONDS, 0.5, 5.0)
         self.ledgers = [QuotaLedger(bounds, -100.0) for _node in range(nodes)]
         self.reports = UsageReports(WINDOW_SECONDS)
-        self.under_way = deque()
-        self.told = [deque() for _node in range(nodes)]
+        self.in_transit = deque()
+        self.received = [deque() for _node in range(nodes)]
 
-    def tell(self, now):
-        while self.under_way and self.under_way[0][0] <= now:
-            _at, node, report, asked_at = self.under_way.popleft()
+    def exchange_reports(self, now):
+        while self.in_transit and self.in_transit[0][0] <= now:
+            _at, node, report, asked_at = self.in_transit.popleft()
             self.reports.take(NodeProcess(str(node), b""), report, now)
             total = join((self.reports.sum(now), UsageReport((), 0)))
-            self.told[node].append((now + TELLING_SECONDS, FleetUsage(total, asked_at)))
+            self.received[node].append((now + REPORT_INTERVAL_SECONDS, FleetUsage(total, asked_at)))
         for node, ledger in enumerate(self.ledgers):
-            report = ledger.own_report({LIFE: self.quota}, now, len(self.ledgers))
-            self.under_way.append((now + TELLING_SECONDS, node, report, now))
+            report = ledger.own_report({INCARNATION: self.quota}, now, len(self.ledgers))
+            self.in_transit.append((now + REPORT_INTERVAL_SECONDS, node, report, now))
 
     def offer(self, now, node):
         ledger = self.ledgers[node]
-        while self.told[node] and self.told[node][0][0] <= now:
-            ledger.update_fleet_usage(self.told[node].popleft()[1])
+        while self.received[node] and self.received[node][0][0] <= now:
+            ledger.update_fleet_usage(self.received[node].popleft()[1])
         draw = self.generator.random()
-        return not ledger.admit(LIFE, self.quota, 1, now, len(self.ledgers), draw).wait_seconds
+        return not ledger.admit(
+            INCARNATION, self.quota, 1, now, len(self.ledgers), draw
+        ).wait_seconds
 
 
-def play(way, demand, nodes, limit, seed, seconds=60.0):
-    """Return what a way without waiting comes to."""
+def play(strategy, demand, nodes, limit, seed, seconds=60.0):
+    """Return the outcome of a strategy without waiting."""
     generator = random.Random(f"{seed} {nodes} {limit} {demand}")
-    chosen = way(nodes, limit, generator)
-    sent, tell_at = [], 0.0
+    chosen = strategy(nodes, limit, generator)
+    sent, report_at = [], 0.0
     for at, node in arrivals(demand, nodes, limit, seconds, generator):
-        while tell_at <= at:
-            chosen.tell(tell_at)
-            tell_at += TELLING_SECONDS
+        while report_at <= at:
+            chosen.exchange_reports(report_at)
+            report_at += REPORT_INTERVAL_SECONDS
         if chosen.offer(at, node):
             sent.append(at)
     return outcome(sent, [0.0], limit, seconds)
 
 
 def outcome(sent, waits, limit, seconds):
-    """Return what was sent against the bound and the limit."""
+    """Return the sends compared with the bound and the limit."""
     counted = sum(WARM_UP_SECONDS <= at < seconds for at in sent)
     return Outcome(
         most_within(sent, WINDOW_SECONDS) / (1.5 * limit * WINDOW_SECONDS + 5),
@@ -162,7 +164,7 @@
 
 
 class PermitNode:
-    """A node: what it sends, and what waits there."""
+    """A node with its sends and its waiting requests."""
 
     def __init__(self, number, relay):
         self.number = number
@@ -174,11 +176,11 @@
         while self.waiting and self.waiting[0] < now - PATIENCE_SECONDS:
             self.waiting.popleft()
         self.sends.waiting = len(self.waiting)
-        return self.sends.usage(LIFE, now)
+        return self.sends.usage(INCARNATION, now)
 
 
 class PermitFleet:
-    """Permits that one relay gives out, as the real fleet has them."""
+    """Permits allocated by one relay, as in the real fleet."""
 
     def __init__(self, nodes, limit, seed, demand):
         self.generator = random.Random(f"{seed} {nodes} {limit} {demand}")
@@ -190,7 +192,7 @@
         self.allocating = self.generator.choice(self.relays)
         self.allocator = PermitAllocator(-100.0)
         self.stocks = {relay: PermitStock() for relay in self.relays}
-        self.told = {relay: {} for relay in self.relays}
+        self.received = {relay: {} for relay in self.relays}
         self.digests = {}
         self.sent, self.waits = [], []
         self._events = []
@@ -201,11 +203,11 @@
         return number if number in relays else self.generator.choice(relays)
 
     def play(self, demand, seconds=60.0):
-        """Return what permits come to."""
+        """Return the outcome of permits."""
         for at, node in arrivals(demand, len(self.nodes), self.limit, seconds, self.generator):
             self._at(at, self._arrive, node)
         for node in self.nodes:
-            self._at(self.generator.random() * TELLING_SECONDS, self._look, node.number)
+            self._at(self.generator.random() * REPORT_INTERVAL_SECONDS, self._tick, node.number)
         while self._events[0][0] < seconds:
             now, _number, action, arguments = heapq.heappop(self._events)
             action(now, *arguments)
@@ -226,8 +228,8 @@
             self.sent.append(now)
             node.sends.note_sent(now)
 
-    def _look(self, now, number):
-        self._at(now + TELLING_SECONDS, self._look, number)
+    def _tick(self, now, number):
+        self._at(now + REPORT_INTERVAL_SECONDS, self._tick, number)
         node = self.nodes[number]
         if number == self.allocating:
             self._allocate(now)
@@ -243,7 +245,7 @@
 
     def _serve(self, now, relay, number, usage, asked_at):
         expiries = self.stocks[relay].take(usage.offered + usage.expected, now)
-        self.told[relay][number] = usage.less(len(expiries))
+        self.received[relay][number] = usage.less(len(expiries))
         delay = 0.0 if relay == number else LATENCY_SECONDS
         self._at(now + delay, self._receive, number, expiries)
 
@@ -253,8 +255,8 @@
         self._send(now, self.nodes[number])
 
     def _group(self, now, relay):
-        total = Usage(LIFE, 0, 0)
-        for usage in self.told[relay].values():
+        total = Usage(INCARNATION, 0, 0)
+        for usage in self.received[relay].values():
             total = total.plus(usage)
         return total.less(self.stocks[relay].held(now))
 
@@ -266,11 +268,11 @@
         wants = {}
         for relay, usage in self.digests.items():
             given = self.allocator.given_to(relay, now - 0.3) if relay != self.allocating else 0
-            lacking = usage.less(given)
-            wants[relay] = Wants(lacking.offered, lacking.expected)
+            missing = usage.less(given)
+            wants[relay] = Wants(missing.offered, missing.expected)
         sent = sum(usage.admitted for usage in self.digests.values())
-        reach = FleetCoverage(len(self.nodes), len(self.nodes))
-        shares = self.allocator.allocate(self.limit, sent, reach, wants, now)
+        coverage = FleetCoverage(len(self.nodes), len(self.nodes))
+        shares = self.allocator.allocate(self.limit, sent, coverage, wants, now)
         for relay, count in shares.items():
             delay = 0.0 if relay == self.allocating else LATENCY_SECONDS
             self._at(now + delay, self._put, relay, count)
@@ -280,5 +282,5 @@
 
 
 def play_permits(demand, nodes, limit, seed, seconds=60.0):
-    """Return what permits come to."""
+    """Return the outcome of permits."""
     return PermitFleet(nodes, limit, seed, demand).play(demand, seconds)
--- a/tests/domain/limits/quota_fleet.py
+++ b/tests/domain/limits/quota_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that tell each other their usage by way of one relay, with lags, on a virtual clock."""
+"""Nodes that exchange usage reports through one relay, with lags, on a virtual clock."""
 
 import random
 from collections import deque
@@ -14,18 +14,18 @@
 
 
 class Node:
-    """A node, and what was told to it and isn't yet heard."""
+    """A node, and the reports on their way to it."""
 
     def __init__(self, name, bounds, now):
         self.name = name
         self.process = NodeProcess(name, str(now).encode())
         self.ledger = QuotaLedger(bounds, now)
-        self.told = deque()
+        self.incoming = deque()
         self.down_until = 0.0
 
 
 class QuotaFleet:
-    """Drives nodes; counts what they admitted and refused."""
+    """Drives nodes; counts admitted and refused requests."""
 
     def __init__(self, nodes, bounds=BOUNDS, quota=QUOTA, lag=0.2, seed=1):
         self.bounds, self.quota, self.lag = bounds, quota, lag
@@ -38,7 +38,7 @@
         self.refused_from = 0.0
         self._reports = UsageReports(bounds.window_seconds)
         self._sides = {True: UsageReports(bounds.window_seconds)}
-        self._on_the_way = deque()
+        self._in_transit = deque()
         self._held = []
         for _ in range(5):
             self.now += TICK_SECONDS
@@ -61,7 +61,7 @@
             self._tick()
 
     def restart(self, nodes, down_seconds=1.0):
-        """Let nodes forget everything; they serve again a moment later."""
+        """Restart nodes without their state; they serve again after ``down_seconds``."""
         for node in nodes:
             index = self.nodes.index(node)
             self.nodes[index] = Node(node.name, self.bounds, self.now + down_seconds)
@@ -69,7 +69,7 @@
         return self.nodes
 
     def busiest_window(self):
-        """Return the most that was admitted within a window, over all nodes."""
+        """Return the largest amount admitted within a window, over all nodes."""
         busiest, total, window = 0, 0, deque()
         for at, size in self.admitted:
             window.append((at, size))
@@ -80,7 +80,7 @@
         return busiest
 
     def allowed(self):
-        """Return what operators tolerate in a window."""
+        """Return the amount that operators tolerate in a window."""
         promised = self.quota.per_second * self.bounds.window_seconds + self.quota.burst
         return promised * (1 + self.bounds.overshoot) + self.bounds.slack
 
@@ -88,8 +88,8 @@
         """Offer one request."""
         if at < node.down_until:
             return
-        while node.told and node.told[0][0] <= at:
-            node.ledger.update_fleet_usage(node.told.popleft()[1])
+        while node.incoming and node.incoming[0][0] <= at:
+            node.ledger.update_fleet_usage(node.incoming.popleft()[1])
         decision = node.ledger.admit(
             TENANT, self.quota, size, at, len(self.nodes), self.random.random()
         )
@@ -101,22 +101,22 @@
             self.admitted.append((at, size))
 
     def _offer_again(self):
-        """Offer again what nodes hold that have just started and were told nothing yet."""
+        """Offer the requests again that are held at nodes without any report since their start."""
         held, self._held = self._held, []
         for node, size in held:
             self._offer(node, self.now, size)
 
     def _tick(self):
-        """Let the nodes ask, and the relay answer, each one lag later."""
+        """Deliver the nodes' reports and the relay's answers, each one lag later."""
         quotas = {TENANT: self.quota}
-        while self._on_the_way and self._on_the_way[0][0] <= self.now:
-            _, node, report, asked_at = self._on_the_way.popleft()
+        while self._in_transit and self._in_transit[0][0] <= self.now:
+            _, node, report, asked_at = self._in_transit.popleft()
             self._reports.take(node.process, report, self.now)
             total = join((self._reports.sum(self.now), UsageReport((), 0)))
             if node.name not in self.cut:
-                node.told.append((self.now + self.lag, FleetUsage(total, asked_at)))
+                node.incoming.append((self.now + self.lag, FleetUsage(total, asked_at)))
         for node in self.nodes:
             if self.now < node.down_until or node.name in self.cut:
                 continue
             report = node.ledger.own_report(quotas, self.now, len(self.nodes))
-            self._on_the_way.append((self.now + self.lag, node, report, self.now))
+            self._in_transit.append((self.now + self.lag, node, report, self.now))
--- a/tests/domain/limits/test_limited_fleet.py
+++ b/tests/domain/limits/test_limited_fleet.py
@@ -1,7 +1,7 @@
-"""Permits keep a whole fleet to an instance's limit, and use it, wherever requests come.
+"""Permits keep a whole fleet within an instance's limit and use it, whichever nodes get requests.
 
-The load patterns that decided among the ways of design 0030: demand at all nodes alike, at three
-nodes only, and moving from node to node, four times what the limit allows.
+The load patterns are those by which design 0030 compares strategies: demand at all nodes alike, at
+three nodes only, and moving from node to node, each four times the limit.
 """
 
 import itertools
@@ -13,11 +13,11 @@
 SIZES = (3, 6, 24, 79)
 LIMITS = (1.5, 8.0)
 SECONDS = 40.0
-LEAST_USED = 0.9
+MIN_USED = 0.9
 
 SPARSE_LIMIT = 0.3
-"""Where a request comes each 0.8 s over all nodes and waits for 0.5 s, a due permit finds
-nobody for a while: the bound holds, and less of the limit is used."""
+"""Limit in requests per second. A request arrives each 0.8 s over all nodes and waits for 0.5 s, so
+a due permit may find no request for a while: the bound holds, and less of the limit is used."""
 
 
 class LimitedFleetTest(unittest.TestCase):
@@ -26,7 +26,7 @@
             with self.subTest(demand=demand, nodes=nodes, limit=limit):
                 played = play_permits(demand, nodes, limit, seed=1, seconds=SECONDS)
                 self.assertLessEqual(played.of_bound, 1.0)
-                self.assertGreaterEqual(played.used, LEAST_USED)
+                self.assertGreaterEqual(played.used, MIN_USED)
 
     def test_permits_hold_the_bound_of_a_limit_below_one_a_second(self):
         for demand, nodes in itertools.product(DEMANDS, SIZES):
--- a/tests/domain/limits/test_limits_stateful.py
+++ b/tests/domain/limits/test_limits_stateful.py
@@ -1,4 +1,4 @@
-"""Limits shared by routers that come, go, pause and restart, with late views: the stated bound."""
+"""Limits shared by routers that start, stop, pause and restart, with late views: the bound."""
 
 import unittest
 from unittest import mock
@@ -119,7 +119,7 @@
                 run_machine(machine)
 
     def largest_sum_after_a_restart(self):
-        """Restart the owner without any memory; the holder of everything can't reach it."""
+        """Restart the owner without its state; the holder of all leases can't reach it."""
         world = World(loss=0.0)
         for name in world.names:
             world.start(name)
@@ -154,7 +154,7 @@
             self.assertTrue(is_caught(LimitsMachine))
 
     def first_growth_after_a_move(self):
-        """Return when a tenant that a new configuration gave to other routers gets leases."""
+        """Return when a tenant gets leases after a new configuration moved it to other routers."""
         sharing = LimitSharing("a", 0.0)
         for now in range(100):
             place = "b" if now < 40 else "a"
@@ -179,9 +179,9 @@
         self.assertEqual(owners.floor_part(60.0), int(PARTS_PER_LIMIT * FLOOR_RATIO) // 4)
 
     def largest_sum_after_a_pause(self):
-        """Pause the owner until another one has leased everything out, and wake it.
+        """Pause the owner until another one has granted all leases, and resume it.
 
-        No report reaches it before it asks for itself.
+        No report reaches it before its own demand is granted.
         """
         world = World(loss=0.0)
         for name in world.names:
@@ -209,9 +209,9 @@
             self.assertGreater(self.largest_sum_after_a_pause(), BOUND)
 
     def leased(self, *, lost):
-        """Let the answer to a large demand, or the one to a small demand after it, be lost.
+        """Lose the answer to a large demand, or the one to a small demand after it.
 
-        The lost answer to the large demand comes late, after the other one.
+        The lost answer to the large demand arrives late, after the other one.
         """
         ledger, first, other = LimitLedger(), LeaseHolder(), LeaseHolder()
 
@@ -232,21 +232,21 @@
     def test_lost_and_late_answers_lease_nothing_out_twice(self):
         grant, take = LimitLedger.grant, LeaseHolder.take
 
-        def forgetful(ledger, now, router, demand, **options):
+        def grant_without_held_part(ledger, now, router, demand, **options):
             part = grant(ledger, now, router, demand, **options)
             granted = ledger._grants[demand.tenant]
             granted[router] = msgspec.structs.replace(granted[router], part=part)
             return part
 
-        def credulous(holder, number, tenant, part, seconds):
+        def take_any_number(holder, number, tenant, part, seconds):
             holder._leases[tenant].number = number
             take(holder, number, tenant, part, seconds)
 
         for lost in (1, 2):
             self.assertEqual(self.leased(lost=lost), POOL)
-        with mock.patch.object(LimitLedger, "grant", forgetful):
+        with mock.patch.object(LimitLedger, "grant", grant_without_held_part):
             self.assertGreater(self.leased(lost=2), POOL)
-        with mock.patch.object(LeaseHolder, "take", credulous):
+        with mock.patch.object(LeaseHolder, "take", take_any_number):
             self.assertGreater(self.leased(lost=1), POOL)
 
     def test_each_side_of_a_partition_takes_the_whole_limit_and_gives_it_back(self):
@@ -290,12 +290,12 @@
         owners = LimitOwners("a", -100.0)
         parts = {}
         names = ("a", "b", "c", "d")
-        looks = [(-100 + step, 2) for step in range(100)] + [(0, 2), (1, 4)]
-        looks += [(step, 1) for step in range(2, 20)] + [(40, 1)]
-        for now, live in looks:
+        updates = [(-100 + step, 2) for step in range(100)] + [(0, 2), (1, 4)]
+        updates += [(step, 1) for step in range(2, 20)] + [(40, 1)]
+        for now, live in updates:
             owners.update(float(now), frozenset(names[:live]), 8)
             parts[now] = owners.floor_part(float(now))
-        # Right after the start and after the gap the past is unknown: the configured ones count.
+        # After the start and after the gap the past is unknown: all configured routers count.
         expected = {-100: 8, 0: 2, 1: 4, 2: 4, 16: 4, 17: 1, 40: 8}
         whole = int(PARTS_PER_LIMIT * FLOOR_RATIO)
         self.assertEqual(
@@ -324,8 +324,8 @@
                 self.assertGreater(refusal.retry_after_seconds, 0)
                 if kind is LimitKind.CONCURRENCY:
                     limiter.release(0.0, 0.0)
-                come_back = refusal.retry_after_seconds + 1e-6
-                self.assertIsNone(limiter.try_admit(come_back, tokens))
+                retry_at = refusal.retry_after_seconds + 1e-6
+                self.assertIsNone(limiter.try_admit(retry_at, tokens))
 
     def test_no_limit_lets_everything_in(self):
         limiter = self.limiter()
--- a/tests/domain/limits/test_quota_ledger.py
+++ b/tests/domain/limits/test_quota_ledger.py
@@ -1,4 +1,4 @@
-"""Quotas over many nodes: nothing above the operators' bound, and no refusal below the quota."""
+"""Quotas over many nodes: usage within the operators' bound, and no refusal below the quota."""
 
 import unittest
 
@@ -123,7 +123,7 @@
     def setUp(self):
         self.ledger = QuotaLedger(BOUNDS, -100.0)
 
-    def told(self, admitted, offered, nodes=10, asked_at=0.0):
+    def report_usage(self, admitted, offered, nodes=10, asked_at=0.0):
         report = UsageReport((Usage(TENANT, admitted, offered),), nodes)
         self.ledger.update_fleet_usage(FleetUsage(report, asked_at))
 
@@ -138,40 +138,40 @@
         self.assertEqual([wait == 0 for wait in decisions], [True, True, True, False])
 
     def test_a_refusal_tells_when_the_rate_has_made_room(self):
-        self.told(admitted=2_700_000, offered=REQUEST)
+        self.report_usage(admitted=2_700_000, offered=REQUEST)
         decision = self.admit(0.2, cost=100_000)
         self.assertGreater(decision.wait_seconds, 0.0)
         self.assertLess(decision.wait_seconds, 1.0)
-        self.told(admitted=5_000_000, offered=REQUEST, asked_at=0.4)
+        self.report_usage(admitted=5_000_000, offered=REQUEST, asked_at=0.4)
         self.assertGreater(self.admit(0.5).wait_seconds, 4.0)
 
     def test_a_share_of_less_than_a_request_admits_one_by_chance(self):
-        self.told(admitted=2_690_000, offered=40 * REQUEST)
-        room = self.admit(0.2, draw=1.0).free_units
-        self.assertTrue(0 < room < REQUEST)
-        self.told(admitted=2_690_000, offered=40 * REQUEST, asked_at=1.3)
+        self.report_usage(admitted=2_690_000, offered=40 * REQUEST)
+        free_units = self.admit(0.2, draw=1.0).free_units
+        self.assertTrue(0 < free_units < REQUEST)
+        self.report_usage(admitted=2_690_000, offered=40 * REQUEST, asked_at=1.3)
         self.assertEqual(self.admit(1.5, draw=0.01).wait_seconds, 0.0)
         self.assertGreater(self.admit(1.5, draw=0.01).wait_seconds, 0.0)
 
     def test_a_draw_counts_until_all_nodes_know_what_was_admitted_by_it(self):
-        self.told(admitted=2_690_000, offered=40 * REQUEST)
+        self.report_usage(admitted=2_690_000, offered=40 * REQUEST)
         for moment in range(4):
-            self.told(admitted=2_690_000, offered=40 * REQUEST, asked_at=0.2 * moment)
+            self.report_usage(admitted=2_690_000, offered=40 * REQUEST, asked_at=0.2 * moment)
             draw = 0.01 if moment else 1.0
             self.assertGreater(self.admit(0.2 * moment + 0.1, draw=draw).wait_seconds, 0.0)
 
     def test_a_node_that_was_told_nothing_for_long_counts_for_one(self):
-        self.told(admitted=0, offered=0)
+        self.report_usage(admitted=0, offered=0)
         self.assertEqual(self.admit(0.1).nodes, 10)
         decision = self.admit(MAX_USAGE_AGE_SECONDS + 0.1)
         self.assertEqual(decision.nodes, 1)
         self.assertLess(decision.free_units, 0.12 * QUOTA.per_second * 9)
 
     def test_what_fewer_nodes_tell_does_not_replace_what_more_have_just_told(self):
-        self.told(admitted=0, offered=0, nodes=10, asked_at=0.0)
-        self.told(admitted=0, offered=0, nodes=2, asked_at=0.2)
+        self.report_usage(admitted=0, offered=0, nodes=10, asked_at=0.0)
+        self.report_usage(admitted=0, offered=0, nodes=2, asked_at=0.2)
         self.assertEqual(self.admit(0.3).nodes, 10)
-        self.told(admitted=0, offered=0, nodes=2, asked_at=1.2)
+        self.report_usage(admitted=0, offered=0, nodes=2, asked_at=1.2)
         self.assertEqual(self.admit(1.3).nodes, 2)
 
     def test_what_has_not_run_is_given_back(self):
--- a/tests/domain/limits/test_send_permits.py
+++ b/tests/domain/limits/test_send_permits.py
@@ -1,4 +1,4 @@
-"""Permits: what is given within a window, to whom, and what isn't given in doubt."""
+"""Permits: the number given within a window, their distribution, and cases in which none is."""
 
 import random
 import unittest
@@ -40,22 +40,22 @@
 
 
 class PermitAllocatorTest(unittest.TestCase):
-    def sent(self, limit, reach=ALL, seconds=30.0, allocator=None, used_after=lambda: 0.0):
-        """Return when nodes send that want as many permits as they can get.
+    def sent(self, limit, coverage=ALL, seconds=30.0, allocator=None, used_after=lambda: 0.0):
+        """Return the send times of nodes that want as many permits as they can get.
 
         Args:
-            limit: Of the instance.
-            reach: How much of the fleet is heard.
-            seconds: How long.
+            limit: Limit of the instance in requests per second.
+            coverage: Fraction of the fleet that reports.
+            seconds: Duration.
             allocator: Gives the permits; None for one that has run for long.
-            used_after: Returns how long after it was given a permit is used.
+            used_after: Returns the time from giving a permit to its use.
         """
         allocator = allocator or PermitAllocator(-100.0)
         sent, now = [], 0.0
         while now < seconds:
-            told = (now - WINDOW_SECONDS, now - REPORT_SECONDS)
-            counted = sum(told[0] < at <= told[1] for at in sent)
-            shares = allocator.allocate(limit, counted, reach, MANY, now)
+            reported = (now - WINDOW_SECONDS, now - REPORT_SECONDS)
+            counted = sum(reported[0] < at <= reported[1] for at in sent)
+            shares = allocator.allocate(limit, counted, coverage, MANY, now)
             sent += [now + used_after() for _permit in range(shares.get("a", 0))]
             now += TICK_SECONDS
         return sent
@@ -85,8 +85,8 @@
         self.assertAlmostEqual(half / len(self.sent(8.0)), 0.5, delta=0.1)
 
     def test_a_group_that_hears_too_few_gives_nothing(self):
-        heard = int(10 * MIN_REPORTING_SHARE)
-        self.assertEqual(self.sent(8.0, FleetCoverage(heard, 10 + heard * 4)), [])
+        reporting = int(10 * MIN_REPORTING_SHARE)
+        self.assertEqual(self.sent(8.0, FleetCoverage(reporting, 10 + reporting * 4)), [])
 
     def test_nodes_that_are_not_registered_yet_add_nothing(self):
         self.assertEqual(FleetCoverage(12, 10).share, 1.0)
--- a/tests/domain/membership/test_isolation.py
+++ b/tests/domain/membership/test_isolation.py
@@ -1,4 +1,4 @@
-"""When a node counts as isolated."""
+"""Cases in which a node counts as isolated."""
 
 import random
 import unittest
@@ -11,7 +11,7 @@
 CONFIG = MembershipConfig()
 NOW = 100.0
 
-# Other members, of them heard lately, tried in vain, leaving on a plan; whether isolated.
+# Other members; of them responsive, unresponsive, leaving on a plan; whether isolated.
 CASES = (
     (0, 0, 0, 0, False),
     (1, 1, 0, 0, False),
@@ -29,7 +29,7 @@
 )
 
 
-def world(others, heard, tried, leaving):
+def world(others, responsive, unresponsive, leaving):
     table, detector = MemberTable(), IsolationDetector(CONFIG)
     for number in range(others):
         name = f"m{number}"
@@ -37,20 +37,22 @@
     detector.update(table, 0.0)
     for number in range(others):
         name = f"m{number}"
-        if number < heard:
+        if number < responsive:
             detector.record_received(name, NOW - 1)
-        elif number < heard + tried:
+        elif number < responsive + unresponsive:
             detector.record_attempt(name, NOW - 2)
-        elif number < heard + tried + leaving:
+        elif number < responsive + unresponsive + leaving:
             table.merge_status(MemberStatus(name, 1, 1, MemberState.LEAVING), NOW - 5)
     return table, detector
 
 
 class IsolationTest(unittest.TestCase):
     def test_majorities(self):
-        for others, heard, tried, leaving, isolated in CASES:
-            with self.subTest(others=others, heard=heard, tried=tried, leaving=leaving):
-                table, detector = world(others, heard, tried, leaving)
+        for others, responsive, unresponsive, leaving, isolated in CASES:
+            with self.subTest(
+                others=others, responsive=responsive, unresponsive=unresponsive, leaving=leaving
+            ):
+                table, detector = world(others, responsive, unresponsive, leaving)
                 self.assertEqual(detector.is_isolated(table, NOW), isolated)
 
     def test_own_verdict_of_death_never_makes_a_majority_of_one(self):
@@ -68,7 +70,7 @@
         for number in range(3):
             detector.record_received(f"m{number}", later)
         detector.update(table, later)
-        # Two of four are left: without the dead one that is a majority of two out of three.
+        # Two of four remain: without the dead one that is a majority of two out of three.
         detector.record_received("m0", later + 20)
         detector.record_attempt("m1", later + 10)
         table.merge_status(MemberStatus("m2", 1, 1, MemberState.LEFT), later)
--- a/tests/domain/membership/test_protocol.py
+++ b/tests/domain/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""Single members of the protocol, step by step."""
+"""Steps of the membership protocol at a single member."""
 
 import random
 import unittest
@@ -29,7 +29,7 @@
 
 
 def member(*others):
-    """Return a member "a" that knows the given ones."""
+    """Return a member "a" with the given ones in its table."""
     own = Membership(record("a"), CONFIG, ("seed",), random.Random(2), encoded_size, 0.0)
     if others:
         gossip = Gossip(members=tuple(record(name) for name in others))
@@ -45,12 +45,12 @@
     ]
 
 
-def say(own, body, now=1.0, sender="b", incarnation=5):
+def deliver(own, body, now=1.0, sender="b", incarnation=5):
     return own.handle(PeerMessage(sender, incarnation, body), sender, now)
 
 
 def claim(own, *claim_of, now=1.0):
-    return say(own, Push(Gossip(statuses=(MemberStatus(*claim_of),))), now)
+    return deliver(own, Push(Gossip(statuses=(MemberStatus(*claim_of),))), now)
 
 
 class ProbeTest(unittest.TestCase):
@@ -62,7 +62,7 @@
     def test_pings_are_acked_if_meant_for_this_member(self):
         own = member("b")
         for target, acks in (("a", 1), ("", 1), ("c", 0)):
-            self.assertEqual(len(bodies(say(own, Ping(7, target)), Ack)), acks, target)
+            self.assertEqual(len(bodies(deliver(own, Ping(7, target)), Ack)), acks, target)
 
     def test_an_unanswered_probe_goes_through_others_then_leads_to_suspicion_and_death(self):
         own = member("b", "c", "d")
@@ -79,7 +79,7 @@
                 elif isinstance(action, Send) and action.address == "b":
                     continue
                 elif isinstance(action, Send) and isinstance(action.body, Ping):
-                    say(own, Ack(action.body.number, action.address), now, action.address)
+                    deliver(own, Ack(action.body.number, action.address), now, action.address)
         self.assertEqual(states, [("b", MemberState.SUSPECT), ("b", MemberState.DEAD)])
         self.assertLessEqual({"c", "d"}, helpers)
 
@@ -116,11 +116,11 @@
         own = member("b")
         claim(own, "a", 5, 0, MemberState.DEAD)
         for _ in range(20):
-            say(own, Ping(1, "a"))
+            deliver(own, Ping(1, "a"))
         dead = Gossip(statuses=(MemberStatus("a", 5, 0, MemberState.DEAD),))
-        ack = bodies(say(own, Ping(1, "a", dead)), Ack)[0]
-        told = [(status.version, status.state) for status in ack.gossip.statuses]
-        self.assertEqual(told, [(1, MemberState.ALIVE)])
+        ack = bodies(deliver(own, Ping(1, "a", dead)), Ack)[0]
+        reported = [(status.version, status.state) for status in ack.gossip.statuses]
+        self.assertEqual(reported, [(1, MemberState.ALIVE)])
         self.assertEqual(own.own.version, 1)
 
     def test_entries_move_on_to_the_incarnation_that_outbids(self):
@@ -134,13 +134,13 @@
     def test_an_unknown_sender_is_asked_for_its_record(self):
         own = member("b")
         for sender, incarnation, asked in (("x", 1, 1), ("b", 6, 1), ("b", 4, 0), ("b", 5, 0)):
-            actions = say(own, Push(), sender=sender, incarnation=incarnation)
+            actions = deliver(own, Push(), sender=sender, incarnation=incarnation)
             self.assertEqual(len(bodies(actions, PullRequest)), asked, (sender, incarnation))
 
     def test_strangers_do_not_ask_each_other_without_end(self):
         own = member("b")
         asked = [
-            len(bodies(say(own, PullRequest(("a",)), sender="x", incarnation=1), PullRequest))
+            len(bodies(deliver(own, PullRequest(("a",)), sender="x", incarnation=1), PullRequest))
             for _ in range(5)
         ]
         self.assertEqual(asked, [1, 0, 0, 0, 0])
@@ -150,7 +150,7 @@
             own = member("b", "c")
             kind = EntryKind.LEAVING_BACK_END
             entry = Entry(owner, incarnation, 1, "e", LeavingBackEnd("e"), kind)
-            say(own, Push(Gossip(entries=(entry,))))
+            deliver(own, Push(Gossip(entries=(entry,))))
             self.assertEqual(len(own.entries(kind)), taken, (owner, incarnation))
             claim(own, owner, incarnation, 0, MemberState.DEAD)
             self.assertEqual(own.entries(kind), [])
--- a/tests/domain/routing/test_routing_table.py
+++ b/tests/domain/routing/test_routing_table.py
@@ -61,7 +61,7 @@
         table.update_configuration(configuration(self.engines, policy))
         return table
 
-    def hear(self, index, *values, now=NOW, **changes):
+    def receive_facts(self, index, *values, now=NOW, **changes):
         self.table.update_facts(self.engines[index].address, facts(*values, **changes), now)
 
     def choose(self, *arguments, excluded=NONE, now=NOW, table=None, **changes):
@@ -69,7 +69,7 @@
         return chooser.choose(request(*arguments, **changes), self.engines, excluded, now)
 
     def run_at(self, index, incarnation="i1", **changes):
-        """Let the request run at one engine, and end."""
+        """Run the request at one engine to its end."""
         asked = request(**changes)
         choice = self.table.choose(asked, (self.engines[index],), NONE, NOW)
         self.table.record_dispatch("n", choice, NOW)
@@ -88,7 +88,7 @@
 
     def test_a_learned_prefix_is_relied_on_with_its_incarnation(self):
         for index in range(4):
-            self.hear(index)
+            self.receive_facts(index)
         self.run_at(2)
         choice = self.choose(prompt=PROMPT + "more")
         self.assertEqual(choice.back_end, self.engines[2])
@@ -98,10 +98,10 @@
     def test_what_ends_reliance_on_an_engine(self):
         cases = {
             "another tenant": lambda: {"tenant": "b"},
-            "other weights asked": lambda: self.hear(2, "i1", "w2") or {"weights": "w2"},
-            "a new incarnation": lambda: self.hear(2, "i2") or {},
+            "other weights asked": lambda: self.receive_facts(2, "i1", "w2") or {"weights": "w2"},
+            "a new incarnation": lambda: self.receive_facts(2, "i2") or {},
             "weights rolled and back": lambda: (
-                self.hear(2, "i1", "w2") or self.hear(2, "i1", "w1") or {}
+                self.receive_facts(2, "i1", "w2") or self.receive_facts(2, "i1", "w1") or {}
             ),
             "an answer of another incarnation": lambda: self.run_at(2, "i2", name="q") or {},
             "a failed precondition": lambda: (
@@ -112,7 +112,7 @@
         for name, change in cases.items():
             with self.subTest(name):
                 self.table = self.fresh()
-                self.hear(2)
+                self.receive_facts(2)
                 self.run_at(2)
                 self.assertTrue(
                     self.table.choose(request(), self.engines[2:3], NONE, NOW).relies_on_cache
@@ -122,20 +122,20 @@
                 self.assertFalse(choice.relies_on_cache)
 
     def test_late_events_of_an_earlier_incarnation_change_nothing(self):
-        self.hear(2, "i2")
+        self.receive_facts(2, "i2")
         self.run_at(2, "i2")
         self.evict("i1")
         self.assertTrue(self.table.choose(request(), self.engines[2:3], NONE, NOW).relies_on_cache)
 
     def evict(self, incarnation):
-        """Tell of an eviction of everything that the prompt's first choice holds."""
+        """Record an eviction of all heads of the prompt at the third engine."""
         heads = self.table.choose(request(), self.engines[2:3], NONE, NOW).prefix_heads
         event = CacheEvent(1, CacheEventKind.EVICTED, heads)
         batch = CacheEventBatch(incarnation, (event,))
         self.table.record_events(self.engines[2].address, batch)
 
     def test_a_stored_event_makes_another_routers_work_known(self):
-        self.hear(3)
+        self.receive_facts(3)
         heads = self.choose().prefix_heads
         event = CacheEvent(1, CacheEventKind.STORED, heads)
         self.table.record_events(self.engines[3].address, CacheEventBatch("i1", (event,)))
@@ -144,17 +144,17 @@
     def test_engines_that_never_get_new_work(self):
         cases = {
             "excluded": lambda: frozenset({"e1"}),
-            "says that it is leaving": lambda: self.hear(1, leaving=True),
+            "says that it is leaving": lambda: self.receive_facts(1, leaving=True),
             "listed as leaving": lambda: self.table.update_leaving(
                 frozenset({self.engines[1].address})
             ),
-            "other weights": lambda: self.hear(1, "i1", "w0"),
-            "standby": lambda: self.hear(1, role=EngineRole.STANDBY),
+            "other weights": lambda: self.receive_facts(1, "i1", "w0"),
+            "standby": lambda: self.receive_facts(1, role=EngineRole.STANDBY),
         }
         for name, change in cases.items():
             with self.subTest(name):
                 self.table = self.fresh()
-                self.hear(1)
+                self.receive_facts(1)
                 self.run_at(1)
                 excluded = change() or NONE
                 choice = self.choose(excluded=excluded)
@@ -164,21 +164,23 @@
                 self.assertEqual(caught.exception.code, ErrorCode.NO_ADMISSIBLE_BACK_END)
 
     def test_a_long_wait_outweighs_a_cached_prefix(self):
-        self.hear(2)
+        self.receive_facts(2)
         self.run_at(2)
         self.assertEqual(self.choose().back_end, self.engines[2])
-        self.hear(2, load=LoadReport(running=1, waiting_prefill_tokens=20_000), now=NOW + 1)
+        self.receive_facts(
+            2, load=LoadReport(running=1, waiting_prefill_tokens=20_000), now=NOW + 1
+        )
         self.assertNotEqual(self.choose(now=NOW + 1).back_end, self.engines[2])
 
     def test_a_prefix_is_kept_while_every_engine_has_a_backlog(self):
         for other_wait, moved in ((0, True), (16_000, False)):
             with self.subTest(other_wait):
                 self.table = self.fresh()
-                self.hear(2)
+                self.receive_facts(2)
                 self.run_at(2)
                 for index in range(4):
                     tokens = 20_000 if index == 2 else other_wait
-                    self.hear(index, load=LoadReport(1, 0, tokens), now=NOW + 1)
+                    self.receive_facts(index, load=LoadReport(1, 0, tokens), now=NOW + 1)
                 choice = self.choose(now=NOW + 1)
                 self.assertEqual(choice.back_end != self.engines[2], moved)
 
@@ -198,7 +200,9 @@
                 first = self.choose().back_end
                 other = request(prompt="0000" * 20_000, name="q")
                 self.table.record_dispatch("n", self.table.choose(other, (first,), NONE, NOW), NOW)
-                self.hear(self.engines.index(first), load=LoadReport(1, 0, 20_000), now=NOW + 1)
+                self.receive_facts(
+                    self.engines.index(first), load=LoadReport(1, 0, 20_000), now=NOW + 1
+                )
                 asked = request()
                 asked = msgspec.structs.replace(
                     asked, request_class=RequestClass("c", priority=priority)
