--- a/hopstep/domain/limits/send_permits.py
+++ b/hopstep/domain/limits/send_permits.py
@@ -1,4 +1,4 @@
-"""Permits to send requests to an instance that takes only so many from all nodes together.
+"""Permits to send requests to an instance that limits the rate of all nodes together.
 
 One relay allocates permits (``PermitAllocator``), never more than the instance's limit leaves in a
 window; the other relays hold permits for their nodes, and each node for its own requests
--- a/hopstep/domain/membership/failure_detector.py
+++ b/hopstep/domain/membership/failure_detector.py
@@ -166,7 +166,7 @@
                 self._state.outbox.send(helper.record.peer_address, request, now)
 
     def _conclude(self, now: float) -> None:
-        """Suspect the target of a probe that nobody answered."""
+        """Suspect the target of a probe without any ack."""
         probe = self._prober.current
         self._prober.current = None
         if probe is None or probe.acked:
--- a/hopstep/domain/membership/outbox.py
+++ b/hopstep/domain/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages on their way out: piggybacked changes, within the byte budget."""
+"""Outgoing messages with piggybacked changes, within the byte budget."""
 
 from __future__ import annotations
 
@@ -85,9 +85,9 @@
         Returns:
             False when the budget allows no message now.
         """
-        known = list(extra)
+        required = list(extra)
         size = self._config.overhead_bytes + self._size_of(body)
-        size += sum(self._size_of(change) for change in known)
+        size += sum(self._size_of(change) for change in required)
         available = self._budget.available(now)
         if not self._budget.spend(size, now, essential=essential):
             self.withheld += 1
@@ -103,7 +103,7 @@
             membership_only=overdrawn,
         )
         self._charge(gossip, now)
-        self._actions.append(Send(address, _with_gossip(body, self._merge(gossip, known, now))))
+        self._actions.append(Send(address, _with_gossip(body, self._merge(gossip, required, now))))
         return True
 
     def send_values(self, address: str, body: Body, values: Iterable[Change], now: float) -> bool:
--- a/hopstep/domain/quarantine/crash_ledger.py
+++ b/hopstep/domain/quarantine/crash_ledger.py
@@ -3,8 +3,8 @@
 A request whose instance has terminated is one of perhaps many that were under way, and most of
 them have nothing to do with the termination. So a request is refused only when
 ``TERMINATIONS_TO_REFUSE`` instances have terminated under it. Each complete response to it clears
-one of these terminations, or disregards one to come: a request that merely was there is answered
-far more often than its instances terminate. A termination that another, refused request explains
+one of these terminations, or disregards one to come: a request that merely was under way gets far
+more responses than its instances terminate. A termination that another, refused request explains
 counts for that one only. The record of a request is dropped some time after the last termination.
 
 Times are of the steady clock, in seconds.
