--- a/hopstep/exchange_services.py
+++ b/hopstep/exchange_services.py
@@ -33,12 +33,12 @@
 from hopstep.services.exchanges.instances.store_watch import CacheStoreWatch
 from hopstep.services.exchanges.node_gauges import watch_knowledge, watch_limits, watch_work
 from hopstep.services.exchanges.pause_watch import PauseWatch
-from hopstep.services.exchanges.peers.crash_news import CrashNews
+from hopstep.services.exchanges.peers.crash_reports import CrashReports
 from hopstep.services.exchanges.peers.fleet_hints import FleetHints
 from hopstep.services.exchanges.peers.load_sharing import LoadSharing
 from hopstep.services.exchanges.peers.permit_sharing import PermitSharing
 from hopstep.services.exchanges.peers.relaying import Relaying
-from hopstep.services.exchanges.peers.urgent_box import UrgentBox
+from hopstep.services.exchanges.peers.urgent_queue import UrgentQueue
 from hopstep.services.exchanges.requests.quotas import Quotas
 from hopstep.services.exchanges.requests.service import ExchangeService
 from hopstep.services.exchanges.weights.rollout_lease import RolloutLease
@@ -118,18 +118,18 @@
             max(0.0, bounds.grace_seconds - CLOSING_SECONDS),
             min(ACCEPT_SECONDS, bounds.grace_seconds / 3),
         )
-        urgent = UrgentBox()
+        urgent = UrgentQueue()
         self.quarantine = Quarantine(settings.name)
-        self.knowledge.instances.follow_ends(
+        self.knowledge.instances.subscribe_terminations(
             lambda life, evidence: self.quarantine.note_ended(str(life), evidence)
         )
         self.quarantine.follow_ends(self._suspend_ended)
         self.quarantine_records = QuarantineRecords(self.quarantine, ports.store, generator)
-        self.knowledge.records.follow(
+        self.knowledge.records.subscribe_records(
             QUARANTINE_PREFIX,
             lambda record: self.quarantine_records.take(record.key, record.value, record.version),
         )
-        self.crash_news = CrashNews(self.quarantine, urgent)
+        self.crash_reports = CrashReports(self.quarantine, urgent)
         self.metrics = ExchangeMetrics(self.registry)
         self.notices = InstanceNotices(
             self.knowledge.table,
@@ -227,7 +227,7 @@
             nursery.start_soon(self.engine_watch.run)
             nursery.start_soon(self.quarantine.run)
             nursery.start_soon(self.quarantine_records.run)
-            nursery.start_soon(self.crash_news.run)
+            nursery.start_soon(self.crash_reports.run)
             nursery.start_soon(self.registration.run)
             nursery.start_soon(self.reaper.run)
             nursery.start_soon(self.lease.run)
--- a/hopstep/services/exchanges/directory/directory_follower.py
+++ b/hopstep/services/exchanges/directory/directory_follower.py
@@ -136,7 +136,7 @@
                 self._note_connection(True, "")
                 await trio.sleep_until(started_at + CALL_SPACING_SECONDS)
             except StoreHistoryLostError:
-                place = self._knowledge.place
+                place = self._knowledge.store_position
                 emit(log_events.DIRECTORY_HISTORY_LOST, era=place.era, revision=place.revision)
                 self._history_lost = True
             except StoreError as error:
@@ -234,12 +234,12 @@
     async def _call(self, sent_at: float) -> None:
         """Make one call and take what it says; after a failure one that is answered at once."""
         knowledge = self._knowledge
-        if self._history_lost or knowledge.place == NOWHERE:
+        if self._history_lost or knowledge.store_position == NOWHERE:
             knowledge.take_snapshot(await self._directory.snapshot(), sent_at)
             self._history_lost = False
             return
         placed_at = knowledge.history.reached_at
-        batch = await self._directory.changes(knowledge.place, self._wait_seconds(sent_at))
+        batch = await self._directory.changes(knowledge.store_position, self._wait_seconds(sent_at))
         now = trio.current_time()
         waited = now - sent_at > PROMPT_ANSWER_SECONDS and not self._pauses.has_just_ended
         since = now - WATCH_LAG_SECONDS if waited else min(sent_at, placed_at)
--- a/hopstep/services/exchanges/directory/instance_changes.py
+++ b/hopstep/services/exchanges/directory/instance_changes.py
@@ -48,7 +48,7 @@
         self._end_listeners: list[EndListener] = []
         self._ended: OrderedDict[InstanceLife, None] = OrderedDict()
 
-    def follow_ends(self, listener: EndListener) -> None:
+    def subscribe_terminations(self, listener: EndListener) -> None:
         """Tell a listener of instances that the directory shows to have ended."""
         self._end_listeners.append(listener)
 
@@ -99,7 +99,7 @@
         while len(self._ended) > MAX_ENDED_LIVES:
             self._ended.popitem(last=False)
 
-    def expire_lapsed(self) -> None:
+    def remove_expired(self) -> None:
         """Forget instances whose entries lapsed while the store was away and didn't come back."""
         for instance in self._table.expire(trio.current_time()):
             self._note_ended(instance.life, EndEvidence.UNLISTED)
--- a/hopstep/services/exchanges/directory/knowledge.py
+++ b/hopstep/services/exchanges/directory/knowledge.py
@@ -101,11 +101,11 @@
         self.instances = InstanceChanges(table, self.contact)
         self.records = KnownRecords(self.node_book)
         self.keys = KeyFreshness(revocation_seconds)
-        self.node_heard_at = -float("inf")
+        self.last_answer_at = -float("inf")
         self.changed = trio.Event()
         self._count_rejected: Callable[[RejectReason], None] = lambda _reason: None
 
-    def follow_rejections(self, listener: Callable[[RejectReason], None]) -> None:
+    def subscribe_rejections(self, listener: Callable[[RejectReason], None]) -> None:
         """Tell a listener of each document that can't be trusted."""
         self._count_rejected = listener
 
@@ -126,9 +126,9 @@
         return any(service.engine is not None for service in services)
 
     @property
-    def place(self) -> StorePlace:
+    def store_position(self) -> StorePlace:
         """Everything up to this place in the store's history is known."""
-        return self.history.place
+        return self.history.store_position
 
     @property
     def nodes(self) -> Mapping[str, NodeRecord]:
@@ -175,7 +175,7 @@
         entry = self.feed.get(key)
         if entry is None or entry.removed:
             return ABSENT
-        return StorePlace(self.place.era, entry.place.revision)
+        return StorePlace(self.store_position.era, entry.place.revision)
 
     def take_snapshot(self, batch: DirectoryBatch, sent_at: float) -> None:
         """Take all entries of the store; what isn't among them doesn't exist.
@@ -188,7 +188,7 @@
             StoreError: When the answer was made before the store's last restore.
         """
         self.history.require_current(batch.place)
-        reached_at, is_first = self.history.reached_at, self.place == NOWHERE
+        reached_at, is_first = self.history.reached_at, self.store_position == NOWHERE
         since = max(reached_at - DEAF_SECONDS, self.weights.oldest_since(sent_at))
         self.contact.note_return(trio.current_time())
         if self.history.is_later_era(batch.place):
--- a/hopstep/services/exchanges/directory/known_records.py
+++ b/hopstep/services/exchanges/directory/known_records.py
@@ -30,7 +30,7 @@
         self._nodes = nodes
         self._listeners: dict[str, RecordListener] = {}
 
-    def follow(self, prefix: str, listener: RecordListener) -> None:
+    def subscribe_records(self, prefix: str, listener: RecordListener) -> None:
         """Tell a listener of the keys under a prefix."""
         self._listeners[prefix] = listener
 
--- a/hopstep/services/exchanges/directory/registration.py
+++ b/hopstep/services/exchanges/directory/registration.py
@@ -82,7 +82,7 @@
                 await self._wait_restored(lease)
                 spread = rewriting_seconds(self._knowledge.count_nodes())
                 await trio.sleep(spread * self._generator.random())
-                emit(log_events.OWN_ENTRY_REWRITTEN, era=self._knowledge.place.era)
+                emit(log_events.OWN_ENTRY_REWRITTEN, era=self._knowledge.store_position.era)
                 return
             try:
                 await self._store.keep_alive(lease)
@@ -91,5 +91,5 @@
 
     async def _wait_restored(self, lease: StoreLease) -> None:
         """Wait until the store is known to have been restored since a lease was granted."""
-        while self._knowledge.place.era <= lease.era:
+        while self._knowledge.store_position.era <= lease.era:
             await self._knowledge.changed.wait()
--- a/hopstep/services/exchanges/directory/store_history.py
+++ b/hopstep/services/exchanges/directory/store_history.py
@@ -40,7 +40,7 @@
             nodes: Told of it: entries of nodes may be missing.
             feed: Told where an era is left.
         """
-        self.place = NOWHERE
+        self.store_position = NOWHERE
         self.reached_at = -float("inf")
         self.restored_at = -float("inf")
         self.copy = RestoredCopy()
@@ -60,19 +60,19 @@
 
     def require_current(self, place: StorePlace) -> None:
         """Raise ``StoreError`` for an answer that was made before the store's last restore."""
-        if place.era >= self.place.era:
+        if place.era >= self.store_position.era:
             return
         emit(
             log_events.STORE_ANSWER_OUTDATED,
             era=place.era,
             revision=place.revision,
-            known_era=self.place.era,
+            known_era=self.store_position.era,
         )
         raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the answer is of before a restore")
 
     def is_later_era(self, place: StorePlace) -> bool:
         """Return whether a place shows that the store has been restored."""
-        return self.place != NOWHERE and place.era > self.place.era
+        return self.store_position != NOWHERE and place.era > self.store_position.era
 
     def enter(self, place: StorePlace, source: str, losses: CopyLosses) -> None:
         """Go on in a later era.
@@ -83,23 +83,23 @@
             losses: What the copy is known to lack.
         """
         self._note_restore(place)
-        self._feed.leave(self.place)
+        self._feed.leave(self.store_position)
         age = trio.current_time() - losses.since
         emit(
             log_events.STORE_ERA_CHANGED,
             era=place.era,
-            previous=self.place.era,
+            previous=self.store_position.era,
             revision=place.revision,
-            previous_revision=self.place.revision,
+            previous_revision=self.store_position.revision,
             copy_age_seconds=round(age, 3) if math.isfinite(age) else NO_AGE_SECONDS,
             lacking=losses.by_kind,
             source=source,
         )
-        self.place = StorePlace(place.era, NOWHERE.revision)
+        self.store_position = StorePlace(place.era, NOWHERE.revision)
 
     def reach(self, place: StorePlace, at: float) -> None:
         """Note that everything up to a place is known, which was the newest at a time."""
-        self.place = max(self.place, place)
+        self.store_position = max(self.store_position, place)
         self.reached_at = max(self.reached_at, at)
 
     def suspect_restore(self, place: StorePlace) -> None:
--- a/hopstep/services/exchanges/node_gauges.py
+++ b/hopstep/services/exchanges/node_gauges.py
@@ -14,7 +14,9 @@
 
 def watch_knowledge(metrics: ExchangeMetrics, knowledge: ServingKnowledge) -> None:
     """Show what a node knows, and how old it is."""
-    knowledge.follow_rejections(lambda reason: metrics.rejected_entries.labels(reason.value).inc())
+    knowledge.subscribe_rejections(
+        lambda reason: metrics.rejected_entries.labels(reason.value).inc()
+    )
     metrics.watch(
         "hopstep_knowledge_age_seconds",
         "Age of what is known of configuration, keys and instances.",
@@ -28,7 +30,7 @@
     metrics.watch(
         "hopstep_store_era",
         "How often the store had been restored from a copy, by the newest answer; -1 for none.",
-        lambda: knowledge.place.era,
+        lambda: knowledge.store_position.era,
     )
     metrics.watch(
         "hopstep_serving_configuration_version",
--- a/hopstep/services/exchanges/peers/answer_taking.py
+++ b/hopstep/services/exchanges/peers/answer_processor.py
@@ -16,7 +16,7 @@
 from hopstep.services.exchanges.peers.told_places import ToldPlaces
 
 
-class AnswerTaking:
+class AnswerProcessor:
     """Puts answers into a node's knowledge, dated by when their queries were sent."""
 
     def __init__(self, knowledge: ServingKnowledge, documents: DocumentExchange) -> None:
@@ -43,9 +43,9 @@
         if answer.age_ms == UNKNOWN_AGE_MS:
             return False
         reached = self._places.read(query.node, answer.place)
-        if self._places.read(query.node, answer.after_place) > knowledge.place:
+        if self._places.read(query.node, answer.after_place) > knowledge.store_position:
             return False
-        if reached.era < knowledge.place.era:
+        if reached.era < knowledge.store_position.era:
             return False
         heard_at = store_heard_at(answer, query.sent_at)
         knowledge.contact.note_return(heard_at)
--- a/hopstep/services/exchanges/peers/crash_news.py
+++ b/hopstep/services/exchanges/peers/crash_reports.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from hopstep.services.exchanges.peers.urgent_box import UrgentBox
+from hopstep.services.exchanges.peers.urgent_queue import UrgentQueue
 from hopstep.services.quarantine.quarantine import Quarantine
 
 REPEAT_SECONDS = (0.3, 0.9)
@@ -22,10 +22,10 @@
 """Waiting; further ones are told once."""
 
 
-class CrashNews:
+class CrashReports:
     """Puts what was seen into the box of urgent news, and again later."""
 
-    def __init__(self, quarantine: Quarantine, urgent: UrgentBox) -> None:
+    def __init__(self, quarantine: Quarantine, urgent: UrgentQueue) -> None:
         """Follow what this node sees.
 
         Args:
--- a/hopstep/services/exchanges/peers/load_sharing.py
+++ b/hopstep/services/exchanges/peers/load_sharing.py
@@ -24,7 +24,7 @@
 )
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.instances.instance_notices import InstanceNotices
-from hopstep.services.exchanges.peers.urgent_box import UrgentBox
+from hopstep.services.exchanges.peers.urgent_queue import UrgentQueue
 
 ANSWERS = "answers"
 """Source of the loads that a relay's answer tells: of all other nodes together."""
@@ -47,7 +47,7 @@
     """Collects hints of this node and of others, and puts them into the views of instances."""
 
     def __init__(
-        self, knowledge: ServingKnowledge, urgent: UrgentBox, notices: InstanceNotices
+        self, knowledge: ServingKnowledge, urgent: UrgentQueue, notices: InstanceNotices
     ) -> None:
         """Start with nothing to tell.
 
@@ -122,7 +122,7 @@
         """Return whether a node asked this one lately."""
         return node in self.members()
 
-    def take_news(
+    def apply_urgent(
         self, node: str, prompts: Iterable[SentPrompt], loading: Iterable[LoadingEngine]
     ) -> None:
         """Take urgent news.
--- a/hopstep/services/exchanges/peers/news_spreading.py
+++ b/hopstep/services/exchanges/peers/news_spreading.py
@@ -20,7 +20,7 @@
 )
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.peers.load_sharing import LoadSharing
-from hopstep.services.exchanges.peers.urgent_box import UrgentBox
+from hopstep.services.exchanges.peers.urgent_queue import UrgentQueue
 from hopstep.services.quarantine.quarantine import Quarantine
 
 
@@ -31,7 +31,7 @@
         self,
         knowledge: ServingKnowledge,
         sharing: LoadSharing,
-        urgent: UrgentBox,
+        urgent: UrgentQueue,
         quarantine: Quarantine,
         exchange: NodeExchange,
     ) -> None:
--- a/hopstep/services/exchanges/peers/permit_sharing.py
+++ b/hopstep/services/exchanges/peers/permit_sharing.py
@@ -26,7 +26,7 @@
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.instances.instance_limits import InstanceLimits
 from hopstep.services.exchanges.instances.instance_notices import InstanceNotices
-from hopstep.services.exchanges.peers.usage_book import UsageBook
+from hopstep.services.exchanges.peers.usage_registry import UsageRegistry
 
 MILLISECONDS = 1_000
 UNSEEN_SECONDS = 0.3
@@ -54,7 +54,7 @@
             notices: Which instances have limits.
             limits: This node's own permits and wants.
         """
-        self.book = UsageBook(knowledge, WINDOW_SECONDS, limits.own_report)
+        self.book = UsageRegistry(knowledge, WINDOW_SECONDS, limits.own_report)
         self._knowledge = knowledge
         self._notices = notices
         self._limits = limits
--- a/hopstep/services/exchanges/peers/relay_answers.py
+++ b/hopstep/services/exchanges/peers/relay_answers.py
@@ -80,14 +80,14 @@
             identity = self._sharing.log.identity
             answer = msgspec.structs.replace(answer, feed=identity, position=position, hints=hints)
         asked_after = self._places.read(asker, query.place)
-        if asked_after > knowledge.place:
+        if asked_after > knowledge.store_position:
             return answer
         changes = knowledge.feed.after(asked_after)
         if changes is None:
-            return msgspec.structs.replace(answer, beyond_reach=knowledge.place != NOWHERE)
+            return msgspec.structs.replace(answer, beyond_reach=knowledge.store_position != NOWHERE)
         part = _first_part(changes)
         complete = len(part) == len(changes)
-        reached = knowledge.place if complete else part[-1].place
+        reached = knowledge.store_position if complete else part[-1].place
         return msgspec.structs.replace(
             answer,
             revision=reached.revision,
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -30,7 +30,7 @@
 from hopstep.services.exchanges.directory.news import STORE_SOURCE
 from hopstep.services.exchanges.instances.store_watch import CacheStoreWatch
 from hopstep.services.exchanges.pause_watch import PauseWatch
-from hopstep.services.exchanges.peers.answer_taking import AnswerTaking
+from hopstep.services.exchanges.peers.answer_processor import AnswerProcessor
 from hopstep.services.exchanges.peers.document_exchange import DocumentExchange
 from hopstep.services.exchanges.peers.fleet_hints import FleetHints
 from hopstep.services.exchanges.peers.load_sharing import LoadSharing
@@ -38,7 +38,7 @@
 from hopstep.services.exchanges.peers.news_spreading import NewsSpreading
 from hopstep.services.exchanges.peers.pending_queries import PendingQueries, PendingQuery
 from hopstep.services.exchanges.peers.relay_answers import RelayAnswers
-from hopstep.services.exchanges.peers.urgent_box import UrgentBox
+from hopstep.services.exchanges.peers.urgent_queue import UrgentQueue
 from hopstep.services.quarantine.quarantine import Quarantine
 
 SEEK_NODES = 2
@@ -54,7 +54,7 @@
         sharing: LoadSharing,
         store_watch: CacheStoreWatch,
         follower: DirectoryFollower,
-        urgent: UrgentBox,
+        urgent: UrgentQueue,
         quarantine: Quarantine,
         hints: FleetHints,
         exchange: NodeExchange,
@@ -89,7 +89,7 @@
         self._turn = hash_name(knowledge.name)
         self._pending = PendingQueries()
         self._answers = RelayAnswers(knowledge, self._documents, hints, sharing, store_watch)
-        self._taking = AnswerTaking(knowledge, self._documents)
+        self._taking = AnswerProcessor(knowledge, self._documents)
         self._feed = ""
         self._position = 0
         self._source = STORE_SOURCE
@@ -160,7 +160,7 @@
         pending = PendingQuery(node, trio.current_time(), hints is not None)
         self._pending.add(self._number, pending)
         self._knowledge.relays.note_asked(node)
-        place = self._knowledge.place
+        place = self._knowledge.store_position
         query = RelayQuery(
             self._number,
             place.revision,
@@ -202,7 +202,7 @@
             case RelayDigest():
                 self._hints.take_digest(received.sender, message.number, message.hints)
             case UrgentNews():
-                self._sharing.take_news(received.sender, message.prompts, message.loading)
+                self._sharing.apply_urgent(received.sender, message.prompts, message.loading)
                 self._quarantine.take(message.crashes)
                 await self._news.pass_on(received.sender, message)
 
@@ -219,7 +219,7 @@
         pending = self._pending.take(answer.number, sender)
         if pending is None:
             return
-        self._knowledge.node_heard_at = trio.current_time()
+        self._knowledge.last_answer_at = trio.current_time()
         if pending.asks_hints and sender == self._knowledge.relays.relay():
             self._hints.take_answer(sender, answer.hints, pending.sent_at)
             self._store_watch.take(answer.contents)
--- a/hopstep/services/exchanges/peers/told_places.py
+++ b/hopstep/services/exchanges/peers/told_places.py
@@ -27,9 +27,13 @@
         """
         record = self._knowledge.nodes.get(node)
         told = record is not None and record.form >= FORM_WITH_ERAS
-        if told or place == NOWHERE or self._knowledge.place == NOWHERE:
+        if told or place == NOWHERE or self._knowledge.store_position == NOWHERE:
             return place
-        era = UNTOLD_ERA if self._knowledge.history.was_restored else self._knowledge.place.era
+        era = (
+            UNTOLD_ERA
+            if self._knowledge.history.was_restored
+            else self._knowledge.store_position.era
+        )
         return StorePlace(era, place.revision)
 
     def era_of(self, node: str, entry: ToldEntry) -> int:
--- a/hopstep/services/exchanges/peers/urgent_box.py
+++ b/hopstep/services/exchanges/peers/urgent_queue.py
@@ -25,7 +25,7 @@
     requests: tuple[bytes, ...]
 
 
-class UrgentBox:
+class UrgentQueue:
     """Collects news.
 
     Attributes:
--- a/hopstep/services/exchanges/peers/usage_book.py
+++ b/hopstep/services/exchanges/peers/usage_registry.py
@@ -17,7 +17,7 @@
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 
 
-class UsageBook:
+class UsageRegistry:
     """Joins the reports of nodes; messages that nodes send each other anyway carry them."""
 
     def __init__(
--- a/hopstep/services/exchanges/requests/instance_choice.py
+++ b/hopstep/services/exchanges/requests/instance_choice.py
@@ -88,7 +88,7 @@
             only: Id of the one instance that it may go to; none for any that wasn't tried.
         """
         self._pauses.look()
-        self._knowledge.instances.expire_lapsed()
+        self._knowledge.instances.remove_expired()
         now = trio.current_time()
         eligible = self._eligible(request, service, tried, now)
         if only:
--- a/hopstep/services/exchanges/requests/quotas.py
+++ b/hopstep/services/exchanges/requests/quotas.py
@@ -22,7 +22,7 @@
 from hopstep.exceptions import ErrorCode, ServiceError
 from hopstep.logs import emit
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
-from hopstep.services.exchanges.peers.usage_book import UsageBook
+from hopstep.services.exchanges.peers.usage_registry import UsageRegistry
 
 MILLISECONDS = 1_000
 
@@ -54,7 +54,7 @@
         self._started_at = trio.current_time()
         self._told = trio.Event()
         self._ledger = QuotaLedger(bounds, self._started_at)
-        self.book = UsageBook(knowledge, bounds.window_seconds, self._own_report)
+        self.book = UsageRegistry(knowledge, bounds.window_seconds, self._own_report)
 
     async def require(self, request: ExchangeRequest) -> None:
         """Count a request, or refuse it.
--- a/hopstep/services/exchanges/requests/retry_advisor.py
+++ b/hopstep/services/exchanges/requests/retry_advisor.py
@@ -87,7 +87,7 @@
             limited_seconds=None if views else min(limited, default=None),
             relisting_seconds=None if views else knowledge.contact.relisting_seconds(now),
             store_silence_seconds=now - knowledge.contact.heard_at,
-            others_answer=now - knowledge.node_heard_at < ANSWERED_SECONDS,
+            others_answer=now - knowledge.last_answer_at < ANSWERED_SECONDS,
         )
         return self._spread(facts, now)
 
--- a/hopstep/services/exchanges/requests/service.py
+++ b/hopstep/services/exchanges/requests/service.py
@@ -191,8 +191,8 @@
                 kept_from=outcome.kept_from,
                 configuration=self._version(),
                 age_ms=self._knowledge.keys.shown_age_ms,
-                era=self._knowledge.place.era,
-                revision=self._knowledge.place.revision,
+                era=self._knowledge.store_position.era,
+                revision=self._knowledge.store_position.revision,
                 retry_after_ms=_retry_after_ms(advice),
                 retry_reason=advice.reason.value if advice is not None else "",
             )
@@ -211,8 +211,8 @@
             reason=error.message,
             configuration=self._version(),
             age_ms=self._knowledge.keys.shown_age_ms,
-            era=self._knowledge.place.era,
-            revision=self._knowledge.place.revision,
+            era=self._knowledge.store_position.era,
+            revision=self._knowledge.store_position.revision,
             retry_after_ms=_retry_after_ms(advice),
             retry_reason=advice.reason.value,
         )
--- a/hopstep/services/exchanges/weights/rollout_lease.py
+++ b/hopstep/services/exchanges/weights/rollout_lease.py
@@ -117,7 +117,7 @@
         self._released = True
         self._lose("released")
         lease = self._tenure.lease
-        if lease is None or lease.era != self._knowledge.place.era:
+        if lease is None or lease.era != self._knowledge.store_position.era:
             return
         try:
             await self._store.end_lease(lease)
@@ -166,8 +166,8 @@
 
     def _see_era(self) -> None:
         """Take the era that the directory is known to be in, and when a restore was noticed."""
-        if self._knowledge.place != NOWHERE:
-            self._tenure.see_era(self._knowledge.place.era, trio.current_time())
+        if self._knowledge.store_position != NOWHERE:
+            self._tenure.see_era(self._knowledge.store_position.era, trio.current_time())
         self._tenure.suspect_restore(self._knowledge.history.restored_at)
 
     @property
--- a/tests/services/exchanges/restore_scale.py
+++ b/tests/services/exchanges/restore_scale.py
@@ -43,7 +43,7 @@
     knowledge.feed.__init__()
     knowledge.configuration.index = None
     knowledge.table.retain(set())
-    knowledge.history.place = NOWHERE
+    knowledge.history.store_position = NOWHERE
 
 
 class Measured(msgspec.Struct):
@@ -120,7 +120,7 @@
     calls, sent = world.calls, world.network.bytes
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
-            watch_nodes, world, found.learned, lambda k: k.place.era == 1 and k.index
+            watch_nodes, world, found.learned, lambda k: k.store_position.era == 1 and k.index
         )
         nursery.start_soon(count_writes, world, found)
         await trio.sleep(RESTATED_SECONDS)
--- a/tests/services/exchanges/test_crash_news.py
+++ b/tests/services/exchanges/test_crash_news.py
@@ -6,8 +6,8 @@
 
 from emulator.virtual_time import run_in_virtual_time
 from hopstep.domain.quarantine.crashes import InstanceSign, RequestName
-from hopstep.services.exchanges.peers.crash_news import MAX_REPEATS, REPEAT_SECONDS, CrashNews
-from hopstep.services.exchanges.peers.urgent_box import MAX_REQUESTS, UrgentBox
+from hopstep.services.exchanges.peers.crash_reports import MAX_REPEATS, REPEAT_SECONDS, CrashReports
+from hopstep.services.exchanges.peers.urgent_queue import MAX_REQUESTS, UrgentQueue
 from hopstep.services.quarantine.quarantine import Quarantine
 
 
@@ -18,8 +18,8 @@
 class CrashNewsTest(unittest.TestCase):
     def run_script(self, script):
         async def main():
-            quarantine, box = Quarantine("n1"), UrgentBox()
-            news = CrashNews(quarantine, box)
+            quarantine, box = Quarantine("n1"), UrgentQueue()
+            news = CrashReports(quarantine, box)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(quarantine.run)
                 nursery.start_soon(news.run)
--- a/tests/services/exchanges/test_instance_lives.py
+++ b/tests/services/exchanges/test_instance_lives.py
@@ -161,7 +161,7 @@
             first = await self.second_life(world)
             sharing = world.nodes[0].sharing
             segments = SegmentNews(first, (SegmentKey(7, 800),))
-            sharing.take_news("n1", (SentPrompt(segments, 9_000),), (LoadingEngine(first, 900),))
+            sharing.apply_urgent("n1", (SentPrompt(segments, 9_000),), (LoadingEngine(first, 900),))
             view = self.views(world)[0]
             now = trio.current_time()
             self.assertEqual(view.total_pending_tokens(now), 0)
--- a/tests/services/exchanges/test_instance_notices.py
+++ b/tests/services/exchanges/test_instance_notices.py
@@ -235,7 +235,7 @@
 
         async def script(world):
             ended = []
-            world.nodes[0].knowledge.instances.follow_ends(
+            world.nodes[0].knowledge.instances.subscribe_terminations(
                 lambda life, _evidence: ended.append(life)
             )
             self.tell(world)
--- a/tests/services/exchanges/test_quotas.py
+++ b/tests/services/exchanges/test_quotas.py
@@ -142,7 +142,7 @@
                 world.start_node(nursery, "late")
                 answer = await world.request("stream", -1, usage_tokens=4_000)
                 self.assertIsNone(answer.error)
-                self.assertTrue(world.nodes[-1].knowledge.node_heard_at > 0)
+                self.assertTrue(world.nodes[-1].knowledge.last_answer_at > 0)
                 nursery.cancel_scope.cancel()
 
         self.run_world(script)
--- a/tests/services/exchanges/test_relaying.py
+++ b/tests/services/exchanges/test_relaying.py
@@ -17,7 +17,7 @@
     InstanceListed,
     InstanceRemoved,
 )
-from hopstep.services.exchanges.peers import answer_taking, relay_answers
+from hopstep.services.exchanges.peers import answer_processor, relay_answers
 from tests.services.exchanges.exchange_world import (
     BOUNDS,
     MODEL,
@@ -267,12 +267,12 @@
                 self.assertEqual(self.late_runs(seed), [])
 
     def test_dating_by_the_arrival_of_an_answer_is_caught(self):
-        confirm = answer_taking.AnswerTaking._confirm_keys
+        confirm = answer_processor.AnswerProcessor._confirm_keys
 
         def by_arrival(self, answer, _sent_at):
             confirm(self, answer, trio.current_time())
 
-        with mock.patch.object(answer_taking.AnswerTaking, "_confirm_keys", by_arrival):
+        with mock.patch.object(answer_processor.AnswerProcessor, "_confirm_keys", by_arrival):
             self.assertTrue(self.late_runs_behind_slow_frames())
 
     def test_confirming_by_a_part_of_the_changes_is_caught(self):
--- a/tests/services/exchanges/test_suspensions.py
+++ b/tests/services/exchanges/test_suspensions.py
@@ -188,7 +188,9 @@
                         for node in world.nodes:
                             knowledge = node.knowledge
                             missed = [
-                                at for r, at in published.items() if r > knowledge.place.revision
+                                at
+                                for r, at in published.items()
+                                if r > knowledge.store_position.revision
                             ]
                             if missed and knowledge.keys.confirmed_at > min(missed):
                                 wrong.append((trio.current_time(), knowledge.name))
