--- a/hopstep/services/exchanges/directory/__init__.py
+++ b/hopstep/services/exchanges/directory/__init__.py
@@ -1,1 +1,1 @@
-"""What a node knows from the store, and how it follows and registers itself there."""
+"""The node's view of the store's directory: reading, following and registering in it."""
--- a/hopstep/services/exchanges/directory/copy_losses.py
+++ b/hopstep/services/exchanges/directory/copy_losses.py
@@ -1,4 +1,4 @@
-"""What a copy, from which the store came back, lacks of what a node knows."""
+"""Compares the backup that the store was restored from with the changes that a node has."""
 
 from __future__ import annotations
 
@@ -20,45 +20,45 @@
 )
 from hopstep.services.exchanges.directory.records import NODES_PREFIX, ROLLOUT_KEY
 
-Feed = DirectoryFeed[DirectoryEntry]
+EntryFeed = DirectoryFeed[DirectoryEntry]
 
 
-class CopyLosses(msgspec.Struct, frozen=True):
-    """What a copy lacks.
+class BackupLosses(msgspec.Struct, frozen=True):
+    """Changes that are missing in the backup.
 
     Attributes:
-        by_kind: How many changes of each kind; see ``_kind_of``.
-        since: Steady clock, seconds: not later than the oldest of them was acknowledged, so the
-            copy is about that old at least; infinite when nothing is known to be lost.
+        by_kind: Number of missing changes of each kind; see ``_kind_of``.
+        since: Steady clock, seconds: not later than the store acknowledged the oldest missing
+            change, so the backup is at least about that old; infinite when none is missing.
     """
 
     by_kind: Mapping[str, int] = {}
     since: float = float("inf")
 
 
-def losses_of(batch: DirectoryBatch, feed: Feed) -> CopyLosses:
-    """Return what a listing of the restored store lacks of the changes that are known.
+def find_losses(batch: DirectoryBatch, feed: EntryFeed) -> BackupLosses:
+    """Return the known changes that are missing in a listing of the restored store.
 
     Args:
-        batch: All that the store shows.
-        feed: What is known from before.
+        batch: All entries of the restored store.
+        feed: The changes that the node had before the restore.
     """
-    shown = {entry.key: entry for entry in batch.entries}
-    lost = [known for known in feed.newest() if _is_lost(known, shown.get(known.key))]
-    by_kind = Counter(_kind_of(known.change) for known in lost)
-    since = min((known.since for known in lost), default=float("inf"))
-    return CopyLosses(dict(sorted(by_kind.items())), since)
+    listed = {entry.key: entry for entry in batch.entries}
+    missing = [known for known in feed.newest() if _is_missing(known, listed.get(known.key))]
+    by_kind = Counter(_kind_of(known.change) for known in missing)
+    since = min((known.since for known in missing), default=float("inf"))
+    return BackupLosses(dict(sorted(by_kind.items())), since)
 
 
-def _is_lost(known: FeedEntry[DirectoryEntry], shown: DirectoryEntry | None) -> bool:
-    """Return whether a change was made after the copy, as far as revisions tell."""
-    if shown is None:
+def _is_missing(known: FeedEntry[DirectoryEntry], listed: DirectoryEntry | None) -> bool:
+    """Return whether a change is newer than the backup, judged by its revision."""
+    if listed is None:
         return not known.removed
-    return known.removed or shown.place.revision < known.place.revision
+    return known.removed or listed.place.revision < known.place.revision
 
 
 def _kind_of(entry: DirectoryEntry) -> str:
-    """Return the name of a kind of change, as the log shows it."""
+    """Return the kind of a change, as it is written to the log."""
     match entry.change:
         case ConfigurationPublished():
             return "configuration"
@@ -74,7 +74,7 @@
 
 
 def _record_kind(key: str) -> str:
-    """Return the kind of a key of hopstep's own."""
+    """Return the kind of a key that hopstep's nodes write themselves."""
     if key == ROLLOUT_KEY:
         return "rollout"
     return "node" if key.startswith(NODES_PREFIX) else "record"
--- a/hopstep/services/exchanges/directory/key_freshness.py
+++ b/hopstep/services/exchanges/directory/key_freshness.py
@@ -1,4 +1,4 @@
-"""Until when keys may be taken for valid: while no end of one can have gone unnoticed for long."""
+"""Bounds how long the node accepts API keys without a confirmation that none was revoked."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from hopstep.logs import emit
 
 MARGIN_SECONDS = 0.6
-"""Requests with keys are refused this long before the revocation bound."""
+"""Requests with keys are refused this many seconds before the revocation bound."""
 
 OVERDUE = "overdue"
-"""Reason of a lost store whose answer is still waited for when the first request is refused."""
+"""Logged reason of a lost store while the node still waits for its answer."""
 
 NO_AGE_MS = -1
 MILLISECONDS = 1_000
 
 
 class KeyFreshness:
-    """Dates what a node knows of keys.
+    """Keeps the time up to which the node's view of keys is confirmed.
 
     Attributes:
-        confirmed_at: Before this time no key was taken away without the node's knowledge.
+        confirmed_at: Steady clock, seconds: the node has all revocations made before this time.
     """
 
     def __init__(self, revocation_seconds: float) -> None:
-        """Know nothing yet.
+        """Start unconfirmed.
 
         Args:
-            revocation_seconds: Longest time for which a key may be taken for valid.
+            revocation_seconds: Longest time for which a revoked key may still be accepted.
         """
         self.confirmed_at = -float("inf")
         self._max_age = revocation_seconds - MARGIN_SECONDS
@@ -39,22 +39,22 @@
 
     @property
     def age_seconds(self) -> float:
-        """Time since ``confirmed_at``; infinite before the first."""
+        """Time since ``confirmed_at``; infinite before the first confirmation."""
         return trio.current_time() - self.confirmed_at
 
     @property
     def shown_age_ms(self) -> int:
-        """The age as log lines show it; ``NO_AGE_MS`` when nothing was ever confirmed."""
+        """The age for the log, in milliseconds; ``NO_AGE_MS`` before the first confirmation."""
         age = self.age_seconds
         return round(age * MILLISECONDS) if math.isfinite(age) else NO_AGE_MS
 
     @property
     def is_fresh(self) -> bool:
-        """Whether keys may still be taken for valid."""
+        """Whether keys may still be accepted."""
         return self.age_seconds <= self._max_age
 
     def require(self) -> None:
-        """Raise ``ISOLATED`` when keys may have been revoked without this node's knowledge."""
+        """Raise ``ServiceError`` (``ISOLATED``) if keys may have been revoked unnoticed."""
         if not self.is_fresh:
             self._note_expired()
             raise ServiceError(
@@ -62,10 +62,10 @@
             )
 
     def confirm(self, confirmed_at: float) -> bool:
-        """Take a time by which no key was taken away unnoticed; return whether that made it fresh.
+        """Confirm keys as of a time; return whether they became fresh by that.
 
         Args:
-            confirmed_at: The time, by this node's steady clock.
+            confirmed_at: Time of the confirmation, by this node's steady clock.
         """
         was_fresh = self.is_fresh
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
@@ -75,7 +75,7 @@
         return self.is_fresh and not was_fresh
 
     def _note_expired(self) -> None:
-        """Log once that the node no longer knows enough."""
+        """Log once that the confirmation of keys is too old."""
         if self._expired:
             return
         self._expired = True
--- a/hopstep/services/exchanges/directory/knowledge.py
+++ b/hopstep/services/exchanges/directory/knowledge.py
@@ -1,15 +1,15 @@
-"""What a node knows of configuration, instances, weights and nodes, and how old it is.
+"""A node's view of configuration, instances, weights and nodes, and the age of that view.
 
-Everything comes from the serving directory: read from the store by this node, or told by another
+All of it comes from the serving directory: read from the store by this node, or reported by another
 node. Ages count from the sending of the call or query that was answered, plus the age that the
-answering node told. While the store is down the node goes on with what it has; requests with keys
-are refused once the age of keys exceeds the revocation bound. Beside the ages a node knows the
-silence: the time since the store last answered it or whoever told it (see
+answering node reported. While the store is down the node continues with what it has; requests with
+keys are refused once the age of keys exceeds the revocation bound. A node also tracks the time
+since the store last answered it or the nodes that report to it (see
 ``domain.exchanges.freshness``).
 
-Each kind of document is kept by a module of its own, in its own order where it has one: a
-configuration and named weights by version, a life of an instance by its start and by its word that
-it leaves. For the rest the place in the store's history decides.
+Each kind of document has a module of its own and, where it has one, its own order: configuration
+and named weights are ordered by version, incarnations of an instance by their start and by their
+announced shutdown. All others are ordered by store position.
 """
 
 from __future__ import annotations
@@ -42,24 +42,28 @@
     Unreadable,
     WeightsPublished,
 )
-from hopstep.services.exchanges.directory.copy_losses import CopyLosses, losses_of
+from hopstep.services.exchanges.directory.change_origin import (
+    STORE_SOURCE,
+    ChangeOrigin,
+    feed_entry,
+)
+from hopstep.services.exchanges.directory.copy_losses import BackupLosses, find_losses
 from hopstep.services.exchanges.directory.instance_changes import InstanceChanges
 from hopstep.services.exchanges.directory.key_freshness import KeyFreshness
 from hopstep.services.exchanges.directory.known_configuration import KnownConfiguration
 from hopstep.services.exchanges.directory.known_nodes import KnownNodes
 from hopstep.services.exchanges.directory.known_records import KnownRecords
 from hopstep.services.exchanges.directory.known_weights import KnownWeights
-from hopstep.services.exchanges.directory.news import STORE_SOURCE, News, feed_entry
 from hopstep.services.exchanges.directory.store_history import StoreHistory
 
-DEAF_SECONDS = 1.0
-"""A watch may have heard nothing for so long before its history was lost."""
+MAX_WATCH_GAP_SECONDS = 1.0
+"""Longest time for which a watch may have received nothing before its history was lost."""
 
 FIRST_READING_SECONDS = 1.0
-"""So long after its start a node lets requests wait for its first reading of the store.
+"""Time after a node's start in which requests wait for its first reading of the store.
 
-The reading takes some 20 ms, ten times that where the store is slow. Requests that come later than
-this find a store that doesn't answer and are refused at once.
+The reading takes some 20 ms, ten times that if the store is slow. After this time the store counts
+as unavailable, and requests are refused at once.
 """
 
 MILLISECONDS = 1_000
@@ -68,7 +72,7 @@
 
 
 class ServingKnowledge:
-    """Takes what the directory says; readers look at its fields."""
+    """Applies changes of the directory; readers use its fields."""
 
     def __init__(
         self,
@@ -78,14 +82,14 @@
         weights: WeightsBook,
         revocation_seconds: float,
     ) -> None:
-        """Know nothing yet. Must be called inside the event loop.
+        """Start with an empty view. Must be called inside the event loop.
 
         Args:
             name: Name of this node.
-            record: Its entry for other nodes.
-            table: Takes the instances.
-            weights: Takes the named weights.
-            revocation_seconds: Longest time for which a key may be taken for valid.
+            record: Its record for other nodes.
+            table: Receives the instances.
+            weights: Receives the named weights.
+            revocation_seconds: Longest time for which a revoked key may still be accepted.
         """
         self.name = name
         self.record = record
@@ -94,19 +98,19 @@
         self._started_at = trio.current_time()
         self.feed: DirectoryFeed[DirectoryEntry] = DirectoryFeed()
         self.contact = StoreContact(self._started_at)
-        self.node_book = KnownNodes(name, record)
-        self.history = StoreHistory(self.contact, self.node_book, self.feed)
+        self.registered_nodes = KnownNodes(name, record)
+        self.history = StoreHistory(self.contact, self.registered_nodes, self.feed)
         self.configuration = KnownConfiguration(table)
         self.named_weights = KnownWeights(weights, self.contact)
         self.instances = InstanceChanges(table, self.contact)
-        self.records = KnownRecords(self.node_book)
+        self.records = KnownRecords(self.registered_nodes)
         self.keys = KeyFreshness(revocation_seconds)
         self.last_answer_at = -float("inf")
         self.changed = trio.Event()
         self._count_rejected: Callable[[RejectReason], None] = lambda _reason: None
 
     def subscribe_rejections(self, listener: Callable[[RejectReason], None]) -> None:
-        """Tell a listener of each document that can't be trusted."""
+        """Call a listener for each rejected document."""
         self._count_rejected = listener
 
     @property
@@ -127,35 +131,35 @@
 
     @property
     def store_position(self) -> StorePlace:
-        """Everything up to this place in the store's history is known."""
+        """Store position up to which the node has all changes."""
         return self.history.store_position
 
     @property
     def nodes(self) -> Mapping[str, NodeRecord]:
         """The registered nodes by name."""
-        return self.node_book.records
+        return self.registered_nodes.records
 
     @property
     def relays(self) -> RelayPlan:
-        """Which of the nodes relay."""
-        return self.node_book.relays
+        """Which of the nodes are relays."""
+        return self.registered_nodes.relays
 
     def count_nodes(self) -> int:
-        """Return how many nodes may be alive, this one included."""
-        return self.node_book.count
+        """Return the number of nodes that may be alive, this one included."""
+        return self.registered_nodes.count
 
     @property
-    def told_silence_seconds(self) -> float:
-        """Time since the store last answered any other node that told this one everything."""
+    def seconds_since_relayed_contact(self) -> float:
+        """Seconds since the store last answered a node that sent this one a complete answer."""
         return trio.current_time() - self.contact.told_at
 
     @property
     def is_settling(self) -> bool:
-        """Whether the store has come back from a copy that may lack what others know."""
-        return self.history.copy.is_settling(trio.current_time())
+        """Whether the store was restored from a backup that may lack changes that others have."""
+        return self.history.backup.is_settling(trio.current_time())
 
     async def wait_first_reading(self) -> None:
-        """Wait for the first configuration, for as long as a node that has just started may."""
+        """Wait for the first configuration, up to ``FIRST_READING_SECONDS`` after the start."""
         with trio.move_on_at(self._started_at + FIRST_READING_SECONDS):
             while self.index is None or (self.is_settling and not self.keys.is_fresh):
                 await self.changed.wait()
@@ -171,127 +175,127 @@
         return self.index
 
     def version_of(self, key: str) -> StorePlace:
-        """Return the version of a key that a write may expect; ``ABSENT`` when there is none."""
+        """Return the version that a write of a key should expect; ``ABSENT`` without the key."""
         entry = self.feed.get(key)
         if entry is None or entry.removed:
             return ABSENT
         return StorePlace(self.store_position.era, entry.place.revision)
 
-    def take_snapshot(self, batch: DirectoryBatch, sent_at: float) -> None:
-        """Take all entries of the store; what isn't among them doesn't exist.
+    def apply_snapshot(self, batch: DirectoryBatch, sent_at: float) -> None:
+        """Apply all entries of the store; keys that aren't among them are removed.
 
         Args:
             batch: The entries.
             sent_at: When the first call for them was sent.
 
         Raises:
-            StoreError: When the answer was made before the store's last restore.
+            StoreError: The answer is from before the store's last restore.
         """
         self.history.require_current(batch.place)
         reached_at, is_first = self.history.reached_at, self.store_position == NOWHERE
-        since = max(reached_at - DEAF_SECONDS, self.weights.oldest_since(sent_at))
+        since = max(reached_at - MAX_WATCH_GAP_SECONDS, self.weights.oldest_since(sent_at))
         self.contact.note_return(trio.current_time())
         if self.history.is_later_era(batch.place):
-            self._enter(batch.place, STORE_SOURCE, losses_of(batch, self.feed))
+            self._enter_era(batch.place, STORE_SOURCE, find_losses(batch, self.feed))
         self.feed.start(batch.place)
         entries = (*batch.entries, *self._removed_by(batch))
-        self._take_read([feed_entry(entry, since) for entry in entries])
+        self._apply_read([feed_entry(entry, since) for entry in entries])
         if is_first:
             self.history.suspect_restore(batch.place)
         self._confirm_read(batch.place, sent_at)
 
-    def take_changes(self, batch: DirectoryBatch, since: float, sent_at: float) -> None:
-        """Take changes of the store.
+    def apply_changes(self, batch: DirectoryBatch, since: float, sent_at: float) -> None:
+        """Apply changes that were read from the store.
 
         Args:
-            batch: The changes after ``place``.
+            batch: The changes after ``store_position``.
             since: Time after which they were made.
             sent_at: When the call for them was sent.
 
         Raises:
-            StoreError: When the answer was made before the store's last restore.
+            StoreError: The answer is from before the store's last restore.
         """
         self.history.require_current(batch.place)
         self.contact.note_return(trio.current_time())
-        self._take_read([feed_entry(entry, since) for entry in batch.entries])
+        self._apply_read([feed_entry(entry, since) for entry in batch.entries])
         self._confirm_read(batch.place, sent_at)
 
-    def enter(self, place: StorePlace, source: str) -> None:
-        """Go on in a later era if another node tells of a place in one."""
-        if self.history.is_later_era(place):
-            self._enter(place, source, CopyLosses())
+    def enter_era(self, position: StorePlace, source: str) -> None:
+        """Continue in a later era if another node reports a position in one."""
+        if self.history.is_later_era(position):
+            self._enter_era(position, source, BackupLosses())
 
-    def take_entries(self, entries: Iterable[Entry], source: str) -> None:
-        """Take changes; those that are known already change nothing.
+    def apply_entries(self, entries: Iterable[Entry], source: str) -> None:
+        """Apply changes; known ones have no effect.
 
         Args:
             entries: The changes.
-            source: Node that told them, or ``STORE_SOURCE``; for the log.
+            source: Node that reported them, or ``STORE_SOURCE``; for the log.
         """
-        taken = False
+        applied = False
         for entry in sorted(entries, key=lambda entry: entry.place):
             known = self.feed.get(entry.key)
             if _is_same_write(known, entry) or self._is_outdated(entry.change.change):
                 continue
             if self.feed.put(entry):
-                taken = True
-                known_at = known.place if known is not None else NOWHERE
-                self._take_change(entry, self._news(entry, source, known_at))
-        if taken:
-            self._tell_changed()
+                applied = True
+                previous_position = known.place if known is not None else NOWHERE
+                self._apply_change(entry, self._origin(entry, source, previous_position))
+        if applied:
+            self._notify_changed()
 
-    def take_documents(self, entries: Iterable[Entry], source: str) -> None:
-        """Take documents that have an order of their own, wherever in the store's history.
+    def apply_documents(self, entries: Iterable[Entry], source: str) -> None:
+        """Apply documents that are ordered by version, whatever their store position.
 
         Args:
             entries: Configurations and named weights.
-            source: Node that told them; for the log.
+            source: Node that reported them; for the log.
         """
         newer = [entry for entry in entries if not self._is_outdated(entry.change.change)]
         for entry in newer:
-            self._take_change(entry, self._news(entry, source, NOWHERE))
+            self._apply_change(entry, self._origin(entry, source, NOWHERE))
         if newer:
-            self._tell_changed()
+            self._notify_changed()
 
     def confirm_keys(self, confirmed_at: float) -> None:
-        """Note that no key was taken away unnoticed before a time, by this node's steady clock."""
+        """Note that all revocations before a time (by the steady clock) are known."""
         if self.keys.confirm(confirmed_at):
-            self._tell_changed()
+            self._notify_changed()
 
-    def _enter(self, place: StorePlace, source: str, losses: CopyLosses) -> None:
-        """Go on in a later era."""
-        self.history.enter(place, source, losses)
-        self._tell_changed()
+    def _enter_era(self, position: StorePlace, source: str, losses: BackupLosses) -> None:
+        """Continue in a later era, with the known losses of the backup."""
+        self.history.enter_era(position, source, losses)
+        self._notify_changed()
 
-    def _tell_changed(self) -> None:
-        """Wake whoever waits for news."""
+    def _notify_changed(self) -> None:
+        """Wake the tasks that wait for a change."""
         self.changed.set()
         self.changed = trio.Event()
 
-    def _take_read(self, entries: list[Entry]) -> None:
-        """Take entries that the store has shown this node itself."""
+    def _apply_read(self, entries: list[Entry]) -> None:
+        """Apply entries that this node has read from the store itself."""
         for entry in entries:
             if isinstance(entry.change.change, ConfigurationPublished):
-                self._see_configuration(entry, entry.change.change.configuration.version)
-        self.take_entries(entries, STORE_SOURCE)
+                self._check_configuration(entry, entry.change.change.configuration.version)
+        self.apply_entries(entries, STORE_SOURCE)
 
-    def _confirm_read(self, place: StorePlace, sent_at: float) -> None:
-        """Note that the store has shown everything up to a place, by a call sent at a time."""
-        self.history.reach(place, sent_at)
-        if self.history.copy.confirms(sent_at):
+    def _confirm_read(self, position: StorePlace, sent_at: float) -> None:
+        """Note that the store was read up to a position, by a call that was sent at a time."""
+        self.history.advance(position, sent_at)
+        if self.history.backup.confirms(sent_at):
             self.confirm_keys(sent_at)
         self.contact.note_read(trio.current_time())
 
-    def _see_configuration(self, entry: Entry, version: int) -> None:
-        """Look whether a configuration shows that operators have written what a copy lacks."""
+    def _check_configuration(self, entry: Entry, version: int) -> None:
+        """Check whether a configuration shows that operators replaced what the backup lacks."""
         known = self.feed.get(entry.key)
-        known_at = known.place if known is not None else NOWHERE
-        self.history.copy.see_configuration(
-            entry.place, version, self.configuration.version, known_at
+        previous_position = known.place if known is not None else NOWHERE
+        self.history.backup.see_configuration(
+            entry.place, version, self.configuration.version, previous_position
         )
 
     def _is_outdated(self, change: DirectoryChange) -> bool:
-        """Return whether a document is known as new or newer, by its own order."""
+        """Return whether the same or a newer version of a document is already known."""
         match change:
             case ConfigurationPublished(configuration):
                 return self.configuration.is_outdated(configuration)
@@ -300,50 +304,52 @@
         return False
 
     def _removed_by(self, batch: DirectoryBatch) -> list[DirectoryEntry]:
-        """Return the removals of keys that a snapshot doesn't have."""
+        """Return removals of the known keys that a snapshot lacks."""
         present = {entry.key for entry in batch.entries}
         known = (entry.change for entry in self.feed.listed() if entry.key not in present)
         removals = (entry.as_removed(batch.place) for entry in known)
         return [removal for removal in removals if removal is not None]
 
-    def _news(self, entry: Entry, source: str, known_at: StorePlace) -> News:
-        """Return how a change is known."""
+    def _origin(self, entry: Entry, source: str, previous_position: StorePlace) -> ChangeOrigin:
+        """Return the origin of a change."""
         age_ms = round((trio.current_time() - entry.since) * MILLISECONDS)
-        may_be_copied = self.history.copy.may_hold(entry.place)
-        return News(source, entry.since, age_ms, entry.place, known_at, may_be_copied)
+        may_be_copied = self.history.backup.may_hold(entry.place)
+        return ChangeOrigin(
+            source, entry.since, age_ms, entry.place, previous_position, may_be_copied
+        )
 
-    def _take_change(self, entry: Entry, news: News) -> None:
-        """Take one change."""
+    def _apply_change(self, entry: Entry, origin: ChangeOrigin) -> None:
+        """Apply one change."""
         change = entry.change.change
         match change:
             case ConfigurationPublished(configuration):
-                self.configuration.take(configuration, news)
+                self.configuration.apply(configuration, origin)
             case InstanceListed(instance):
-                self.instances.take_listed(instance, news)
+                self.instances.apply_listed(instance, origin)
             case InstanceRejected():
                 self.table.reject(change.instance_id)
                 key = change.instance_id
                 self._log_rejected(key, change.reason, change.field, change.detail)
             case InstanceRemoved(instance_id):
-                self.instances.take_removed(instance_id, news)
+                self.instances.apply_removed(instance_id, origin)
             case WeightsPublished(weights):
-                self.named_weights.take(weights, news)
+                self.named_weights.apply(weights, origin)
             case RecordWritten():
-                self._take_record(change, news)
+                self._apply_record(change, origin)
             case Unreadable():
                 self._log_rejected(change.key, change.reason, change.field, change.detail)
 
-    def _take_record(self, record: RecordWritten, news: News) -> None:
-        """Take a key of hopstep's own."""
+    def _apply_record(self, record: RecordWritten, origin: ChangeOrigin) -> None:
+        """Apply a key that hopstep's nodes write."""
         try:
-            self.records.take(record, news)
+            self.records.apply(record, origin)
         except msgspec.DecodeError as error:
             self._log_rejected(record.key, RejectReason.UNREADABLE, "", str(error))
-        if self.node_book.has_others:
+        if self.registered_nodes.has_others:
             self.table.first_telling.note_others()
 
     def _log_rejected(self, key: str, reason: RejectReason, field: str, detail: str) -> None:
-        """Log and count a document that can't be trusted: once for each of its revisions."""
+        """Log and count a rejected document: once for each of its revisions."""
         self._count_rejected(reason)
         emit(
             log_events.DIRECTORY_ENTRY_REJECTED,
@@ -355,7 +361,7 @@
 
 
 def _is_same_write(known: Entry | None, entry: Entry) -> bool:
-    """Return whether an entry is one of an earlier era that a copy has kept as it was."""
+    """Return whether an entry is the known one of an earlier era, unchanged in the backup."""
     if known is None or known.place.era >= entry.place.era:
         return False
     same_revision = known.place.revision == entry.place.revision
@@ -363,7 +369,7 @@
 
 
 def _content(change: DirectoryChange) -> DirectoryChange:
-    """Return a change without the era in which it was seen."""
+    """Return a change without its version, which names the era."""
     if isinstance(change, RecordWritten):
         return RecordWritten(change.key, change.value, ABSENT)
     return change
--- a/hopstep/services/exchanges/directory/known_configuration.py
+++ b/hopstep/services/exchanges/directory/known_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration in force: by its own version, whatever the store shows."""
+"""The operators' configuration in force: the highest version, whatever the store shows."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from hopstep.domain.exchanges.instance_table import InstanceTable
 from hopstep.domain.exchanges.serving import ServingConfiguration, ServingIndex
 from hopstep.logs import emit
-from hopstep.services.exchanges.directory.news import News
+from hopstep.services.exchanges.directory.change_origin import ChangeOrigin
 
 
 class KnownConfiguration:
-    """Holds the highest version that the node has seen.
+    """Holds the configuration with the highest version that the node has received.
 
     Attributes:
-        index: Lookups over it; None before the first.
+        index: Lookups over the configuration; None before the first.
     """
 
     def __init__(self, table: InstanceTable) -> None:
-        """Know none yet.
+        """Start without a configuration.
 
         Args:
-            table: Told the memory of each service's instances.
+            table: Receives the cache size of each service's instances.
         """
         self.index: ServingIndex | None = None
         self._table = table
@@ -32,15 +32,15 @@
 
     @property
     def version(self) -> int:
-        """Its version; 0 before the first."""
+        """Version of the configuration; 0 before the first."""
         return self.index.configuration.version if self.index is not None else 0
 
     def is_outdated(self, configuration: ServingConfiguration) -> bool:
-        """Return whether a configuration is known, or one of a higher version."""
+        """Return whether this version or a higher one is already in force."""
         return self.index is not None and configuration.version <= self.version
 
-    def take(self, configuration: ServingConfiguration, news: News) -> None:
-        """Put a configuration in force if its version is higher."""
+    def apply(self, configuration: ServingConfiguration, origin: ChangeOrigin) -> None:
+        """Apply a configuration if its version is higher than the current one."""
         if self.is_outdated(configuration):
             return
         self.index = ServingIndex(configuration)
@@ -56,8 +56,8 @@
             version=configuration.version,
             routes=len(configuration.routes),
             tenants=len(configuration.tenants),
-            source=news.source,
-            age_ms=news.age_ms,
-            era=news.place.era,
-            revision=news.place.revision,
+            source=origin.source,
+            age_ms=origin.age_ms,
+            era=origin.position.era,
+            revision=origin.position.revision,
         )
--- a/hopstep/services/exchanges/directory/known_nodes.py
+++ b/hopstep/services/exchanges/directory/known_nodes.py
@@ -1,7 +1,7 @@
-"""The nodes that a node knows: their own entries, in the order in which they wrote them.
+"""The registered nodes, by the latest entry that each of them wrote.
 
-After a restore a copy may lack entries of nodes that live, or show what an earlier process wrote.
-Each node writes its entry again in the new era; until then the known ones stand.
+After a restore the backup may lack entries of live nodes, or have those of earlier processes. Each
+node writes its entry again in the new era; until then the entries from before the restore are kept.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 )
 from hopstep.domain.exchanges.store_contact import RESTATED_SECONDS
 from hopstep.domain.store_place import NOWHERE, StorePlace
-from hopstep.services.exchanges.directory.message_forms import MessageForms
+from hopstep.services.exchanges.directory.message_formats import MessageFormats
 from hopstep.services.exchanges.directory.records import decode_node
 
 
 class KnownNodes:
-    """Records by name.
+    """Keeps the records of nodes by name.
 
     Attributes:
-        records: Records of the nodes, this one's own too once it is registered.
-        relays: Which of them relay.
+        records: Records of the registered nodes; includes this one once it is registered.
+        relays: Which of the nodes are relays.
     """
 
     def __init__(self, name: str, own: NodeRecord) -> None:
-        """Know this node alone.
+        """Start with this node only.
 
         Args:
             name: Name of this node.
-            own: Its entry.
+            own: Its record.
         """
         self.records: dict[str, NodeRecord] = {}
         self.relays = RelayPlan(name, own)
         self._name = name
-        self._forms = MessageForms(own.form)
-        self._kept_until = -float("inf")
-        self._missing: set[str] = set()
+        self._formats = MessageFormats(own.form)
+        self._retained_until = -float("inf")
+        self._unlisted: set[str] = set()
 
     @property
     def count(self) -> int:
-        """How many nodes may be alive, this one included."""
+        """Number of nodes that may be alive, this one included."""
         return len(self.records.keys() | {self._name})
 
     @property
@@ -53,60 +53,64 @@
         return bool(self.records.keys() - {self._name})
 
     @property
-    def all_know_eras(self) -> bool:
-        """Whether the versions of all registered nodes tell the store's eras."""
+    def all_support_eras(self) -> bool:
+        """Whether all registered nodes use a message format that includes the store's era."""
         return all(record.form >= FORM_WITH_ERAS for record in self.records.values())
 
     def count_behind(self, era: int) -> int:
-        """Return how many nodes have not written their entry since the store entered an era."""
+        """Return how many nodes haven't written their entry since an era of the store began."""
         known = (record for record in self.records.values() if record.form >= FORM_WITH_ERAS)
         return sum(1 for record in known if record.era < era)
 
     def note_restore(self, now: float) -> None:
-        """Expect the entries that a copy lacks to be written again."""
-        self._kept_until = now + RESTATED_SECONDS + 2 * rewriting_seconds(self.count)
+        """Keep entries that the backup lacks until their nodes had time to write them again."""
+        self._retained_until = now + RESTATED_SECONDS + 2 * rewriting_seconds(self.count)
 
-    def take(
-        self, name: str, value: bytes, place: StorePlace, known_at: StorePlace = NOWHERE
+    def apply(
+        self, name: str, value: bytes, position: StorePlace, previous_position: StorePlace = NOWHERE
     ) -> None:
-        """Take a node's entry.
+        """Apply a node's entry.
 
         Args:
             name: Name of the node.
-            value: The entry; empty when it is gone.
-            place: Its place.
-            known_at: Place of the node's entry that was known before.
+            value: The entry; empty when it was removed.
+            position: Its store position.
+            previous_position: Store position of the node's previous entry.
 
         Raises:
             msgspec.DecodeError: Names the field that can't be read.
         """
-        self._missing.discard(name)
+        self._unlisted.discard(name)
         if value:
-            self._put(name, decode_node(value), place, known_at)
-        elif name in self.records and trio.current_time() < self._kept_until:
-            self._missing.add(name)
+            self._put(name, decode_node(value), position, previous_position)
+        elif name in self.records and trio.current_time() < self._retained_until:
+            self._unlisted.add(name)
         else:
             self.records.pop(name, None)
         self._publish()
 
     def expire(self) -> None:
-        """Forget nodes whose entries a copy lacked and that haven't written them again in time."""
-        if not self._missing or trio.current_time() < self._kept_until:
+        """Remove nodes that the backup lacked and that didn't write their entry again in time."""
+        if not self._unlisted or trio.current_time() < self._retained_until:
             return
-        for name in self._missing:
+        for name in self._unlisted:
             self.records.pop(name, None)
-        self._missing.clear()
+        self._unlisted.clear()
         self._publish()
 
-    def _put(self, name: str, record: NodeRecord, place: StorePlace, known_at: StorePlace) -> None:
-        """Take a record unless it is what a copy has of before the known one."""
-        of_before = record.form >= FORM_WITH_ERAS and record.era < place.era
-        older = known_at.era < place.era and known_at.revision > place.revision
-        if name in self.records and of_before and older:
+    def _put(
+        self, name: str, record: NodeRecord, position: StorePlace, previous_position: StorePlace
+    ) -> None:
+        """Store a record unless it is from the backup and older than the known one."""
+        from_earlier_era = record.form >= FORM_WITH_ERAS and record.era < position.era
+        older = (
+            previous_position.era < position.era and previous_position.revision > position.revision
+        )
+        if name in self.records and from_earlier_era and older:
             return
         self.records[name] = record
 
     def _publish(self) -> None:
-        """Rank the nodes, and log which forms of messages they write."""
+        """Update the plan of relays, and log changes of the message formats in use."""
         self.relays.set_nodes(self.records)
-        self._forms.note(self.records.values())
+        self._formats.update(self.records.values())
--- a/hopstep/services/exchanges/directory/known_weights.py
+++ b/hopstep/services/exchanges/directory/known_weights.py
@@ -1,4 +1,4 @@
-"""The weights that operators named: by their own versions."""
+"""The weights that operators named: the highest version of each model."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 from hopstep.domain.exchanges.store_contact import StoreContact
 from hopstep.domain.exchanges.weights import WeightsBook
 from hopstep.logs import emit
-from hopstep.services.exchanges.directory.news import News
+from hopstep.services.exchanges.directory.change_origin import ChangeOrigin
 
 MILLISECONDS = 1_000
 
 
 class KnownWeights:
-    """Puts named weights into the book."""
+    """Applies named weights to the node's registry of weights."""
 
-    def __init__(self, book: WeightsBook, contact: StoreContact) -> None:
-        """Use a book.
+    def __init__(self, registry: WeightsBook, contact: StoreContact) -> None:
+        """Use a registry.
 
         Args:
-            book: Takes the versions.
-            contact: Tells until when the store was away.
+            registry: Receives the versions.
+            contact: Provides until when the store was unavailable.
         """
-        self._book = book
+        self._registry = registry
         self._contact = contact
 
     def is_outdated(self, weights: NamedWeights) -> bool:
-        """Return whether a version is known, or a higher one of its model."""
-        return weights.version <= self._book.newest(weights.model)
+        """Return whether this version of the model or a higher one is already known."""
+        return weights.version <= self._registry.newest(weights.model)
 
-    def take(self, weights: NamedWeights, news: News) -> None:
-        """Take named weights; their bound leaves out the time in which the store was away."""
-        counts_from = max(news.since, self._contact.away_until)
-        if not self._book.put(weights, counts_from):
+    def apply(self, weights: NamedWeights, origin: ChangeOrigin) -> None:
+        """Apply named weights; the time bound of their rollout excludes an outage of the store."""
+        counted_from = max(origin.since, self._contact.away_until)
+        if not self._registry.put(weights, counted_from):
             return
         emit(
             log_events.WEIGHTS_NAMED,
             model=weights.model,
             version=weights.version,
-            age_ms=news.age_ms,
-            counted_ms=round((trio.current_time() - counts_from) * MILLISECONDS),
-            era=news.place.era,
-            revision=news.place.revision,
+            age_ms=origin.age_ms,
+            counted_ms=round((trio.current_time() - counted_from) * MILLISECONDS),
+            era=origin.position.era,
+            revision=origin.position.revision,
         )
--- a/hopstep/services/exchanges/directory/records.py
+++ b/hopstep/services/exchanges/directory/records.py
@@ -1,4 +1,4 @@
-"""Keys that hopstep's nodes keep in the store, and the form of their values."""
+"""Keys that hopstep's nodes write to the store, and the encoding of their values."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from hopstep.domain.exchanges.rollout_tenure import RolloutHolder
 
 NODES_PREFIX = "hopstep/nodes/"
-"""A key for each node; its value is a ``NodeRecord``."""
+"""Prefix of the keys of nodes; each value is a ``NodeRecord``."""
 
 ROLLOUT_KEY = "hopstep/rollout"
-"""Exists while a node holds the rollout of weights; its value is a ``RolloutHolder``."""
+"""Exists while a node holds the rollout lease; its value is a ``RolloutHolder``."""
 
 
 def encode_holder(holder: RolloutHolder) -> bytes:
@@ -20,7 +20,7 @@
 
 
 def decode_holder(value: bytes) -> RolloutHolder:
-    """Return the holder that the rollout's key names.
+    """Return the holder from the value of the rollout's key.
 
     Raises:
         msgspec.DecodeError: Names the field that can't be read.
@@ -34,7 +34,7 @@
 
 
 def decode_node(value: bytes) -> NodeRecord:
-    """Return a node's record.
+    """Return a node's record from the value of its key.
 
     Raises:
         msgspec.DecodeError: Names the field that can't be read.
--- a/hopstep/services/exchanges/directory/registration.py
+++ b/hopstep/services/exchanges/directory/registration.py
@@ -1,9 +1,9 @@
-"""Writes this node's entry into the store, where other nodes find it.
+"""Writes this node's entry to the store, where other nodes find it.
 
-The key is bound to a long lease, which is renewed rarely: an entry that stays after its node has
-gone costs a few queries without an answer, and shares the retry budget among too many, never too
-few. After a restore of the store each node writes its entry again, whatever the copy shows: the
-lease is gone, and the entry tells others that the node knows of the new era.
+The key is bound to a long lease that is renewed rarely. An entry that outlives its node costs a few
+unanswered queries, and splits the retry budget among too many nodes, never among too few. After a
+restore of the store each node writes its entry again, whatever the backup has: the lease is gone,
+and the entry shows others that the node has entered the new era.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Registration:
-    """Keeps this node's key."""
+    """Writes this node's key and keeps its lease."""
 
     def __init__(
         self,
@@ -37,13 +37,13 @@
         knowledge: ServingKnowledge,
         generator: random.Random,
     ) -> None:
-        """Prepare.
+        """Prepare; the key is written by ``run``.
 
         Args:
-            record: Entry of this node.
+            record: Record of this node.
             store: The store.
-            knowledge: Tells when the store has answered, and what an earlier process left.
-            generator: Spreads retries.
+            knowledge: Provides the store's era, and the entry of an earlier process of this node.
+            generator: Adds jitter to retries.
         """
         self._key = NODES_PREFIX + knowledge.name
         self._record = record
@@ -63,7 +63,7 @@
                 await trio.sleep(RETRY_SECONDS * (0.5 + self._generator.random()))
 
     async def _register(self) -> StoreLease:
-        """Write the key under a new lease, in place of what an earlier process left."""
+        """Write the key under a new lease, replacing the entry of an earlier process."""
         lease = await self._store.grant_lease(LEASE_SECONDS)
         value = encode_node(msgspec.structs.replace(self._record, era=lease.era))
         try:
@@ -76,12 +76,12 @@
         return lease
 
     async def _renew(self, lease: StoreLease) -> None:
-        """Renew the lease from time to time; returns when it is over, or the store restored."""
+        """Renew the lease periodically; return when it has ended or the store was restored."""
         while True:
             with trio.move_on_after(RENEWAL_SECONDS):
                 await self._wait_restored(lease)
-                spread = rewriting_seconds(self._knowledge.count_nodes())
-                await trio.sleep(spread * self._generator.random())
+                spread_seconds = rewriting_seconds(self._knowledge.count_nodes())
+                await trio.sleep(spread_seconds * self._generator.random())
                 emit(log_events.OWN_ENTRY_REWRITTEN, era=self._knowledge.store_position.era)
                 return
             try:
@@ -90,6 +90,6 @@
                 return
 
     async def _wait_restored(self, lease: StoreLease) -> None:
-        """Wait until the store is known to have been restored since a lease was granted."""
+        """Wait until the store is seen in a later era than the one that granted a lease."""
         while self._knowledge.store_position.era <= lease.era:
             await self._knowledge.changed.wait()
--- a/hopstep/services/exchanges/directory/store_history.py
+++ b/hopstep/services/exchanges/directory/store_history.py
@@ -1,4 +1,4 @@
-"""Where in the store's history a node stands, and what it makes of a store that was restored."""
+"""Tracks the node's position in the store's history, and restores of the store."""
 
 from __future__ import annotations
 
@@ -14,110 +14,113 @@
 from hopstep.exceptions import ErrorCode, StoreError
 from hopstep.logs import emit
 from hopstep.ports.serving_directory import DirectoryEntry
-from hopstep.services.exchanges.directory.copy_losses import CopyLosses
+from hopstep.services.exchanges.directory.copy_losses import BackupLosses
 from hopstep.services.exchanges.directory.known_nodes import KnownNodes
 
 NO_AGE_SECONDS = -1.0
 
 
 class StoreHistory:
-    """The node's place.
+    """Holds the store position of a node.
 
     Attributes:
-        place: Everything up to it is known; ``NOWHERE`` before the first reading.
-        reached_at: Time at which it was the newest in the store.
-        restored_at: When this node saw, or suspected at its start, that the store was restored.
-        copy: What is known of the copy.
+        store_position: The node has all changes up to it; ``NOWHERE`` before the first reading.
+        reached_at: Steady clock, seconds: time at which it was the newest position of the store.
+        restored_at: Steady clock, seconds: when this node saw, or suspected at its start, that
+            the store was restored.
+        backup: State of the backup that the store was restored from.
     """
 
     def __init__(
         self, contact: StoreContact, nodes: KnownNodes, feed: DirectoryFeed[DirectoryEntry]
     ) -> None:
-        """Stand nowhere.
+        """Start without a position.
 
         Args:
-            contact: Told of a restore: entries of instances may be missing.
-            nodes: Told of it: entries of nodes may be missing.
-            feed: Told where an era is left.
+            contact: Notified of a restore, as entries of instances may be missing.
+            nodes: Notified of a restore, as entries of nodes may be missing.
+            feed: Notified of the position at which an era ended.
         """
         self.store_position = NOWHERE
         self.reached_at = -float("inf")
         self.restored_at = -float("inf")
-        self.copy = RestoredCopy()
+        self.backup = RestoredCopy()
         self._contact = contact
         self._nodes = nodes
         self._feed = feed
 
     @property
     def was_restored(self) -> bool:
-        """Whether the store has been restored since this node started, or shortly before."""
+        """Whether the store was restored after this node started, or shortly before."""
         return math.isfinite(self.restored_at)
 
     @property
     def age_seconds(self) -> float:
-        """Time since ``place`` was the newest in the store."""
+        """Seconds since ``store_position`` was the newest position of the store."""
         return trio.current_time() - self.reached_at
 
-    def require_current(self, place: StorePlace) -> None:
-        """Raise ``StoreError`` for an answer that was made before the store's last restore."""
-        if place.era >= self.store_position.era:
+    def require_current(self, position: StorePlace) -> None:
+        """Raise ``StoreError`` for an answer from before the store's last restore."""
+        if position.era >= self.store_position.era:
             return
         emit(
             log_events.STORE_ANSWER_OUTDATED,
-            era=place.era,
-            revision=place.revision,
+            era=position.era,
+            revision=position.revision,
             known_era=self.store_position.era,
         )
-        raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the answer is of before a restore")
+        raise StoreError(
+            ErrorCode.STORE_UNAVAILABLE, "the answer is from before a restore of the store"
+        )
 
-    def is_later_era(self, place: StorePlace) -> bool:
-        """Return whether a place shows that the store has been restored."""
-        return self.store_position != NOWHERE and place.era > self.store_position.era
+    def is_later_era(self, position: StorePlace) -> bool:
+        """Return whether a store position is in a later era: the store was restored."""
+        return self.store_position != NOWHERE and position.era > self.store_position.era
 
-    def enter(self, place: StorePlace, source: str, losses: CopyLosses) -> None:
-        """Go on in a later era.
+    def enter_era(self, position: StorePlace, source: str, losses: BackupLosses) -> None:
+        """Continue in a later era.
 
         Args:
-            place: First place that is seen of it.
-            source: Who has shown it; for the log.
-            losses: What the copy is known to lack.
+            position: First position that is seen of the era.
+            source: Node that reported it, or ``STORE_SOURCE``; for the log.
+            losses: Known changes that the backup lacks.
         """
-        self._note_restore(place)
+        self._note_restore(position)
         self._feed.leave(self.store_position)
         age = trio.current_time() - losses.since
         emit(
             log_events.STORE_ERA_CHANGED,
-            era=place.era,
+            era=position.era,
             previous=self.store_position.era,
-            revision=place.revision,
+            revision=position.revision,
             previous_revision=self.store_position.revision,
             copy_age_seconds=round(age, 3) if math.isfinite(age) else NO_AGE_SECONDS,
             lacking=losses.by_kind,
             source=source,
         )
-        self.store_position = StorePlace(place.era, NOWHERE.revision)
+        self.store_position = StorePlace(position.era, NOWHERE.revision)
 
-    def reach(self, place: StorePlace, at: float) -> None:
-        """Note that everything up to a place is known, which was the newest at a time."""
-        self.store_position = max(self.store_position, place)
+    def advance(self, position: StorePlace, at: float) -> None:
+        """Note that the node has all changes up to a position, which was the newest at a time."""
+        self.store_position = max(self.store_position, position)
         self.reached_at = max(self.reached_at, at)
 
-    def suspect_restore(self, place: StorePlace) -> None:
-        """Look, at the start, whether the store was restored just before: few know of its era.
+    def suspect_restore(self, position: StorePlace) -> None:
+        """Check at the start whether the store was just restored: most nodes aren't in its era yet.
 
-        Without this a node that starts in that moment takes the copy for all there is.
+        Otherwise a node that starts at that time would take the backup for the complete state.
         """
-        behind = self._nodes.count_behind(place.era)
+        behind = self._nodes.count_behind(position.era)
         if behind:
             self.restored_at = trio.current_time()
         if 2 * behind > len(self._nodes.records):
-            self._note_restore(place)
-            emit(log_events.STORE_RESTORE_SUSPECTED, era=place.era, nodes_behind=behind)
+            self._note_restore(position)
+            emit(log_events.STORE_RESTORE_SUSPECTED, era=position.era, nodes_behind=behind)
 
-    def _note_restore(self, place: StorePlace) -> None:
-        """Expect others to write again what a copy lacks; a place is the first one seen of it."""
+    def _note_restore(self, position: StorePlace) -> None:
+        """Expect others to rewrite what the backup lacks; ``position`` is the new era's first."""
         now = trio.current_time()
         self.restored_at = now
-        self.copy.enter(place, now)
+        self.backup.enter(position, now)
         self._nodes.note_restore(now)
         self._contact.note_restore(now)
--- a/hopstep/services/exchanges/peers/answer_processor.py
+++ b/hopstep/services/exchanges/peers/answer_processor.py
@@ -4,8 +4,8 @@
 
 from hopstep.domain.store_place import StorePlace
 from hopstep.ports.node_exchange import RelayAnswer
+from hopstep.services.exchanges.directory.change_origin import feed_entry
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
-from hopstep.services.exchanges.directory.news import feed_entry
 from hopstep.services.exchanges.peers.document_exchange import DocumentExchange
 from hopstep.services.exchanges.peers.message_ages import (
     MILLISECONDS,
@@ -57,7 +57,7 @@
     def _take_entries(self, answer: RelayAnswer, query: PendingQuery, reached: StorePlace) -> None:
         """Take the changes of an answer; a part of them confirms nothing."""
         knowledge, sent_at = self._knowledge, query.sent_at
-        knowledge.enter(reached, query.node)
+        knowledge.enter_era(reached, query.node)
         entries = (
             feed_entry(
                 relayed.entry.read(self._places.era_of(query.node, relayed.entry)),
@@ -65,9 +65,9 @@
             )
             for relayed in answer.entries
         )
-        knowledge.take_entries(entries, query.node)
+        knowledge.apply_entries(entries, query.node)
         placed_at = sent_at - answer.age_ms / MILLISECONDS
-        knowledge.history.reach(reached, placed_at if answer.complete else -float("inf"))
+        knowledge.history.advance(reached, placed_at if answer.complete else -float("inf"))
 
     def _confirm_keys(self, answer: RelayAnswer, sent_at: float) -> None:
         """Take how old the answering node's knowledge of keys is, if this node knows as much."""
--- a/hopstep/services/exchanges/peers/document_exchange.py
+++ b/hopstep/services/exchanges/peers/document_exchange.py
@@ -70,7 +70,7 @@
             entry = relayed.entry.read(relayed.entry.era)
             since = sent_at - relayed.age_ms / MILLISECONDS
             entries.append(FeedEntry(entry.key, entry.place, entry, since))
-        self._knowledge.take_documents(entries, source)
+        self._knowledge.apply_documents(entries, source)
 
     def _told(self, change: ConfigurationPublished | WeightsPublished) -> RelayedEntry:
         """Return a document as it is told, with the longest time since it was written."""
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -25,9 +25,9 @@
     RelayQuery,
     UrgentNews,
 )
+from hopstep.services.exchanges.directory.change_origin import STORE_SOURCE
 from hopstep.services.exchanges.directory.directory_follower import DirectoryFollower
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
-from hopstep.services.exchanges.directory.news import STORE_SOURCE
 from hopstep.services.exchanges.instances.store_watch import CacheStoreWatch
 from hopstep.services.exchanges.pause_watch import PauseWatch
 from hopstep.services.exchanges.peers.answer_processor import AnswerProcessor
@@ -108,12 +108,12 @@
             await self._pauses.wait_look()
             await self._send_due()
             self._sharing.refresh()
-            self._knowledge.node_book.expire()
+            self._knowledge.registered_nodes.expire()
             self._reconsider()
 
     def _reconsider(self) -> None:
         """Have those look again that work only while no relay does it for them."""
-        if self._follower.reads:
+        if self._follower.reads_store:
             self._follower.reconsider()
         if not self._knowledge.relays.relay():
             self._store_watch.reconsider()
@@ -122,7 +122,7 @@
         """Send what is due now."""
         relays = self._knowledge.relays
         relay = relays.relay()
-        self._note_source(STORE_SOURCE if self._follower.reads else relay)
+        self._note_source(STORE_SOURCE if self._follower.reads_store else relay)
         if relay:
             await self._ask(relay, self._hints.of_node(), self._store_watch.positions())
         else:
--- a/hopstep/services/exchanges/weights/rollout_lease.py
+++ b/hopstep/services/exchanges/weights/rollout_lease.py
@@ -222,7 +222,10 @@
 
     def _token(self, version: StorePlace) -> int:
         """Return the fencing token; beside nodes that know no eras one that they may follow."""
-        if self._knowledge.node_book.all_know_eras or self._knowledge.history.was_restored:
+        if (
+            self._knowledge.registered_nodes.all_support_eras
+            or self._knowledge.history.was_restored
+        ):
             return fencing_token(version)
         return version.revision
 
--- a/tests/services/exchanges/restore_scale.py
+++ b/tests/services/exchanges/restore_scale.py
@@ -37,7 +37,7 @@
 PAGE_ENTRIES = 500
 
 
-def start_anew(knowledge, place, source, losses, enter=ServingKnowledge._enter):
+def start_anew(knowledge, place, source, losses, enter=ServingKnowledge._enter_era):
     """Go on in a later era as a node does that has just started."""
     enter(knowledge, place, source, losses)
     knowledge.feed.__init__()
@@ -149,7 +149,7 @@
     for number in range(INSTANCES):
         world.add(f"i{number}", zone=f"z{1 + number % 3}")
     began = time.process_time()
-    patched = mock.patch.object(ServingKnowledge, "_enter", start_anew)
+    patched = mock.patch.object(ServingKnowledge, "_enter_era", start_anew)
     if way == "anew":
         patched.start()
     world.run(lambda world: measure(world, found))
--- a/tests/services/exchanges/test_mixed_versions.py
+++ b/tests/services/exchanges/test_mixed_versions.py
@@ -69,7 +69,7 @@
                     place = StorePlace(UNTOLD_ERA, revision)
                     written = RecordWritten(f"{NODES_PREFIX}n9", value, place)
                     entry = DirectoryEntry(written.key, place, written)
-                    knowledge.take_entries([FeedEntry(entry.key, place, entry, 0.0)], "n8")
+                    knowledge.apply_entries([FeedEntry(entry.key, place, entry, 0.0)], "n8")
             logged = [line for line in lines if line["event"] == "node_forms_changed"]
             own = knowledge.record.form
             self.assertEqual(own, MESSAGE_FORM)
