--- a/hopstep/services/exchanges/directory/instance_changes.py
+++ b/hopstep/services/exchanges/directory/instance_changes.py
@@ -77,7 +77,7 @@
             )
 
     def apply_removed(self, instance_id: str, origin: ChangeOrigin) -> None:
-        """Apply the removal of an entry; one that may have expired with its lease is kept for now."""
+        """Apply an entry's removal; an instance whose lease may have expired is kept for now."""
         until = self._contact.relisting_until
         if trio.current_time() < until and self._table.lapse(instance_id, until):
             emit(log_events.INSTANCE_LAPSED, instance=instance_id, source=origin.source)
--- a/hopstep/services/exchanges/peers/__init__.py
+++ b/hopstep/services/exchanges/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What nodes tell each other by way of relays."""
+"""Messages between nodes, by way of relays: directory changes, loads, quotas and permits."""
--- a/hopstep/services/exchanges/peers/answer_processor.py
+++ b/hopstep/services/exchanges/peers/answer_processor.py
@@ -1,4 +1,4 @@
-"""Takes what other nodes answer: changes of the directory, documents, the age of keys."""
+"""Applies answers of other nodes: changes of the directory, documents, the age of keys."""
 
 from __future__ import annotations
 
@@ -10,71 +10,71 @@
 from hopstep.services.exchanges.peers.message_ages import (
     MILLISECONDS,
     UNKNOWN_AGE_MS,
-    store_heard_at,
+    store_last_answer_at,
 )
 from hopstep.services.exchanges.peers.pending_queries import PendingQuery
-from hopstep.services.exchanges.peers.told_places import ToldPlaces
+from hopstep.services.exchanges.peers.reported_positions import ReportedPositions
 
 
 class AnswerProcessor:
-    """Puts answers into a node's knowledge, dated by when their queries were sent."""
+    """Applies answers to the node's view; ages count from when the queries were sent."""
 
     def __init__(self, knowledge: ServingKnowledge, documents: DocumentExchange) -> None:
-        """Use a node's knowledge.
+        """Use a node's view.
 
         Args:
-            knowledge: Takes changes.
-            documents: Takes documents that are told by version.
+            knowledge: Receives changes.
+            documents: Receives documents that are ordered by version.
         """
         self._knowledge = knowledge
         self._documents = documents
-        self._places = ToldPlaces(knowledge)
+        self._positions = ReportedPositions(knowledge)
 
-    def take(self, answer: RelayAnswer, query: PendingQuery) -> bool:
-        """Take an answer; return whether the node has more to tell."""
+    def process(self, answer: RelayAnswer, query: PendingQuery) -> bool:
+        """Apply an answer; return whether the answering node has more changes."""
         self._documents.take(answer, query.node, query.sent_at)
-        more = self._take_changes(answer, query)
+        has_more = self._apply_changes(answer, query)
         self._confirm_keys(answer, query.sent_at)
-        return more
+        return has_more
 
-    def _take_changes(self, answer: RelayAnswer, query: PendingQuery) -> bool:
-        """Take the changes of an answer if they follow what is known."""
+    def _apply_changes(self, answer: RelayAnswer, query: PendingQuery) -> bool:
+        """Apply changes that follow the node's position; return whether there are more."""
         knowledge = self._knowledge
         if answer.age_ms == UNKNOWN_AGE_MS:
             return False
-        reached = self._places.read(query.node, answer.place)
-        if self._places.read(query.node, answer.after_place) > knowledge.store_position:
+        reached = self._positions.read(query.node, answer.place)
+        if self._positions.read(query.node, answer.after_place) > knowledge.store_position:
             return False
         if reached.era < knowledge.store_position.era:
             return False
-        heard_at = store_heard_at(answer, query.sent_at)
-        knowledge.contact.note_return(heard_at)
-        self._take_entries(answer, query, reached)
+        store_answered_at = store_last_answer_at(answer, query.sent_at)
+        knowledge.contact.note_return(store_answered_at)
+        self._apply_entries(answer, query, reached)
         if answer.complete:
-            knowledge.contact.note_told(heard_at)
+            knowledge.contact.note_told(store_answered_at)
         return not answer.complete
 
-    def _take_entries(self, answer: RelayAnswer, query: PendingQuery, reached: StorePlace) -> None:
-        """Take the changes of an answer; a part of them confirms nothing."""
+    def _apply_entries(self, answer: RelayAnswer, query: PendingQuery, reached: StorePlace) -> None:
+        """Apply the changes of an answer; the age is confirmed only by a complete one."""
         knowledge, sent_at = self._knowledge, query.sent_at
         knowledge.enter_era(reached, query.node)
         entries = (
             feed_entry(
-                relayed.entry.read(self._places.era_of(query.node, relayed.entry)),
+                relayed.entry.read(self._positions.era_of(query.node, relayed.entry)),
                 sent_at - relayed.age_ms / MILLISECONDS,
             )
             for relayed in answer.entries
         )
         knowledge.apply_entries(entries, query.node)
-        placed_at = sent_at - answer.age_ms / MILLISECONDS
-        knowledge.history.advance(reached, placed_at if answer.complete else -float("inf"))
+        newest_at = sent_at - answer.age_ms / MILLISECONDS
+        knowledge.history.advance(reached, newest_at if answer.complete else -float("inf"))
 
     def _confirm_keys(self, answer: RelayAnswer, sent_at: float) -> None:
-        """Take how old the answering node's knowledge of keys is, if this node knows as much."""
+        """Apply the answering node's age of keys, if this node's configuration is as new."""
         age_ms = answer.keys_age_ms
         if age_ms == UNKNOWN_AGE_MS and answer.complete:
-            # Of a version before eras, which tells one age.
+            # From a version without eras, which reports a single age.
             age_ms = answer.age_ms if not self._knowledge.history.was_restored else UNKNOWN_AGE_MS
-        knows_as_much = self._documents.configuration_version >= answer.configuration
-        if age_ms != UNKNOWN_AGE_MS and knows_as_much:
+        is_as_new = self._documents.configuration_version >= answer.configuration
+        if age_ms != UNKNOWN_AGE_MS and is_as_new:
             self._knowledge.confirm_keys(sent_at - age_ms / MILLISECONDS)
--- a/hopstep/services/exchanges/peers/crash_reports.py
+++ b/hopstep/services/exchanges/peers/crash_reports.py
@@ -1,7 +1,7 @@
-"""Tells all nodes at once of requests under which this node has seen instances end.
+"""Reports requests under which this node has seen instances crash to all nodes at once.
 
-Datagrams may be lost, so each piece of news is told three times. What reaches nobody that way is
-in the store, once more than one instance has ended under the request.
+Datagrams may be lost, so each report is sent three times. A report that reaches no node is still in
+the store, once more than one instance has crashed under the request.
 """
 
 from __future__ import annotations
@@ -14,31 +14,33 @@
 from hopstep.services.quarantine.quarantine import Quarantine
 
 REPEAT_SECONDS = (0.3, 0.9)
-"""After the first time: beyond a node's short pauses, and within the three seconds in which all
-nodes should know of an end.
+"""Times after the first report at which it is repeated.
+
+They outlast a node's short pauses, and lie within the three seconds in which all nodes should have
+received the report of a crash.
 """
 
 MAX_REPEATS = 512
-"""Waiting; further ones are told once."""
+"""Most pending repeats; further reports are sent only once."""
 
 
 class CrashReports:
-    """Puts what was seen into the box of urgent news, and again later."""
+    """Puts reports of crashes into the queue of urgent updates, and repeats them later."""
 
     def __init__(self, quarantine: Quarantine, urgent: UrgentQueue) -> None:
-        """Follow what this node sees.
+        """Subscribe to the crashes that this node sees.
 
         Args:
-            quarantine: Tells what it sees.
-            urgent: Takes what all nodes are told at once.
+            quarantine: Provides the crashes that this node sees.
+            urgent: Receives the updates that are sent to all nodes at once.
         """
         self._urgent = urgent
         self._repeats: list[tuple[float, bytes]] = []
         self._added = trio.Event()
-        quarantine.subscribe(self._tell)
+        quarantine.subscribe(self._report)
 
-    def _tell(self, fingerprint: bytes) -> None:
-        """Tell of a request now and later."""
+    def _report(self, fingerprint: bytes) -> None:
+        """Report a request now, and schedule its repeats."""
         self._urgent.put_request(fingerprint)
         if len(self._repeats) < MAX_REPEATS:
             now = trio.current_time()
@@ -46,7 +48,7 @@
             self._added.set()
 
     async def run(self) -> None:
-        """Tell again what is due, until cancelled."""
+        """Repeat reports that are due, until cancelled."""
         while True:
             now = trio.current_time()
             due = {fingerprint for at, fingerprint in self._repeats if at <= now}
--- a/hopstep/services/exchanges/peers/document_exchange.py
+++ b/hopstep/services/exchanges/peers/document_exchange.py
@@ -1,7 +1,7 @@
-"""Tells other nodes configuration and weights by their own versions, whatever the store shows.
+"""Exchanges configuration and weights between nodes by version, whatever the store shows.
 
-In the moment of a restore the copy that the store shows is older than what nodes know. A node that
-starts then, or that reads the copy, learns the newer documents from any node that has them.
+Just after a restore the store shows a backup that is older than the documents of nodes. A node that
+starts then, or that reads the backup, gets the newer documents from any node that has them.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 MILLISECONDS = 1_000
 NO_KEY = ""
-"""Key of a document that is told by its version: its place in the store doesn't count."""
+"""Key of a document that is ordered by version, without a store position."""
 
 
 class DocumentExchange:
-    """Compares versions, and tells and takes the newer documents."""
+    """Compares versions, and sends and applies newer documents."""
 
     def __init__(self, knowledge: ServingKnowledge) -> None:
-        """Use a node's knowledge."""
+        """Use a node's view."""
         self._knowledge = knowledge
 
     @property
@@ -39,7 +39,7 @@
         return current.version if current is not None else 0
 
     def newer_than(self, query: RelayQuery) -> tuple[RelayedEntry, ...]:
-        """Return the documents that a node lacks by what its query says."""
+        """Return the documents of which a querying node has an older version."""
         newer: list[ConfigurationPublished | WeightsPublished] = []
         current = self._knowledge.current
         if current is not None and 0 < query.configuration < current.version:
@@ -48,21 +48,21 @@
         if query.weights not in (0, weights.digest):
             models = weights.models()
             newer += [WeightsPublished(NamedWeights(m, weights.newest(m))) for m in models]
-        return tuple(self._told(change) for change in newer)
+        return tuple(self._relayed(change) for change in newer)
 
-    def not_among(
+    def excluding(
         self, newer: tuple[RelayedEntry, ...], part: Iterable[FeedEntry[DirectoryEntry]]
     ) -> tuple[RelayedEntry, ...]:
-        """Return the documents that aren't told anyway, as changes of the directory."""
-        told = [entry.change.change for entry in part]
-        return tuple(relayed for relayed in newer if relayed.entry.change not in told)
+        """Return the documents that aren't already in the answer as changes of the directory."""
+        included = [entry.change.change for entry in part]
+        return tuple(relayed for relayed in newer if relayed.entry.change not in included)
 
     def take(self, answer: RelayAnswer, source: str, sent_at: float) -> None:
-        """Take the newer documents of an answer.
+        """Apply the newer documents of an answer.
 
         Args:
             answer: The answer.
-            source: Who gave it.
+            source: Name of the node that sent it.
             sent_at: When its query was sent.
         """
         entries = []
@@ -72,8 +72,8 @@
             entries.append(FeedEntry(entry.key, entry.place, entry, since))
         self._knowledge.apply_documents(entries, source)
 
-    def _told(self, change: ConfigurationPublished | WeightsPublished) -> RelayedEntry:
-        """Return a document as it is told, with the longest time since it was written."""
+    def _relayed(self, change: ConfigurationPublished | WeightsPublished) -> RelayedEntry:
+        """Return a document as it is sent, with an upper bound of its age."""
         now = trio.current_time()
         since = now
         if isinstance(change, WeightsPublished):
--- a/hopstep/services/exchanges/peers/fleet_hints.py
+++ b/hopstep/services/exchanges/peers/fleet_hints.py
@@ -1,4 +1,4 @@
-"""Joins what nodes tell each other of instances, quotas and permits, and takes it apart."""
+"""Combines the hints on instances, quotas and permits for a message, and splits received ones."""
 
 from __future__ import annotations
 
@@ -12,69 +12,69 @@
 
 
 class FleetHints:
-    """Makes the hints of each message, and hands those that come to whom they are for."""
+    """Builds the hints of each message, and dispatches those of received messages."""
 
     def __init__(self, sharing: LoadSharing, quotas: Quotas, permits: PermitSharing) -> None:
-        """Join the parts.
+        """Use the three sources of hints.
 
         Args:
-            sharing: Loads, kept segments, and what instances say of themselves.
-            quotas: What tenants have used.
-            permits: What may be sent to limited instances.
+            sharing: Loads, cached segments, and notices of instances.
+            quotas: Usage of tenants.
+            permits: Permits to send to limited instances.
         """
         self._sharing = sharing
         self._quotas = quotas
         self._permits = permits
 
     def of_node(self) -> Hints:
-        """Return what this node tells its relay."""
+        """Return the hints of this node for its relay."""
         hints = _with_usage(self._sharing.own_hints(), self._quotas.book.own_report())
         return msgspec.structs.replace(hints, sends=self._permits.own_sends())
 
     def of_group(self) -> Hints:
-        """Return what this relay tells the others: permits are given out with that."""
+        """Return the hints of this relay's group for other relays; this also allocates permits."""
         permits = self._permits.allocate()
         hints = _with_usage(self._sharing.group_hints(), self._quotas.book.group_report())
         sends = self._permits.group_sends()
         return msgspec.structs.replace(hints, sends=sends, permits=permits)
 
-    def for_asker(self, node: str, query: RelayQuery, told: Hints) -> tuple[Hints, int]:
-        """Return what this relay tells a node that asks, and the node's position behind it.
+    def for_asker(self, node: str, query: RelayQuery, received: Hints) -> tuple[Hints, int]:
+        """Return the hints for a node that queries this relay, and its next position in the log.
 
         Args:
-            node: Who asks.
+            node: Name of the querying node.
             query: Its query.
-            told: The hints in it.
+            received: The hints in the query.
         """
         hints, position = self._sharing.hints_for(node, query.feed, query.position)
         hints = _with_usage(hints, self._quotas.book.fleet_report())
-        permits = self._permits.serve(node, told)
+        permits = self._permits.serve(node, received)
         return msgspec.structs.replace(hints, permits=permits), position
 
     def take_from_member(self, node: str, hints: Hints) -> None:
-        """Take the hints of a node that asks this one; its permits come with the answer."""
+        """Apply the hints of a node that queries this one; its permits are sent with the answer."""
         self._sharing.take_from_member(node, hints)
         self._quotas.book.take_from_member(node, _usage(hints))
 
     def take_digest(self, relay: str, number: int, hints: Hints) -> None:
-        """Take the hints of another relay.
+        """Apply the hints of another relay.
 
         Args:
             relay: Its name.
-            number: Of its digest.
-            hints: Of its group.
+            number: Number of its digest.
+            hints: Hints of its group.
         """
         self._sharing.take_from_relay(relay, hints)
         self._quotas.book.take_from_relay(relay, _usage(hints))
         self._permits.take_digest(relay, number, hints)
 
     def take_answer(self, relay: str, hints: Hints, asked_at: float) -> None:
-        """Take what the own relay tells of all other nodes.
+        """Apply the hints on all other nodes that this node's relay sent.
 
         Args:
             relay: Its name.
             hints: Its hints.
-            asked_at: When it was asked.
+            asked_at: When the query was sent.
         """
         self._sharing.take_answer(relay, hints)
         self._quotas.take_answer(_usage(hints), asked_at)
@@ -82,7 +82,7 @@
 
 
 def _with_usage(hints: Hints, report: UsageReport) -> Hints:
-    """Return hints that tell a report of usage."""
+    """Return hints with a report of usage added."""
     return msgspec.structs.replace(hints, usage=report.usage, nodes=report.nodes)
 
 
--- a/hopstep/services/exchanges/peers/load_sharing.py
+++ b/hopstep/services/exchanges/peers/load_sharing.py
@@ -1,6 +1,6 @@
-"""What nodes tell each other of instances: load, kept segments, engines that load. Hints only.
+"""Exchanges hints on instances between nodes: load, cached segments, engines that load weights.
 
-Without other nodes, or when datagrams are lost, a node chooses by its own traffic alone.
+Without other nodes, or if datagrams are lost, a node chooses instances by its own traffic alone.
 """
 
 from __future__ import annotations
@@ -26,136 +26,136 @@
 from hopstep.services.exchanges.instances.instance_notices import InstanceNotices
 from hopstep.services.exchanges.peers.urgent_queue import UrgentQueue
 
-ANSWERS = "answers"
-"""Source of the loads that a relay's answer tells: of all other nodes together."""
+RELAY_ANSWERS = "answers"
+"""Source name of the loads in a relay's answer, which are of all other nodes together."""
 
-IDENTITY_BYTES = 6
-MAX_NEWS = 256
-"""Most news of segments in one message: some 10 kB."""
+LOG_IDENTITY_BYTES = 6
+MAX_SEGMENT_UPDATES = 256
+"""Most segment updates in one message: some 10 kB."""
 
 REPEAT_SECONDS = 2.0
-"""Shared segments that an instance keeps already aren't told again within this time."""
+"""Segments that an instance already keeps are reported again only after this time."""
 
-MAX_TOLD = 8_192
+MAX_RECENT_REPORTS = 8_192
 URGENT_TOKENS = 3_000
-"""A prompt with so many tokens to read is told to all nodes at once."""
+"""A prompt with at least this many uncached tokens is reported to all nodes at once."""
 
 MILLISECONDS = 1_000
 
 
 class LoadSharing:
-    """Collects hints of this node and of others, and puts them into the views of instances."""
+    """Collects hints of this node and of others, and applies them to the views of instances."""
 
     def __init__(
         self, knowledge: ServingKnowledge, urgent: UrgentQueue, notices: InstanceNotices
     ) -> None:
-        """Start with nothing to tell.
+        """Start without hints.
 
         Args:
             knowledge: Instances and nodes.
-            urgent: Takes what all nodes are told at once.
-            notices: What instances say of themselves.
+            urgent: Receives updates that are sent to all nodes at once.
+            notices: What instances announce in response headers.
         """
         self._notices = notices
         self._urgent = urgent
-        self.log: SentLog[SegmentNews] = SentLog(secrets.token_hex(IDENTITY_BYTES))
+        self.log: SentLog[SegmentNews] = SentLog(secrets.token_hex(LOG_IDENTITY_BYTES))
         self._knowledge = knowledge
         self._members = LoadLedger()
         self._others = LoadLedger()
         self._unsent: list[SegmentNews] = []
         self._loading: dict[str, float] = {}
-        self._told: dict[tuple[str, int], float] = {}
+        self._last_reported: dict[tuple[str, int], float] = {}
 
     def note_sent(self, candidate: Candidate) -> None:
-        """Note a prompt that was sent, for the other nodes."""
+        """Record a sent prompt, to report it to the other nodes."""
         keys = candidate.keys[:-1] or candidate.keys
         if not keys:
             return
-        life = candidate.view.life
-        news = SegmentNews(life, keys, round(candidate.read_seconds * MILLISECONDS))
+        incarnation = candidate.view.life
+        update = SegmentNews(incarnation, keys, round(candidate.read_seconds * MILLISECONDS))
         if candidate.uncached_tokens >= URGENT_TOKENS:
-            self._urgent.put_prompt(SentPrompt(news, candidate.uncached_tokens))
-        kept_already = candidate.kept_tokens >= sum(key.tokens for key in keys)
-        if not kept_already or self._is_due(life, keys[-1].digest):
-            self._tell(news)
+            self._urgent.put_prompt(SentPrompt(update, candidate.uncached_tokens))
+        already_kept = candidate.kept_tokens >= sum(key.tokens for key in keys)
+        if not already_kept or self._is_report_due(incarnation, keys[-1].digest):
+            self._queue_update(update)
 
     def note_cache_events(
-        self, life: str, kept: tuple[SegmentKey, ...], dropped: tuple[int, ...]
+        self, incarnation: str, kept: tuple[SegmentKey, ...], dropped: tuple[int, ...]
     ) -> None:
-        """Note what an instance's cache events tell, here and for the other nodes.
+        """Apply an instance's cache events, and report them to the other nodes.
 
         Args:
-            life: The instance's life.
-            kept: Segments that it keeps and that weren't known.
-            dropped: Digests of segments that were taken for kept.
+            incarnation: The instance's incarnation.
+            kept: Segments that it keeps and that the cache index lacked.
+            dropped: Digests of segments that the cache index had and it doesn't keep.
         """
-        news = SegmentNews(life, kept, 0, dropped)
-        self._take_segments(news, trio.current_time())
-        self._tell(news)
+        update = SegmentNews(incarnation, kept, 0, dropped)
+        self._apply_segments(update, trio.current_time())
+        self._queue_update(update)
 
-    def _is_due(self, life: str, digest: int) -> bool:
-        """Return whether segments that an instance keeps should be told again, and note that."""
+    def _is_report_due(self, incarnation: str, digest: int) -> bool:
+        """Return whether to report kept segments again; if so, record the time."""
         now = trio.current_time()
-        told = (life, digest)
-        if now - self._told.get(told, -REPEAT_SECONDS) < REPEAT_SECONDS:
+        segment = (incarnation, digest)
+        if now - self._last_reported.get(segment, -REPEAT_SECONDS) < REPEAT_SECONDS:
             return False
-        if len(self._told) >= MAX_TOLD:
-            self._told.clear()
-        self._told[told] = now
+        if len(self._last_reported) >= MAX_RECENT_REPORTS:
+            self._last_reported.clear()
+        self._last_reported[segment] = now
         return True
 
-    def _tell(self, news: SegmentNews) -> None:
-        """Tell other nodes of segments with the next messages."""
-        self._unsent.append(news)
-        self.log.append(self._knowledge.name, news)
+    def _queue_update(self, update: SegmentNews) -> None:
+        """Queue a segment update for the next messages to other nodes."""
+        self._unsent.append(update)
+        self.log.append(self._knowledge.name, update)
 
-    def announce_loading(self, life: str, seconds: float) -> None:
-        """Tell other nodes at once that an engine loads weights."""
-        self._loading[life] = trio.current_time() + seconds
-        self._urgent.put_loading(LoadingEngine(life, round(seconds * MILLISECONDS)))
+    def announce_loading(self, incarnation: str, seconds: float) -> None:
+        """Report to other nodes at once that an engine loads weights."""
+        self._loading[incarnation] = trio.current_time() + seconds
+        self._urgent.put_loading(LoadingEngine(incarnation, round(seconds * MILLISECONDS)))
 
     def members(self) -> list[str]:
-        """Return the nodes that asked this one lately."""
+        """Return the nodes that have queried this one recently."""
         return self._members.nodes(trio.current_time())
 
     def is_member(self, node: str) -> bool:
-        """Return whether a node asked this one lately."""
+        """Return whether a node has queried this one recently."""
         return node in self.members()
 
     def apply_urgent(
         self, node: str, prompts: Iterable[SentPrompt], loading: Iterable[LoadingEngine]
     ) -> None:
-        """Take urgent news.
+        """Apply an urgent update.
 
         Args:
-            node: The node that sent them.
+            node: The node that sent it.
             prompts: Long prompts.
-            loading: Engines about to load.
+            loading: Engines that are about to load weights.
         """
         now = trio.current_time()
         for prompt in prompts:
             self._add_prompt(node, prompt, now)
         for engine in loading:
-            self._take_loading(engine, now)
+            self._apply_loading(engine, now)
 
     def _add_prompt(self, node: str, prompt: SentPrompt, now: float) -> None:
-        """Add a long prompt to the load that its sender told."""
-        [load] = self._listed((InstanceLoad(prompt.segments.life, 1, prompt.tokens),))
-        life = load.life
+        """Add a long prompt to the load that its sender reported."""
+        [load] = self._assign_listed((InstanceLoad(prompt.segments.life, 1, prompt.tokens),))
+        incarnation = load.life
         if self._knowledge.relays.relay() == node:
-            self._others.add(ANSWERS, load, now)
+            self._others.add(RELAY_ANSWERS, load, now)
         elif self.is_member(node):
             self._members.add(node, load, now)
         else:
             self._others.add(node, load, now)
-        view = self._knowledge.table.of_told(life)
+        view = self._knowledge.table.of_told(incarnation)
         if view is not None:
-            total = self._members.total(life)
-            view.set_others(total.plus(self._others.total(life)), now)
-            self._take_segments(prompt.segments, now)
+            total = self._members.total(incarnation)
+            view.set_others(total.plus(self._others.total(incarnation)), now)
+            self._apply_segments(prompt.segments, now)
 
     def own_hints(self) -> Hints:
-        """Return what this node has to tell since the last time."""
+        """Return this node's loads, and its updates since the last call."""
         now = trio.current_time()
         return Hints(
             self._own_loads(now),
@@ -166,7 +166,7 @@
         )
 
     def group_hints(self) -> Hints:
-        """Return the same for this node and those that ask it together."""
+        """Return the same as ``own_hints`` for this node and the nodes that query it."""
         now = trio.current_time()
         totals = self._members.totals(now)
         add_loads(totals, self._own_loads(now))
@@ -179,14 +179,14 @@
         )
 
     def hints_for(self, node: str, identity: str, position: int) -> tuple[Hints, int]:
-        """Return what a node that asks should hear, and its position behind it."""
+        """Return the hints for a querying node, and its next position in the log."""
         now = trio.current_time()
         totals = self._totals(now, without=node)
         add_loads(totals, self._own_loads(now))
-        news, position = self.log.after(identity, position, node, MAX_NEWS)
+        updates, position = self.log.after(identity, position, node, MAX_SEGMENT_UPDATES)
         hints = Hints(
             tuple(totals.values()),
-            news,
+            updates,
             self._loading_now(now),
             leaving=self._leaving_now(now),
             limits=self._notices.told_limits(),
@@ -194,69 +194,69 @@
         return hints, position
 
     def take_from_member(self, node: str, hints: Hints) -> None:
-        """Take the hints of a node that asks this one."""
-        self._members.report(node, self._listed(hints.loads), trio.current_time())
+        """Apply the hints of a node that queries this one."""
+        self._members.report(node, self._assign_listed(hints.loads), trio.current_time())
         self._unsent += hints.segments
-        self._take(node, hints)
+        self._apply(node, hints)
 
     def take_from_relay(self, node: str, hints: Hints) -> None:
-        """Take another relay's digest."""
-        self._others.report(node, self._listed(hints.loads), trio.current_time())
-        self._take(node, hints)
+        """Apply another relay's digest."""
+        self._others.report(node, self._assign_listed(hints.loads), trio.current_time())
+        self._apply(node, hints)
 
     def take_answer(self, node: str, hints: Hints) -> None:
-        """Take what the own relay tells of all other nodes."""
-        self._others.report(ANSWERS, self._listed(hints.loads), trio.current_time())
-        self._take(node, hints)
+        """Apply the hints on all other nodes that this node's relay sent."""
+        self._others.report(RELAY_ANSWERS, self._assign_listed(hints.loads), trio.current_time())
+        self._apply(node, hints)
 
-    def _listed(self, loads: Iterable[InstanceLoad]) -> tuple[InstanceLoad, ...]:
-        """Return told loads under the lives that are listed, where they may be of those."""
-        return tuple(self._listed_load(load) for load in loads)
+    def _assign_listed(self, loads: Iterable[InstanceLoad]) -> tuple[InstanceLoad, ...]:
+        """Return reported loads, each assigned to the listed incarnation if it may belong to it."""
+        return tuple(self._assign_load(load) for load in loads)
 
-    def _listed_load(self, load: InstanceLoad) -> InstanceLoad:
-        """Return a told load under the listed life, if it may be of that one."""
+    def _assign_load(self, load: InstanceLoad) -> InstanceLoad:
+        """Return a reported load, assigned to the listed incarnation if it may belong to it."""
         view = self._knowledge.table.of_told(load.life)
         if view is None or view.life == load.life:
             return load
         return msgspec.structs.replace(load, life=view.life)
 
     def refresh(self) -> None:
-        """Put the loads of other nodes into the views."""
+        """Update the views with the loads of other nodes."""
         now = trio.current_time()
         totals = self._totals(now)
         for view in self._knowledge.table:
             view.set_others(totals.get(view.life), now)
 
     def _totals(self, now: float, without: str = "") -> Loads:
-        """Return the loads of all other nodes but one."""
+        """Return the loads of all other nodes, optionally without one."""
         totals = self._members.totals(now, without)
         add_loads(totals, self._others.totals(now, without).values())
         return totals
 
-    def _take(self, node: str, hints: Hints) -> None:
-        """Take what another node tells of instances."""
+    def _apply(self, node: str, hints: Hints) -> None:
+        """Apply another node's hints, except for loads."""
         now = trio.current_time()
         self._knowledge.table.first_telling.note_told()
-        for news in hints.segments:
-            self.log.append(node, news)
-            self._take_segments(news, now)
+        for update in hints.segments:
+            self.log.append(node, update)
+            self._apply_segments(update, now)
         for loading in hints.loading:
-            self._take_loading(loading, now)
+            self._apply_loading(loading, now)
         for leaving in hints.leaving:
             since = now - max(0, leaving.age_ms) / MILLISECONDS
             self._notices.take_told(leaving.life, since, node)
         for limited in hints.limits:
             self._notices.take_told_limit(limited, node)
 
-    def _take_segments(self, news: SegmentNews, now: float) -> None:
-        """Put news of an instance's segments into its picture."""
-        view = self._knowledge.table.of_told(news.life)
+    def _apply_segments(self, update: SegmentNews, now: float) -> None:
+        """Apply a segment update to the cache index of its instance."""
+        view = self._knowledge.table.of_told(update.life)
         if view is not None:
-            view.segments.drop(news.dropped)
-            view.segments.record(news.sent, now + news.read_ms / MILLISECONDS)
+            view.segments.drop(update.dropped)
+            view.segments.record(update.sent, now + update.read_ms / MILLISECONDS)
 
-    def _take_loading(self, loading: LoadingEngine, now: float) -> None:
-        """Keep requests from an engine that loads weights."""
+    def _apply_loading(self, loading: LoadingEngine, now: float) -> None:
+        """Mark an engine as loading, so that it gets no requests meanwhile."""
         until = now + loading.milliseconds / MILLISECONDS
         self._loading[loading.life] = until
         view = self._knowledge.table.of_told(loading.life)
@@ -277,25 +277,25 @@
         return tuple(load for load in loads if not load.is_empty)
 
     def _take_unsent(self) -> tuple[SegmentNews, ...]:
-        """Return news of segments that weren't told yet; what is too much is dropped."""
-        news = tuple(self._unsent[-MAX_NEWS:])
+        """Return the latest ``MAX_SEGMENT_UPDATES`` unsent segment updates; drop the others."""
+        updates = tuple(self._unsent[-MAX_SEGMENT_UPDATES:])
         self._unsent.clear()
-        return news
+        return updates
 
     def _leaving_now(self, now: float) -> tuple[LeavingInstance, ...]:
-        """Return the instances that leave by their own word alone."""
+        """Return instances that announced their shutdown and whose entries say ``ready``."""
         return tuple(
-            LeavingInstance(life, round((now - since) * MILLISECONDS))
-            for life, since in self._notices.unlisted_leaving()
+            LeavingInstance(incarnation, round((now - since) * MILLISECONDS))
+            for incarnation, since in self._notices.unlisted_leaving()
         )
 
     def _loading_now(self, now: float) -> tuple[LoadingEngine, ...]:
-        """Return the engines that load, and forget those that have loaded."""
+        """Return the engines that are loading, and drop those that have finished."""
         self._loading = {engine: until for engine, until in self._loading.items() if until > now}
         return tuple(_loading(self._loading.items(), now))
 
 
 def _loading(engines: Iterable[tuple[str, float]], now: float) -> Iterable[LoadingEngine]:
-    """Yield engines with the time for which they still load."""
-    for life, until in engines:
-        yield LoadingEngine(life, round((until - now) * MILLISECONDS))
+    """Yield engines with their remaining loading times."""
+    for incarnation, until in engines:
+        yield LoadingEngine(incarnation, round((until - now) * MILLISECONDS))
--- a/hopstep/services/exchanges/peers/message_ages.py
+++ b/hopstep/services/exchanges/peers/message_ages.py
@@ -1,4 +1,4 @@
-"""Ages in messages between nodes: milliseconds, by the clock of the node that tells them."""
+"""Ages in messages between nodes: milliseconds, by the clock of the sending node."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 MILLISECONDS = 1_000
 UNKNOWN_AGE_MS = -1
 NEVER_MS = -1
-"""Silence of a node that nobody with the store has ever told anything."""
+"""Time without a store answer, for a node that has never received one, not even indirectly."""
 
 
 def age_ms(now: float, since: float) -> int:
@@ -22,17 +22,17 @@
     return age_ms(now, since) if math.isfinite(since) else UNKNOWN_AGE_MS
 
 
-def silence_ms(now: float, heard_at: float) -> int:
-    """Return a time since the store last answered; ``NEVER_MS`` for never."""
-    return age_ms(now, heard_at) if math.isfinite(heard_at) else NEVER_MS
+def silence_ms(now: float, answered_at: float) -> int:
+    """Return the milliseconds since the store last answered; ``NEVER_MS`` for never."""
+    return age_ms(now, answered_at) if math.isfinite(answered_at) else NEVER_MS
 
 
-def store_heard_at(answer: RelayAnswer, sent_at: float) -> float:
-    """Return when the store last answered the node that sent an answer, or those it heard from.
+def store_last_answer_at(answer: RelayAnswer, sent_at: float) -> float:
+    """Return when the store last answered the sender of an answer, directly or through others.
 
     Args:
         answer: The answer.
-        sent_at: When its query was sent, by the own clock.
+        sent_at: When its query was sent, by this node's clock.
     """
     if answer.silence_ms == NEVER_MS:
         return -float("inf")
--- a/hopstep/services/exchanges/peers/pending_queries.py
+++ b/hopstep/services/exchanges/peers/pending_queries.py
@@ -1,4 +1,4 @@
-"""Queries of this node that aren't answered yet."""
+"""Queries of this node that are not answered yet."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 import msgspec
 
 MAX_PENDING = 256
-"""Queries that may still be answered: 15 a second of a node without the store, for 17 s."""
+"""Most pending queries: a node that lost the store sends 15 a second; enough for 17 s."""
 
 
 class PendingQuery(msgspec.Struct, frozen=True):
-    """A query that isn't answered yet.
+    """A query that is not answered yet.
 
     Attributes:
         node: Name of the node that it was sent to.
-        sent_at: When, by the steady clock, in seconds.
-        asks_hints: Whether it asks for hints too.
+        sent_at: Steady clock, seconds: when it was sent.
+        asks_hints: Whether it also asks for hints.
     """
 
     node: str
@@ -25,19 +25,19 @@
 
 
 class PendingQueries:
-    """Queries by their numbers."""
+    """Keeps pending queries by their numbers."""
 
     def __init__(self) -> None:
-        """Wait for no answer."""
+        """Start without pending queries."""
         self._queries: OrderedDict[int, PendingQuery] = OrderedDict()
 
     def add(self, number: int, query: PendingQuery) -> None:
-        """Remember a query; beyond the bound the oldest is given up."""
+        """Add a query; beyond ``MAX_PENDING`` the oldest is dropped."""
         self._queries[number] = query
         while len(self._queries) > MAX_PENDING:
             self._queries.popitem(last=False)
 
     def take(self, number: int, sender: str) -> PendingQuery | None:
-        """Return the query that a node answers; None when it was never asked, or has answered."""
+        """Remove and return the query that a node answers; None if it has none pending."""
         query = self._queries.pop(number, None)
         return query if query is not None and query.node == sender else None
--- a/hopstep/services/exchanges/peers/permit_sharing.py
+++ b/hopstep/services/exchanges/peers/permit_sharing.py
@@ -1,7 +1,7 @@
-"""Shares permits to send to limited instances among all nodes, along with what is sent anyway.
+"""Shares permits to send to limited instances among all nodes, within the regular messages.
 
-Of the relays one allocates for each life. It tells the others of permits with its digests, and
-each relay hands them to its nodes with the answers to their queries.
+For each incarnation one of the relays allocates permits. It sends them to other relays with its
+digests, and each relay hands them to its nodes with the answers to their queries.
 """
 
 from __future__ import annotations
@@ -29,32 +29,32 @@
 from hopstep.services.exchanges.peers.usage_registry import UsageRegistry
 
 MILLISECONDS = 1_000
-UNSEEN_SECONDS = 0.3
-"""What a relay was given within this time isn't taken into account yet in what it wants: its next
-digest comes within 0.2 s."""
+DEMAND_LAG_SECONDS = 0.3
+"""Time until permits that a relay was given are reflected in the demand that it reports: its next
+digest arrives within 0.2 s."""
 
 
 class _LastDigest(NamedTuple):
-    """Number of a relay's last digest, and the key of its process: each counts from the start."""
+    """Number of a relay's last digest, and the key of its process, which starts the numbering."""
 
     key: bytes
     number: int
 
 
 class PermitSharing:
-    """The part of a relay, and of any node that gets permits from one."""
+    """Allocates and forwards permits on a relay, and receives them on any other node."""
 
     def __init__(
         self, knowledge: ServingKnowledge, notices: InstanceNotices, limits: InstanceLimits
     ) -> None:
-        """Hold no permits. Must be called inside the event loop.
+        """Start without permits. Must be called inside the event loop.
 
         Args:
             knowledge: Nodes and relays.
             notices: Which instances have limits.
-            limits: This node's own permits and wants.
+            limits: This node's own permits and demand.
         """
-        self.book = UsageRegistry(knowledge, WINDOW_SECONDS, limits.own_report)
+        self.registry = UsageRegistry(knowledge, WINDOW_SECONDS, limits.own_report)
         self._knowledge = knowledge
         self._notices = notices
         self._limits = limits
@@ -64,43 +64,43 @@
         self._digests: dict[str, _LastDigest] = {}
 
     def own_sends(self) -> tuple[Usage, ...]:
-        """Return what this node tells its relay."""
+        """Return the usage and demand of this node for its relay."""
         return self._limits.own_report().usage
 
     def group_sends(self) -> tuple[Usage, ...]:
-        """Return what this relay tells the others: what it has in stock, its nodes don't want."""
+        """Return the usage and demand of this relay's group, less the permits that it holds."""
         now = trio.current_time()
-        return tuple(self._lacking(usage, now) for usage in self.book.group_report().usage)
+        return tuple(self._unmet(usage, now) for usage in self.registry.group_report().usage)
 
     def allocate(self) -> tuple[GrantedPermits, ...]:
-        """Give out permits for the lives that this relay allocates, and return those of others."""
+        """Allocate permits for this relay's incarnations; return those for other relays."""
         limited = self._notices.limited()
-        self._forget_all_but({life for life, _limit, _sends in limited})
+        self._retain_only({incarnation for incarnation, _limit, _sends in limited})
         if not limited:
             return ()
         granted: list[GrantedPermits] = []
         relays = self._knowledge.relays.live_relays()
-        for life, limit, _sends in limited:
-            if allocating_relay(life, relays) == self._knowledge.name:
-                granted += self._allocate(life, limit)
-            self._serve_own(life)
+        for incarnation, limit, _sends in limited:
+            if allocating_relay(incarnation, relays) == self._knowledge.name:
+                granted += self._allocate(incarnation, limit)
+            self._serve_own(incarnation)
         return tuple(granted)
 
     def serve(self, node: str, hints: Hints) -> tuple[GrantedPermits, ...]:
-        """Take what a node that asks this one has sent and wants, and return its permits."""
+        """Apply the usage and demand of a node that queries this one, and return its permits."""
         now = trio.current_time()
         granted: list[GrantedPermits] = []
         usage = []
-        for wanted in hints.sends:
-            expiries = self._stock(wanted.name).take(wanted.offered + wanted.expected, now)
-            usage.append(wanted.less(len(expiries)))
-            granted += _granted(wanted.name, expiries, now)
-        self.book.take_from_member(node, UsageReport(tuple(usage), hints.nodes))
+        for demand in hints.sends:
+            expiries = self._stock(demand.name).take(demand.offered + demand.expected, now)
+            usage.append(demand.less(len(expiries)))
+            granted += _granted(demand.name, expiries, now)
+        self.registry.take_from_member(node, UsageReport(tuple(usage), hints.nodes))
         return tuple(granted)
 
     def take_digest(self, relay: str, number: int, hints: Hints) -> None:
-        """Take what another relay tells; permits of a digest that came before count once."""
-        self.book.take_from_relay(relay, UsageReport(hints.sends, hints.nodes))
+        """Apply another relay's digest; the permits of a repeated digest count only once."""
+        self.registry.take_from_relay(relay, UsageReport(hints.sends, hints.nodes))
         if not self._is_new(relay, number):
             return
         for granted in hints.permits:
@@ -110,7 +110,7 @@
                 self._serve_own(granted.life)
 
     def _is_new(self, relay: str, number: int) -> bool:
-        """Return whether a digest comes after all others of its process, and note it."""
+        """Return whether a digest is newer than all others of its process, and note its number."""
         record = self._knowledge.nodes.get(relay)
         key = record.key if record is not None else b""
         last = self._digests.get(relay)
@@ -120,78 +120,84 @@
         return True
 
     def take_answer(self, granted: Iterable[GrantedPermits], asked_at: float) -> None:
-        """Take permits that this node's relay gives it.
+        """Take permits that this node's relay granted.
 
         Args:
             granted: The permits.
-            asked_at: When they were asked for: their time counts from then, since the answer may
-                have been long under way.
+            asked_at: When the query was sent; their validity counts from then, as the answer may
+                have been delayed.
         """
-        for each in granted:
-            until = asked_at + each.valid_ms / MILLISECONDS
-            self._limits.receive(each.life, each.count, until)
+        for grant in granted:
+            until = asked_at + grant.valid_ms / MILLISECONDS
+            self._limits.receive(grant.life, grant.count, until)
 
-    def _allocate(self, life: str, limit: float) -> list[GrantedPermits]:
-        """Give out permits for one life; return those for other relays."""
+    def _allocate(self, incarnation: str, limit: float) -> list[GrantedPermits]:
+        """Allocate permits for one incarnation; return those for other relays."""
         now = trio.current_time()
-        allocator = self._allocators.get(life)
+        allocator = self._allocators.get(incarnation)
         if allocator is None:
-            allocator = self._allocators[life] = PermitAllocator(self._started_at)
-        sent = sum(u.admitted for u in self.book.fleet_report().usage if u.name == life)
+            allocator = self._allocators[incarnation] = PermitAllocator(self._started_at)
+        sent = sum(u.admitted for u in self.registry.fleet_report().usage if u.name == incarnation)
         nodes = self._knowledge.count_nodes()
-        reach = Reach(self.book.fleet_report().nodes, nodes)
-        shares = allocator.allocate(limit, sent, reach, self._wants(life, allocator, now), now)
-        self._stock(life).put(shares.pop(self._knowledge.name, 0), now + PERMIT_SECONDS)
+        reach = Reach(self.registry.fleet_report().nodes, nodes)
+        shares = allocator.allocate(
+            limit, sent, reach, self._demand(incarnation, allocator, now), now
+        )
+        self._stock(incarnation).put(shares.pop(self._knowledge.name, 0), now + PERMIT_SECONDS)
         valid_ms = round(PERMIT_SECONDS * MILLISECONDS)
-        return [GrantedPermits(life, count, valid_ms, relay) for relay, count in shares.items()]
-
-    def _wants(self, life: str, allocator: PermitAllocator, now: float) -> dict[str, Wants]:
-        """Return what each relay's nodes want, beyond what they have been given."""
-        wants = {}
-        for relay, usage in self.book.relays_usage(life).items():
-            given = allocator.given_to(relay, now - UNSEEN_SECONDS)
-            wants[relay] = _wants(usage.less(given))
-        own = [self._lacking(u, now) for u in self.book.group_report().usage if u.name == life]
-        wants[self._knowledge.name] = _wants(own[0]) if own else Wants()
-        return wants
-
-    def _serve_own(self, life: str) -> None:
-        """Give this node's own requests their permits."""
+        return [
+            GrantedPermits(incarnation, count, valid_ms, relay) for relay, count in shares.items()
+        ]
+
+    def _demand(self, incarnation: str, allocator: PermitAllocator, now: float) -> dict[str, Wants]:
+        """Return the demand of each relay's group, less the permits that it was given."""
+        demand_by_relay = {}
+        for relay, usage in self.registry.relays_usage(incarnation).items():
+            given = allocator.given_to(relay, now - DEMAND_LAG_SECONDS)
+            demand_by_relay[relay] = _demand(usage.less(given))
+        own = [
+            self._unmet(u, now) for u in self.registry.group_report().usage if u.name == incarnation
+        ]
+        demand_by_relay[self._knowledge.name] = _demand(own[0]) if own else Wants()
+        return demand_by_relay
+
+    def _serve_own(self, incarnation: str) -> None:
+        """Hand held permits to this node's own requests."""
         now = trio.current_time()
-        for wanted in self._limits.own_report().usage:
-            if wanted.name == life:
-                expiries = self._stock(life).take(wanted.offered + wanted.expected, now)
+        for demand in self._limits.own_report().usage:
+            if demand.name == incarnation:
+                expiries = self._stock(incarnation).take(demand.offered + demand.expected, now)
                 for until, count in Counter(expiries).items():
-                    self._limits.receive(life, count, until)
+                    self._limits.receive(incarnation, count, until)
 
-    def _lacking(self, usage: Usage, now: float) -> Usage:
-        """Return usage without the wants that this relay's stock meets."""
+    def _unmet(self, usage: Usage, now: float) -> Usage:
+        """Return usage without the demand that the permits held by this relay meet."""
         return usage.less(self._stock(usage.name).held(now))
 
-    def _stock(self, life: str) -> PermitStock:
+    def _stock(self, incarnation: str) -> PermitStock:
         """Return the permits that this relay holds for its nodes."""
-        return self._stocks.setdefault(life, PermitStock())
+        return self._stocks.setdefault(incarnation, PermitStock())
 
-    def _forget_all_but(self, lives: set[str]) -> None:
-        """Forget lives that have no limit any more."""
-        for kept in (self._allocators, self._stocks):
-            for life in kept.keys() - lives:
-                del kept[life]
+    def _retain_only(self, incarnations: set[str]) -> None:
+        """Drop the state of incarnations that have no limit any more."""
+        for states in (self._allocators, self._stocks):
+            for incarnation in states.keys() - incarnations:
+                del states[incarnation]
 
 
-def allocating_relay(life: str, relays: Iterable[str]) -> str:
-    """Return the relay that gives out the permits for a life, alike at all that know the same."""
-    return Rendezvous.unweighted(relays).owners(life)[0]
+def allocating_relay(incarnation: str, relays: Iterable[str]) -> str:
+    """Return the relay that allocates an incarnation's permits; equal on nodes with equal views."""
+    return Rendezvous.unweighted(relays).owners(incarnation)[0]
 
 
-def _granted(life: str, expiries: Iterable[float], now: float) -> list[GrantedPermits]:
-    """Return permits for a node, those together that hold for as long."""
+def _granted(incarnation: str, expiries: Iterable[float], now: float) -> list[GrantedPermits]:
+    """Return permits for a node, grouped by their expiry."""
     return [
-        GrantedPermits(life, count, int((until - now) * MILLISECONDS))
+        GrantedPermits(incarnation, count, int((until - now) * MILLISECONDS))
         for until, count in Counter(expiries).items()
     ]
 
 
-def _wants(usage: Usage) -> Wants:
-    """Return the permits that are wanted."""
+def _demand(usage: Usage) -> Wants:
+    """Return the demand for permits of a usage."""
     return Wants(usage.offered, usage.expected)
--- a/hopstep/services/exchanges/peers/relay_answers.py
+++ b/hopstep/services/exchanges/peers/relay_answers.py
@@ -1,4 +1,4 @@
-"""What a node answers to another one that asks for changes and hints."""
+"""Builds a node's answers to queries for changes and hints."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     age_or_unknown,
     silence_ms,
 )
-from hopstep.services.exchanges.peers.told_places import ToldPlaces
+from hopstep.services.exchanges.peers.reported_positions import ReportedPositions
 
 MAX_ENTRIES = 40
-"""Most changes in an answer."""
+"""Most changes in one answer."""
 
 
 class RelayAnswers:
-    """Makes answers."""
+    """Builds answers from the node's view."""
 
     def __init__(
         self,
@@ -37,28 +37,28 @@
         sharing: LoadSharing,
         store_watch: CacheStoreWatch,
     ) -> None:
-        """Use what the node knows.
+        """Use the parts that an answer is built from.
 
         Args:
             knowledge: Changes of the directory.
-            documents: Documents that are told by version.
-            hints: What is told of instances, quotas and permits.
-            sharing: Names the log of news of this process.
-            store_watch: What the cache stores keep.
+            documents: Documents that are ordered by version.
+            hints: Hints on instances, quotas and permits.
+            sharing: Provides the identity of this process's log of segment updates.
+            store_watch: Contents of the cache stores.
         """
         self._knowledge = knowledge
         self._documents = documents
         self._hints = hints
         self._sharing = sharing
         self._store_watch = store_watch
-        self._places = ToldPlaces(knowledge)
+        self._positions = ReportedPositions(knowledge)
 
     def make(self, asker: str, query: RelayQuery) -> RelayAnswer:
         """Return the answer to a query.
 
         Args:
-            asker: Name of the node that asks.
-            query: What it asks.
+            asker: Name of the querying node.
+            query: Its query.
         """
         knowledge = self._knowledge
         now = trio.current_time()
@@ -79,7 +79,7 @@
             hints, position = self._hints.for_asker(asker, query, query.hints)
             identity = self._sharing.log.identity
             answer = msgspec.structs.replace(answer, feed=identity, position=position, hints=hints)
-        asked_after = self._places.read(asker, query.place)
+        asked_after = self._positions.read(asker, query.place)
         if asked_after > knowledge.store_position:
             return answer
         changes = knowledge.feed.after(asked_after)
@@ -95,12 +95,12 @@
             age_ms=age_ms(now, knowledge.history.reached_at),
             complete=complete,
             entries=tuple(RelayedEntry(ToldEntry.of(e.change), age_ms(now, e.since)) for e in part),
-            newer=self._documents.not_among(answer.newer, part),
+            newer=self._documents.excluding(answer.newer, part),
         )
 
     @staticmethod
-    def too_long(query: RelayQuery, answer: RelayAnswer) -> RelayAnswer:
-        """Return what is answered where the answer doesn't fit: the store must be read."""
+    def replace_too_long(query: RelayQuery, answer: RelayAnswer) -> RelayAnswer:
+        """Return the reply for an answer that is too long: the asker has to read the store."""
         return RelayAnswer(
             query.number,
             query.revision,
@@ -114,7 +114,7 @@
 
 
 def _first_part(changes: list[FeedEntry[DirectoryEntry]]) -> list[FeedEntry[DirectoryEntry]]:
-    """Return the changes of one answer: up to a bound, and a configuration as the last one."""
+    """Return the changes for one answer: at most ``MAX_ENTRIES``; a configuration ends the part."""
     part: list[FeedEntry[DirectoryEntry]] = []
     for entry in changes[:MAX_ENTRIES]:
         part.append(entry)
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -1,6 +1,6 @@
-"""Nodes ask a relay of their zone for what has changed; any node answers.
+"""Queries a relay of the node's zone for changes, and answers the queries of other nodes.
 
-Without any answer a node reads the store itself and chooses by its own traffic.
+A node that gets no answer reads the store itself, and chooses instances by its own traffic alone.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 from hopstep.services.exchanges.peers.document_exchange import DocumentExchange
 from hopstep.services.exchanges.peers.fleet_hints import FleetHints
 from hopstep.services.exchanges.peers.load_sharing import LoadSharing
-from hopstep.services.exchanges.peers.message_ages import store_heard_at
-from hopstep.services.exchanges.peers.news_spreading import NewsSpreading
+from hopstep.services.exchanges.peers.message_ages import store_last_answer_at
 from hopstep.services.exchanges.peers.pending_queries import PendingQueries, PendingQuery
 from hopstep.services.exchanges.peers.relay_answers import RelayAnswers
+from hopstep.services.exchanges.peers.update_broadcast import UpdateBroadcast
 from hopstep.services.exchanges.peers.urgent_queue import UrgentQueue
 from hopstep.services.quarantine.quarantine import Quarantine
 
-SEEK_NODES = 2
-"""Nodes elsewhere that one without the store asks at a time: some of them may be without it too."""
+STORE_SEARCH_NODES = 2
+"""Nodes that are queried at a time while the store is lost; some may have lost it too."""
 
 
 class Relaying:
-    """Asks, answers, and sends digests."""
+    """Sends queries, answers and digests, and applies those that are received."""
 
     def __init__(
         self,
@@ -61,19 +61,19 @@
         pauses: PauseWatch,
         limits: FreshnessLimits,
     ) -> None:
-        """Join the parts.
+        """Connect the parts.
 
         Args:
-            knowledge: What is asked for and told.
-            sharing: Loads and news of instances.
-            store_watch: What the cache stores keep.
-            follower: Reads the store when no node can tell.
-            urgent: What all nodes are told at once.
-            quarantine: Requests under which instances have ended.
-            hints: What is told of instances, quotas and permits.
-            exchange: Datagrams.
-            pauses: The node's tick.
-            limits: How long the store or a relay may be silent.
+            knowledge: The node's view, which is queried and reported.
+            sharing: Loads and segment updates of instances.
+            store_watch: Contents of the cache stores.
+            follower: Reads the store when no node provides the changes.
+            urgent: Updates that are sent to all nodes at once.
+            quarantine: Requests under which instances have crashed.
+            hints: Hints on instances, quotas and permits.
+            exchange: Sends and receives datagrams.
+            pauses: Provides the periodic tick.
+            limits: How long the store or a relay may be unresponsive.
         """
         self._knowledge = knowledge
         self._sharing = sharing
@@ -89,21 +89,21 @@
         self._turn = hash_name(knowledge.name)
         self._pending = PendingQueries()
         self._answers = RelayAnswers(knowledge, self._documents, hints, sharing, store_watch)
-        self._taking = AnswerProcessor(knowledge, self._documents)
-        self._feed = ""
-        self._position = 0
+        self._answer_processor = AnswerProcessor(knowledge, self._documents)
+        self._log_identity = ""
+        self._log_position = 0
         self._source = STORE_SOURCE
-        self._news = NewsSpreading(knowledge, sharing, urgent, quarantine, exchange)
+        self._broadcast = UpdateBroadcast(knowledge, sharing, urgent, quarantine, exchange)
 
     async def run(self) -> None:
-        """Ask and answer until cancelled."""
+        """Send and receive messages until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell)
-            nursery.start_soon(self._news.run)
-            nursery.start_soon(self._hear)
+            nursery.start_soon(self._send_periodically)
+            nursery.start_soon(self._broadcast.run)
+            nursery.start_soon(self._receive)
 
-    async def _tell(self) -> None:
-        """Send queries or digests with each look of the node at its clock, every 0.2 s."""
+    async def _send_periodically(self) -> None:
+        """Send queries or digests with each tick of the pause watch, every 0.2 s."""
         while True:
             await self._pauses.wait_look()
             await self._send_due()
@@ -112,35 +112,35 @@
             self._reconsider()
 
     def _reconsider(self) -> None:
-        """Have those look again that work only while no relay does it for them."""
+        """Let the readers check again that work only while no relay serves this node."""
         if self._follower.reads_store:
             self._follower.reconsider()
         if not self._knowledge.relays.relay():
             self._store_watch.reconsider()
 
     async def _send_due(self) -> None:
-        """Send what is due now."""
+        """Send the queries or digests that are due."""
         relays = self._knowledge.relays
         relay = relays.relay()
-        self._note_source(STORE_SOURCE if self._follower.reads_store else relay)
+        self._log_source(STORE_SOURCE if self._follower.reads_store else relay)
         if relay:
-            await self._ask(relay, self._hints.of_node(), self._store_watch.positions())
+            await self._query(relay, self._hints.of_node(), self._store_watch.positions())
         else:
             await self._send_digests()
         probed = relays.probe(trio.current_time())
         if probed:
-            await self._ask(probed)
+            await self._query(probed)
         if self._follower.has_lost_store or self._knowledge.is_settling:
-            await self._ask_elsewhere()
+            await self._query_elsewhere()
 
-    async def _ask_elsewhere(self) -> None:
-        """Ask nodes that may have another way to the store, each time others."""
+    async def _query_elsewhere(self) -> None:
+        """Query nodes that may reach the store over another route, different ones each time."""
         self._turn += 1
-        for node in self._knowledge.relays.elsewhere(self._turn, SEEK_NODES):
-            await self._ask(node)
+        for node in self._knowledge.relays.elsewhere(self._turn, STORE_SEARCH_NODES):
+            await self._query(node)
 
-    def _note_source(self, source: str) -> None:
-        """Log whom this node asks for the directory, when that has changed."""
+    def _log_source(self, source: str) -> None:
+        """Log the source of the directory's changes if it is another one than before."""
         if source == self._source:
             return
         age = self._knowledge.keys.age_seconds
@@ -152,7 +152,7 @@
         )
         self._source = source
 
-    async def _ask(
+    async def _query(
         self, node: str, hints: Hints | None = None, contents: tuple[ContentsPosition, ...] = ()
     ) -> None:
         """Send a query to a node."""
@@ -164,8 +164,8 @@
         query = RelayQuery(
             self._number,
             place.revision,
-            self._feed,
-            self._position,
+            self._log_identity,
+            self._log_position,
             hints,
             contents,
             place.era,
@@ -175,22 +175,22 @@
         await self._send(query, node)
 
     async def _send_digests(self) -> None:
-        """Tell other relays of this node and those that ask it."""
+        """Send the hints of this relay's group to the other relays."""
         self._number += 1
         digest = RelayDigest(self._number, self._hints.of_group())
         for node in self._knowledge.relays.digest_targets():
             self._knowledge.relays.note_asked(node)
             await self._send(digest, node)
 
-    async def _hear(self) -> None:
-        """Take messages."""
+    async def _receive(self) -> None:
+        """Receive messages until cancelled."""
         while True:
             received = await self._exchange.receive(self._knowledge.nodes)
             self._knowledge.relays.note_heard(received.sender)
             await self._take(received)
 
     async def _take(self, received: Received) -> None:
-        """Take one message."""
+        """Apply one message."""
         message = received.message
         match message:
             case RelayQuery():
@@ -204,18 +204,18 @@
             case UrgentNews():
                 self._sharing.apply_urgent(received.sender, message.prompts, message.loading)
                 self._quarantine.take(message.crashes)
-                await self._news.pass_on(received.sender, message)
+                await self._broadcast.forward(received.sender, message)
 
     async def _answer(self, asker: str, query: RelayQuery) -> None:
-        """Answer a query; what doesn't fit into a datagram is left to the store."""
+        """Answer a query; if that is too long for a datagram, refer the asker to the store."""
         answer = self._answers.make(asker, query)
         if not await self._send(answer, asker):
-            await self._send(self._answers.too_long(query, answer), asker)
+            await self._send(self._answers.replace_too_long(query, answer), asker)
         if self._knowledge.is_settling and query.configuration > answer.configuration:
-            await self._ask(asker)
+            await self._query(asker)
 
     async def _take_answer(self, sender: str, answer: RelayAnswer) -> None:
-        """Take an answer, dated by the time at which its query was sent."""
+        """Apply an answer; ages count from the sending of its query."""
         pending = self._pending.take(answer.number, sender)
         if pending is None:
             return
@@ -223,17 +223,17 @@
         if pending.asks_hints and sender == self._knowledge.relays.relay():
             self._hints.take_answer(sender, answer.hints, pending.sent_at)
             self._store_watch.take(answer.contents)
-            self._feed, self._position = answer.feed, answer.position
-        silence = trio.current_time() - store_heard_at(answer, pending.sent_at)
-        self._knowledge.relays.note_store(sender, lost=silence > self._limits.silence)
+            self._log_identity, self._log_position = answer.feed, answer.position
+        unanswered_seconds = trio.current_time() - store_last_answer_at(answer, pending.sent_at)
+        self._knowledge.relays.note_store(sender, lost=unanswered_seconds > self._limits.silence)
         self._reconsider()
         if answer.beyond_reach:
             self._follower.read_once()
-        if self._taking.take(answer, pending):
-            await self._ask(sender)
+        if self._answer_processor.process(answer, pending):
+            await self._query(sender)
 
     async def _send(self, message: NodeMessage, name: str) -> bool:
-        """Send a message to a node if it is registered; return False when it is too long."""
+        """Send a message to a node if it is registered; return False if it is too long."""
         record = self._knowledge.nodes.get(name)
         try:
             if record is not None:
--- a/hopstep/services/exchanges/peers/urgent_queue.py
+++ b/hopstep/services/exchanges/peers/urgent_queue.py
@@ -1,4 +1,4 @@
-"""What this node has to tell all others at once, until it is sent."""
+"""Queue of the updates that this node sends to all others at once."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from hopstep.ports.node_exchange import LoadingEngine, SentPrompt
 
 MAX_REQUESTS = 32
-"""Requests that end instances in one message, at up to 700 bytes each before compression."""
+"""Most requests that crashed instances in one message: up to 700 bytes each, uncompressed."""
 
 
-class UrgentContents(msgspec.Struct, frozen=True):
-    """What one message tells.
+class UrgentBatch(msgspec.Struct, frozen=True):
+    """Updates for one message.
 
     Attributes:
-        prompts: Long prompts that were just sent.
+        prompts: Long prompts that were just sent to instances.
         loading: Engines about to load weights.
-        requests: Fingerprints of requests under which instances have ended.
+        requests: Fingerprints of requests under which instances have crashed.
     """
 
     prompts: tuple[SentPrompt, ...]
@@ -26,10 +26,10 @@
 
 
 class UrgentQueue:
-    """Collects news.
+    """Collects updates until they are sent.
 
     Attributes:
-        filled: Set while there are any.
+        filled: Set while the queue has any.
     """
 
     def __init__(self) -> None:
@@ -50,14 +50,14 @@
         self.filled.set()
 
     def put_request(self, fingerprint: bytes) -> None:
-        """Add a request under which an instance has ended."""
+        """Add a request under which an instance has crashed."""
         self._requests[fingerprint] = None
         self.filled.set()
 
-    def take(self) -> UrgentContents:
-        """Return the next message's contents; what is too much for it stays."""
+    def take(self) -> UrgentBatch:
+        """Remove and return the updates for one message; excess requests stay queued."""
         requests = tuple(self._requests)[:MAX_REQUESTS]
-        contents = UrgentContents(tuple(self._prompts), tuple(self._loading), requests)
+        batch = UrgentBatch(tuple(self._prompts), tuple(self._loading), requests)
         self._prompts.clear()
         self._loading.clear()
         for fingerprint in requests:
@@ -65,4 +65,4 @@
         self.filled = trio.Event()
         if self._requests:
             self.filled.set()
-        return contents
+        return batch
