--- a/hopstep/services/exchanges/weights/__init__.py
+++ b/hopstep/services/exchanges/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Loading of named weights under a lease."""
+"""Rollout of named weights to engines, under a lease."""
--- a/hopstep/services/exchanges/weights/rollout_lease.py
+++ b/hopstep/services/exchanges/weights/rollout_lease.py
@@ -1,12 +1,12 @@
 """The lease under which one node at a time orders engines to load weights.
 
-``RolloutTenure`` decides when this node may take, keep and use it; here are the calls. While the
-store is down nobody becomes holder, and the holder stops when its lease ends.
+``RolloutTenure`` decides when this node may acquire, keep and use it; this module calls the store.
+While the store is down no node becomes the holder, and the holder stops when its lease ends.
 
-Leases may wait while the store is down. A node that finds the key with its own name after that,
-also one that was restarted, goes on under the same lease and fencing token: the key has existed
-all the time, so nobody else has held it. After a restore from a copy that isn't so, and it takes
-the lease anew.
+Leases may outlast an outage of the store. A node that finds the key with its own name afterwards,
+even if it was restarted, resumes with the same lease and fencing token: the key has existed all the
+time, so no other node has held it. This doesn't hold after a restore from a backup, when the node
+acquires the lease again.
 """
 
 from __future__ import annotations
@@ -44,25 +44,25 @@
 
 RENEWALS_IN_A_LEASE = 4
 RENEWAL_SPACING_SECONDS = 0.25
-"""Time after which a renewal without an answer is sent once more."""
+"""Time after which an unanswered renewal is sent again."""
 
 ACQUIRE_SECONDS = 0.8
-"""Wait for the answer to each call that acquires the lease."""
+"""Timeout of each call that acquires the lease."""
 
 SAFETY_SECONDS = 0.3
-"""An order is sent only if the lease holds at least this much longer."""
+"""An order is sent only if the lease is valid for at least this much longer."""
 
 RETRY_SECONDS = 0.5
 RECHECK_SECONDS = 2.0
 RESUME_CHECK_SECONDS = 0.2
-"""Between two looks whether the store answers again at a node whose own lease may still exist."""
+"""Time between two checks whether the store answers again, while an own lease may still exist."""
 
-STAND_BACK_SECONDS = 1.5
-"""Least time for which nodes that don't read the store leave a vacant lease to those that do."""
+VACANT_LEASE_DELAY_SECONDS = 1.5
+"""Least time for which nodes that don't read the store wait before acquiring a vacant lease."""
 
 
 class RolloutLease:
-    """Acquires and keeps the lease."""
+    """Acquires and renews the lease."""
 
     def __init__(
         self,
@@ -77,9 +77,9 @@
         Args:
             name: Name of this node.
             store: The store.
-            knowledge: Tells whether another node holds the lease.
-            generator: Spreads attempts.
-            lease_seconds: Time of the lease.
+            knowledge: Provides the current holder of the lease.
+            generator: Adds jitter to attempts.
+            lease_seconds: Duration of the lease.
         """
         self.fencing_token = 0
         self._tenure = RolloutTenure(name, knowledge.record.address, lease_seconds)
@@ -98,22 +98,22 @@
     @property
     def may_order(self) -> bool:
         """Whether an order may be sent now."""
-        self._see_era()
+        self._update_era()
         return self._tenure.may_order(trio.current_time(), SAFETY_SECONDS)
 
     async def run(self) -> None:
-        """Acquire the lease whenever nobody holds it, and keep it, until cancelled."""
+        """Acquire the lease whenever it is vacant, and keep it, until cancelled."""
         while not self._released:
             await self._wait_turn()
             try:
-                await self._take()
+                await self._acquire()
                 await self._keep()
             except StoreError:
                 self._failed_at = trio.current_time()
                 await trio.sleep(RETRY_SECONDS * (0.5 + self._generator.random()))
 
     async def release(self) -> None:
-        """End the lease, so that another node needn't wait for it to lapse."""
+        """End the lease, so that another node needn't wait for it to expire."""
         self._released = True
         self._lose("released")
         lease = self._tenure.lease
@@ -130,26 +130,26 @@
         self._tenure.give_up()
 
     async def _wait_turn(self) -> None:
-        """Wait until there are engines and nobody else is known to hold the lease.
+        """Wait until there are engines and no other node is known to hold the lease.
 
-        Nodes that read the store go first, so that not all nodes try at once.
+        Nodes that read the store go first, so that not all nodes try at the same time.
         """
         knowledge = self._knowledge
         while True:
             while not self._is_vacant and not self._may_resume:
-                own = self._claim is not None
-                with trio.move_on_after(RESUME_CHECK_SECONDS if own else RECHECK_SECONDS):
+                has_own = self._claim is not None
+                with trio.move_on_after(RESUME_CHECK_SECONDS if has_own else RECHECK_SECONDS):
                     await knowledge.changed.wait()
             if self._may_resume or not knowledge.relays.relay():
                 return
-            await trio.sleep(STAND_BACK_SECONDS * (1.0 + self._generator.random()))
+            await trio.sleep(VACANT_LEASE_DELAY_SECONDS * (1.0 + self._generator.random()))
             if self._is_vacant:
                 return
 
     @property
     def _claim(self) -> Claim | None:
-        """What this node may do to hold the lease, by what the directory shows."""
-        self._see_era()
+        """How this node may acquire the lease, judged by the directory; None if it may not."""
+        self._update_era()
         return self._tenure.claim(self._key())
 
     def _key(self) -> RolloutKey | None:
@@ -161,52 +161,52 @@
         try:
             return RolloutKey(version, decode_holder(record.value))
         except msgspec.DecodeError:
-            # A key of another release: it isn't this node's own, and lapses like any other.
+            # Written by another release: not this node's own key; it expires like any other.
             return RolloutKey(version, None)
 
-    def _see_era(self) -> None:
-        """Take the era that the directory is known to be in, and when a restore was noticed."""
+    def _update_era(self) -> None:
+        """Pass the directory's era, and the time of a noticed restore, on to the tenure."""
         if self._knowledge.store_position != NOWHERE:
             self._tenure.see_era(self._knowledge.store_position.era, trio.current_time())
         self._tenure.suspect_restore(self._knowledge.history.restored_at)
 
     @property
     def _is_vacant(self) -> bool:
-        """Whether the lease is wanted and nobody is known to hold it."""
+        """Whether there are engines, and no node is known to hold the lease."""
         claim = self._claim
         return self._knowledge.has_engines and claim is not None and claim.resumed is None
 
     @property
     def _may_resume(self) -> bool:
-        """Whether an own lease may still exist, and the store has answered since a call failed."""
+        """Whether an own lease may still exist and the store answered after the last failure."""
         claim = self._claim
-        own = claim is not None and claim.resumed is not None
-        return own and self._knowledge.contact.heard_at > self._failed_at
+        has_own = claim is not None and claim.resumed is not None
+        return has_own and self._knowledge.contact.heard_at > self._failed_at
 
-    async def _take(self) -> None:
-        """Acquire or resume; raises ``StoreError`` when that isn't proved."""
+    async def _acquire(self) -> None:
+        """Acquire or resume the lease; raises ``StoreError`` without proof that it is held."""
         claim = self._claim
         if claim is None:
             return
         sent_at = trio.current_time()
         if claim.resumed is not None:
-            with _answered_within(ACQUIRE_SECONDS):
+            with _timeout(ACQUIRE_SECONDS):
                 await self._store.keep_alive(claim.resumed)
-            self._hold(claim.resumed, claim.expected, sent_at, resumed=True)
+            self._begin_tenure(claim.resumed, claim.expected, sent_at, resumed=True)
             return
-        with _answered_within(ACQUIRE_SECONDS):
+        with _timeout(ACQUIRE_SECONDS):
             lease = await self._store.grant_lease(self._lease_seconds)
         try:
             version = await self._write_key(lease, claim.expected)
         except StoreError:
             await self._store.end_lease(lease)
             raise
-        self._hold(lease, version, sent_at, resumed=False)
+        self._begin_tenure(lease, version, sent_at, resumed=False)
 
-    def _hold(
+    def _begin_tenure(
         self, lease: StoreLease, version: StorePlace, sent_at: float, *, resumed: bool
     ) -> None:
-        """Note that this node holds the lease, from when the answered call was sent."""
+        """Note that this node holds the lease, valid from the sending of the answered call."""
         self._tenure.begin(lease, version, sent_at, trio.current_time())
         if self._released:
             self._tenure.end()
@@ -221,7 +221,7 @@
         )
 
     def _token(self, version: StorePlace) -> int:
-        """Return the fencing token; beside nodes that know no eras one that they may follow."""
+        """Return the fencing token; without the era if nodes without eras may be next."""
         if (
             self._knowledge.registered_nodes.all_support_eras
             or self._knowledge.history.was_restored
@@ -230,25 +230,25 @@
         return version.revision
 
     async def _write_key(self, lease: StoreLease, expected: StorePlace) -> StorePlace:
-        """Create the key, or write over one of an earlier era, and return its version.
+        """Create the key, or overwrite one of an earlier era, and return its version.
 
-        Without an answer the key is read back: the value names this node and this lease.
+        If no answer arrives, the key is read back: its value names this node and this lease.
         """
         value = encode_holder(self._tenure.holder(lease))
         try:
-            with _answered_within(ACQUIRE_SECONDS):
+            with _timeout(ACQUIRE_SECONDS):
                 return await self._store.compare_and_swap(ROLLOUT_KEY, expected, value, lease)
         except StoreConflictError:
             raise
         except StoreError:
-            with _answered_within(ACQUIRE_SECONDS):
+            with _timeout(ACQUIRE_SECONDS):
                 stored = await self._store.get(ROLLOUT_KEY)
             if stored is None or stored.value != value or stored.version.era != lease.era:
                 raise
             return stored.version
 
     async def _keep(self) -> None:
-        """Renew the lease until it is lost."""
+        """Renew the lease periodically until it is lost."""
         while self._tenure.is_held:
             await trio.sleep(self._lease_seconds / RENEWALS_IN_A_LEASE)
             lease = self._tenure.lease
@@ -259,9 +259,9 @@
                 self._lose("lapsed")
 
     async def _renew(self, lease: StoreLease) -> None:
-        """Renew once, by as many calls as it takes until one is answered or the lease lapses.
+        """Renew once, repeating the call until one is answered or the lease expires.
 
-        A call whose answer is lost says nothing more, so the next one doesn't wait for it.
+        The answer of an earlier call may be lost, so the next call doesn't wait for it.
         """
         answered = trio.Event()
         async with trio.open_nursery() as nursery:
@@ -273,7 +273,7 @@
             nursery.cancel_scope.cancel()
 
     async def _renew_by_one_call(self, lease: StoreLease, answered: trio.Event) -> None:
-        """Make one call; the lease counts from when it was sent."""
+        """Make one call; the renewed lease counts from its sending."""
         sent_at = trio.current_time()
         try:
             await self._store.keep_alive(lease)
@@ -288,7 +288,7 @@
         answered.set()
 
     def _lose(self, reason: str) -> None:
-        """Stop ordering."""
+        """Stop ordering, as the lease is lost."""
         if self._tenure.is_held:
             emit(log_events.ROLLOUT_LEASE_LOST, fencing_token=self.fencing_token, reason=reason)
             self._held = trio.Event()
@@ -297,11 +297,11 @@
 
 
 @contextlib.contextmanager
-def _answered_within(seconds: float) -> Iterator[None]:
-    """Bound a call to the store; raises ``StoreOutcomeUnknownError`` when it takes longer."""
+def _timeout(seconds: float) -> Iterator[None]:
+    """Limit the time of a call; raises ``StoreOutcomeUnknownError`` when it is exceeded."""
     with trio.move_on_after(seconds) as scope:
         yield
     if scope.cancelled_caught:
         raise StoreOutcomeUnknownError(
-            ErrorCode.STORE_OUTCOME_UNKNOWN, "the store gave no answer in time"
+            ErrorCode.STORE_OUTCOME_UNKNOWN, "the store did not answer in time"
         )
--- a/hopstep/services/exchanges/weights/weights_rollout.py
+++ b/hopstep/services/exchanges/weights/weights_rollout.py
@@ -20,18 +20,18 @@
 CHECK_SECONDS = 0.1
 FIRST_POLL_SECONDS = 0.5
 POLL_SECONDS = 0.15
-MAX_SILENT_POLLS = 3
+MAX_UNANSWERED_POLLS = 3
 SETTLE_SECONDS = 0.15
-"""An engine that isn't ordered yet gets no more requests from any node after this time."""
+"""Time after which no node sends further requests to an engine that is about to be ordered."""
 
 LOADING_SECONDS = 1.0
-"""For so long peers keep requests from an engine after an order, unless they hear more."""
+"""Time for which nodes send no requests to an engine after a report that it loads."""
 
-PERMIT_PATIENCE_SECONDS = 2.0
-"""Longest wait for leave to ask a limited engine; its requests wait behind."""
+PERMIT_TIMEOUT_SECONDS = 2.0
+"""Longest wait for a permit to send to a limited engine; its requests wait in the meantime."""
 
-LIMITED_PATIENCE_SECONDS = 6.0
-"""The same for the one order that loads an engine which takes few requests: longer than the time
+LIMITED_ORDER_TIMEOUT_SECONDS = 6.0
+"""Longest wait for a permit to send the single order of a limited engine: longer than the time
 between two permits at the lowest limit."""
 
 MAX_LOAD_SECONDS = 4.0
@@ -40,11 +40,11 @@
 ENDING_OUTCOMES = frozenset(
     {OrderOutcome.HOLDS_ALREADY, OrderOutcome.FENCED, OrderOutcome.REJECTED}
 )
-"""Outcomes after which no further order to the same engine helps for now."""
+"""Outcomes after which the same engine isn't ordered again for now."""
 
 
 class WeightsRollout:
-    """Brings engines to the newest weights while this node holds the lease."""
+    """Orders engines to load the newest weights while this node holds the lease."""
 
     def __init__(
         self,
@@ -56,16 +56,16 @@
         notices: InstanceNotices,
         limits: InstanceLimits,
     ) -> None:
-        """Join the parts.
+        """Connect the parts.
 
         Args:
             name: Name of this node.
             knowledge: Engines and named weights.
-            lease: Permission to order.
-            orders: Orders to engines.
-            sharing: Tells peers which engines load.
-            notices: Hears what engines say of themselves.
-            limits: Permits to send to limited engines.
+            lease: The rollout lease, which permits orders.
+            orders: Sends orders to engines.
+            sharing: Reports loading engines to the other nodes.
+            notices: Receives what engines announce in response headers.
+            limits: Provides permits to send to limited engines.
         """
         self._name = name
         self._knowledge = knowledge
@@ -78,7 +78,7 @@
         self._retry_at: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Order loads as they fall due until cancelled."""
+        """Order loads as they become due, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._lease.wait_held()
@@ -87,7 +87,7 @@
                     self._start_due(nursery)
 
     def _start_due(self, nursery: trio.Nursery) -> None:
-        """Start the loads that are due now."""
+        """Start the loads that are due."""
         weights = self._knowledge.weights
         now = trio.current_time()
         trusted = self._knowledge.table.trusted()
@@ -97,26 +97,26 @@
             if not behind:
                 continue
             engines = sum(1 for view in trusted if model in view.versions)
-            together = weights.together(engines)
+            concurrent = weights.together(engines)
             oldest = behind[0].versions[model]
-            wanted = weights.first_wave(engines) - (engines - len(behind))
-            if now >= weights.due_at(model, len(behind), together, oldest):
-                wanted = len(behind)
-            for view in behind[: max(0, wanted)]:
-                if len(self._loading) < together:
+            start_count = weights.first_wave(engines) - (engines - len(behind))
+            if now >= weights.due_at(model, len(behind), concurrent, oldest):
+                start_count = len(behind)
+            for view in behind[: max(0, start_count)]:
+                if len(self._loading) < concurrent:
                     self._start(nursery, view, newest, now)
 
     def _start(
         self, nursery: trio.Nursery, view: InstanceView, weights: NamedWeights, now: float
     ) -> None:
-        """Start one load unless it is under way or has just failed."""
+        """Start one load unless it is in progress or has just failed."""
         if view.life in self._loading or now < self._retry_at.get(view.life, 0.0):
             return
         self._loading.add(view.life)
         nursery.start_soon(self._load, view, weights)
 
     async def _load(self, view: InstanceView, weights: NamedWeights) -> None:
-        """Load one engine and wait until it is done."""
+        """Have one engine load weights, and wait until it is done."""
         try:
             if view.standing.limited_sends is not None:
                 await self._load_limited(view, weights)
@@ -130,17 +130,19 @@
             self._loading.discard(view.life)
 
     async def _load_limited(self, view: InstanceView, weights: NamedWeights) -> None:
-        """Order a load of an engine that takes few requests, and wait until its entry shows it.
+        """Order a load of an engine with a send limit, and wait until its entry shows the version.
 
-        With reports, as others are followed, one that takes a request each four seconds would
-        never have loaded in time.
+        Polling its reports, as for other engines, would take too long for an engine that accepts
+        one request every four seconds.
         """
-        if not await self._may_ask(view, trio.current_time() + LIMITED_PATIENCE_SECONDS):
+        if not await self._acquire_permit(
+            view, trio.current_time() + LIMITED_ORDER_TIMEOUT_SECONDS
+        ):
             return
         self._mark_loading(view)
         outcome = await self._order(view, weights, view.order_sequence)
         if outcome not in (OrderOutcome.UNDER_WAY, OrderOutcome.UNKNOWN):
-            self._end_order(view, weights, outcome)
+            self._apply_final_outcome(view, weights, outcome)
             return
         with trio.move_on_after(MAX_LOAD_SECONDS):
             while view.versions.get(weights.model, 0) < weights.version:
@@ -148,12 +150,13 @@
                 await trio.sleep(POLL_SECONDS)
 
     async def _order_until_done(self, view: InstanceView, weights: NamedWeights) -> bool:
-        """Order, and again as long as the engine isn't known to load; return whether it did.
+        """Repeat the order until the engine is known to load; return whether it has loaded.
 
-        All nodes are told first, so that what waits at the engine has begun before it loads.
+        The load is reported to all nodes first, so that requests waiting at the engine have started
+        before it loads.
 
-        An order without an answer may be carried out later. It names how many orders the engine
-        had taken, so it is void once another one was taken.
+        An unanswered order may be carried out later. It contains the number of orders that the
+        engine had accepted, so it is void once another one is accepted.
         """
         self._mark_loading(view)
         await trio.sleep(SETTLE_SECONDS)
@@ -161,11 +164,11 @@
         if report is None:
             return False
         sequence = report.order_sequence
-        while self._lease.may_order and await self._may_ask(view, _patience()):
+        while self._lease.may_order and await self._acquire_permit(view, _permit_deadline()):
             self._mark_loading(view)
             outcome = await self._order(view, weights, sequence)
             if outcome in ENDING_OUTCOMES:
-                self._end_order(view, weights, outcome)
+                self._apply_final_outcome(view, weights, outcome)
                 return False
             if outcome is OrderOutcome.UNDER_WAY:
                 await trio.sleep(FIRST_POLL_SECONDS)
@@ -178,9 +181,9 @@
     async def _order(
         self, view: InstanceView, weights: NamedWeights, sequence: int
     ) -> OrderOutcome:
-        """Send one order; none once the lease is lost, which it may be since the engine was chosen.
+        """Send one order, unless the lease was lost after the engine was chosen.
 
-        Without this a node that waited for leave to ask the engine would order without a token.
+        Otherwise a node that waited for a permit could order without a fencing token.
         """
         if not self._lease.may_order:
             return OrderOutcome.REJECTED
@@ -196,16 +199,18 @@
         )
         return outcome
 
-    def _end_order(self, view: InstanceView, weights: NamedWeights, outcome: OrderOutcome) -> None:
-        """Learn from an order after which nothing is under way."""
+    def _apply_final_outcome(
+        self, view: InstanceView, weights: NamedWeights, outcome: OrderOutcome
+    ) -> None:
+        """Apply the outcome of an order that didn't start a load."""
         if outcome is OrderOutcome.HOLDS_ALREADY:
             view.learn_version(weights.model, weights.version)
         if outcome is OrderOutcome.FENCED:
             self._lease.give_up("fenced")
 
     async def _follow(self, view: InstanceView, weights: NamedWeights) -> EngineReport | None:
-        """Return the report of an engine once it isn't busy; None when it gives none."""
-        for _ in range(MAX_SILENT_POLLS):
+        """Poll an engine until it isn't busy, and return its report; None if it sends none."""
+        for _ in range(MAX_UNANSWERED_POLLS):
             report = await self._report(view)
             while report is not None and report.busy:
                 self._mark_loading(view)
@@ -218,27 +223,27 @@
         return None
 
     async def _report(self, view: InstanceView) -> EngineReport | None:
-        """Return an engine's report; None without one, or with one of another life."""
-        if not await self._may_ask(view, _patience()):
+        """Return an engine's report; None without one, or if it is of another incarnation."""
+        if not await self._acquire_permit(view, _permit_deadline()):
             return None
         report = await self._orders.report(view.instance, self._notices.listener(view))
         if report is None or not view.instance.life.may_tell(report.born_ms):
             return None
         return report
 
-    async def _may_ask(self, view: InstanceView, until: float) -> bool:
-        """Return whether an engine may be sent an order or a report, once there is a permit."""
+    async def _acquire_permit(self, view: InstanceView, until: float) -> bool:
+        """Wait for a permit; return whether an engine may be sent an order or a report query."""
         if not await self._limits.acquire(view, CONTROL_RANK, until):
             return False
-        open_now = view.takes(Purpose.ORDER_SENDING, trio.current_time())
-        return self._knowledge.table.is_trusted(view) and open_now
+        accepts_orders = view.takes(Purpose.ORDER_SENDING, trio.current_time())
+        return self._knowledge.table.is_trusted(view) and accepts_orders
 
     def _mark_loading(self, view: InstanceView) -> None:
-        """Keep requests from an engine for a while, here and at the peers."""
+        """Keep requests from an engine for a while, on this node and the others."""
         view.loading_until = trio.current_time() + LOADING_SECONDS
         self._sharing.announce_loading(view.life, LOADING_SECONDS)
 
 
-def _patience() -> float:
-    """Return until when leave to ask an engine is waited for."""
-    return trio.current_time() + PERMIT_PATIENCE_SECONDS
+def _permit_deadline() -> float:
+    """Return the time until which to wait for a permit, by the steady clock."""
+    return trio.current_time() + PERMIT_TIMEOUT_SECONDS
