--- a/tests/ctl/test_trace.py
+++ b/tests/ctl/test_trace.py
@@ -136,7 +136,7 @@
 
     def test_a_store_that_is_silent_is_named_with_the_first_refusal(self):
         async def script(world):
-            world.directories[0].dark = True
+            world.directories[0].unresponsive = True
             await trio.sleep(5.5)
             await world.request("unsafe", request_id="r")
 
--- a/tests/services/exchanges/emulated_directory.py
+++ b/tests/services/exchanges/emulated_directory.py
@@ -60,8 +60,8 @@
 
     Attributes:
         down: Calls fail at once.
-        dark: Calls get no answer, also those under way, and fail after the adapter's limit.
-        deaf: Watches hear nothing.
+        unresponsive: Calls get no answer, also those under way, and fail after the adapter's limit.
+        watches_blocked: Watches hear nothing.
         answer_seconds: Time that an answer takes.
     """
 
@@ -70,16 +70,16 @@
         "_silent_connection",
         "_world",
         "answer_seconds",
-        "dark",
-        "deaf",
+        "unresponsive",
+        "watches_blocked",
         "down",
     )
 
     def __init__(self, world):
         self._world = world
         self.down = False
-        self.dark = False
-        self.deaf = False
+        self.unresponsive = False
+        self.watches_blocked = False
         self.answer_seconds = 0.004
         self._connection = 0
         self._silent_connection = -1
@@ -130,10 +130,10 @@
     def _hears_nothing(self, after):
         model = self._world.shared.model
         model.expire_leases(trio.current_time())
-        return model.revision == after.revision or self.deaf or self.dark
+        return model.revision == after.revision or self.watches_blocked or self.unresponsive
 
     async def _check_answered(self, limit_seconds):
-        if self.dark:
+        if self.unresponsive:
             await trio.sleep(limit_seconds)
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "no answer")
 
--- a/tests/services/exchanges/test_freshness.py
+++ b/tests/services/exchanges/test_freshness.py
@@ -81,7 +81,7 @@
     """Relays lose the store and go on answering other nodes."""
 
     def test_configurations_are_in_force_in_time_behind_relays_without_the_store(self):
-        for fault in ("dark", "down"):
+        for fault in ("unresponsive", "down"):
             for lost in (1, 2):
                 with self.subTest(fault=fault, lost=lost):
                     self.assertLess(self.worst_in_a_storm(fault, lost, seed=lost), BOUND_SECONDS)
@@ -101,7 +101,7 @@
         return found[0]
 
     def test_a_relay_without_the_store_hears_the_other_nodes_of_a_lone_zone(self):
-        for fault in ("dark", "down"):
+        for fault in ("unresponsive", "down"):
             for nodes in (2, 3, 8):
                 with self.subTest(fault=fault, nodes=nodes):
                     self.assertEqual(set(self.statuses_of_relay(fault, nodes)), {200})
@@ -122,7 +122,7 @@
         return statuses
 
     def test_a_leaving_instance_gets_nothing_in_time_behind_relays_without_the_store(self):
-        for fault in ("dark", "down"):
+        for fault in ("unresponsive", "down"):
             for seed in range(1, 4):
                 with self.subTest(fault=fault, seed=seed):
                     self.assertEqual(self.late_arrivals(fault, seed), [])
@@ -167,7 +167,7 @@
                 nursery.start_soon(self.publish_storm, world)
                 await trio.sleep(1.0)
                 relay = self.relays(world)[0]
-                others = self.lose_store(world, [relay], "dark")
+                others = self.lose_store(world, [relay], "unresponsive")
                 self.cut_from_other_zones(world, relay)
                 found.append(await self.worst_delay(world, others, FAULT_SECONDS))
                 nursery.cancel_scope.cancel()
@@ -185,7 +185,7 @@
                 world.calls = 0
                 await trio.sleep(FAULT_SECONDS)
                 calls["before"] = world.calls
-                others = self.lose_store(world, relays[:1], "dark")
+                others = self.lose_store(world, relays[:1], "unresponsive")
                 world.calls = 0
                 worst = await self.worst_delay(world, others, FAULT_SECONDS)
                 calls["after"] = world.calls
@@ -198,7 +198,7 @@
     def test_the_log_tells_of_a_lost_store_as_soon_as_an_answer_is_overdue(self):
         async def script(world):
             with structlog.testing.capture_logs() as lines:
-                self.lose_store(world, self.relays(world)[:1], "dark")
+                self.lose_store(world, self.relays(world)[:1], "unresponsive")
                 await trio.sleep(BOUND_SECONDS)
             lost = [line for line in lines if line["number"] == "HS4104"]
             self.assertEqual([line["reason"] for line in lost], ["overdue"])
@@ -255,7 +255,7 @@
             await trio.sleep(generator.uniform(0.0, 3.0))
             match generator.randrange(4):
                 case 0:
-                    directory.dark = True
+                    directory.unresponsive = True
                 case 1:
                     directory.down = True
                 case 2:
@@ -265,7 +265,7 @@
                     world.network.isolate(name, inbound=inbound, outbound=not inbound)
             await trio.sleep(generator.uniform(0.0, 5.0))
             if generator.random() < 0.7:
-                directory.dark = directory.down = False
+                directory.unresponsive = directory.down = False
             if generator.random() < 0.7:
                 world.network.cut -= {pair for pair in world.network.cut if name in pair}
 
--- a/tests/services/exchanges/test_knowledge.py
+++ b/tests/services/exchanges/test_knowledge.py
@@ -61,11 +61,11 @@
 
     def test_a_watch_that_hears_nothing_dates_nothing_but_its_own_start(self):
         async def script(world):
-            world.directories[0].deaf = True
+            world.directories[0].watches_blocked = True
             world.publish(ConfigurationPublished(configuration(2, tenants=TENANTS[1:])))
             deaf_seconds = 1.0
             await trio.sleep(deaf_seconds)
-            world.directories[0].deaf = False
+            world.directories[0].watches_blocked = False
             world.publish(ConfigurationPublished(configuration(3, tenants=TENANTS[1:])))
             await trio.sleep(0.1)
             answer = await world.request("unsafe")
--- a/tests/services/exchanges/test_lapsed_entries.py
+++ b/tests/services/exchanges/test_lapsed_entries.py
@@ -44,7 +44,7 @@
         return found
 
     def test_an_instance_is_used_until_its_entry_is_back(self):
-        for fault in ("down", "dark"):
+        for fault in ("down", "unresponsive"):
             for nodes in (1, 3):
                 with self.subTest(fault=fault, nodes=nodes):
 
--- a/tests/services/exchanges/test_weights_after_outage.py
+++ b/tests/services/exchanges/test_weights_after_outage.py
@@ -58,7 +58,7 @@
         return trio.current_time()
 
     def test_time_without_the_store_is_not_counted(self):
-        for fault in ("down", "dark"):
+        for fault in ("down", "unresponsive"):
             with self.subTest(fault=fault):
 
                 async def script(world, fault=fault):
