--- a/hopstep/services/exchanges/weights/rollout_lease.py
+++ b/hopstep/services/exchanges/weights/rollout_lease.py
@@ -221,7 +221,7 @@
         )
 
     def _token(self, version: StorePlace) -> int:
-        """Return the fencing token; without the era if nodes without eras may be next."""
+        """Return the fencing token; it omits the era while nodes without eras may take over."""
         if (
             self._knowledge.registered_nodes.all_support_eras
             or self._knowledge.history.was_restored
--- a/tests/services/exchanges/test_relaying.py
+++ b/tests/services/exchanges/test_relaying.py
@@ -87,18 +87,18 @@
     def test_logs_tell_from_whom_a_node_has_what_it_takes(self):
         async def script(world):
             relays = {self.name(node) for node in self.relays(world)}
-            silent = self.others(world)[0].knowledge.relays.relay()
+            isolated = self.others(world)[0].knowledge.relays.relay()
             with structlog.testing.capture_logs() as lines:
                 world.publish(ConfigurationPublished(configuration(2)))
                 await trio.sleep(1.0)
-                world.network.isolate(silent)
+                world.network.isolate(isolated)
                 await trio.sleep(1.0)
             applied = [line for line in lines if line["number"] == "HS4101"]
             self.assertEqual(len(applied), len(world.nodes))
             self.assertEqual({line["source"] for line in applied}, {"store", *relays})
             self.assertTrue(all(0 <= line["age_ms"] < 3_000 for line in applied))
             left = [line["previous"] for line in lines if line["number"] == "HS4106"]
-            self.assertEqual(set(left), {silent})
+            self.assertEqual(set(left), {isolated})
 
         self.run_world(script)
 
