--- a/hopstep/services/exchanges/requests/__init__.py
+++ b/hopstep/services/exchanges/requests/__init__.py
@@ -1,1 +1,1 @@
-"""One request on its way: admission, choice, attempts, answer, refusal."""
+"""Handling of one request: admission, choice of an instance, attempts, response, refusal."""
--- a/hopstep/services/exchanges/requests/admission.py
+++ b/hopstep/services/exchanges/requests/admission.py
@@ -1,4 +1,4 @@
-"""What is decided by a request's head: route, key, freshness of what the node knows."""
+"""Admits requests by their head: route, API key, age of the node's configuration."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ExchangeAdmission:
-    """Turns heads into requests, or refuses them."""
+    """Turns request heads into admitted requests, or refuses them."""
 
     def __init__(self, knowledge: ServingKnowledge, lifecycle: Lifecycle) -> None:
-        """Use what the node knows.
+        """Create the admission check of this node.
 
         Args:
             knowledge: Configuration and its age.
@@ -24,10 +24,10 @@
         self._lifecycle = lifecycle
 
     def admit(self, head: RequestHead, body: bytes) -> ExchangeRequest:
-        """Return the request.
+        """Return the admitted request.
 
         Raises:
-            ServiceError: When it may not run here; nothing was sent.
+            ServiceError: When the request may not run here; nothing was sent.
         """
         index = self._knowledge.require_index()
         route = index.find_route(head.host, head.path)
@@ -52,7 +52,11 @@
         return tenant
 
     def _denied(self, code: ErrorCode, message: str) -> ServiceError:
-        """Return the refusal of what isn't configured, if what is known is recent enough."""
+        """Return the refusal of an unconfigured route or key.
+
+        Raises:
+            ServiceError: When the node's configuration isn't recent enough to tell.
+        """
         self._knowledge.keys.require()
         return ServiceError(code, message)
 
--- a/hopstep/services/exchanges/requests/answer_relay.py
+++ b/hopstep/services/exchanges/requests/answer_relay.py
@@ -1,7 +1,7 @@
-"""Passes answers of instances on to one client, and knows what the client has of them.
+"""Relays responses of instances to one client and tracks what the client has received.
 
-What is counted as handed over is handed over: from the moment of counting no cancellation strikes,
-neither of a silent instance's attempt nor at the deadline.
+Once data is counted as delivered, sending it is shielded from cancellation: neither the watchdog
+for unresponsive instances nor the request's deadline can interrupt it.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from hopstep.ports.instance_calls import InstanceAnswer, InstanceCallError
 from hopstep.services.exchanges.requests.exchange_parts import (
     MILLISECONDS,
+    CompleteResponse,
     ExchangeOutcome,
-    WholeAnswer,
 )
 
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that say to a client that its request has not run."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses by which clients are told that their request has not run."""
 
 FIRST_FAILURE_STATUS = 500
 FIRST_SUCCESS_STATUS = 200
@@ -31,27 +31,27 @@
 
 
 class AnswerRelay:
-    """Passes on one request's answer, over all of its attempts.
+    """Relays one request's response, over all of its attempts.
 
     Attributes:
-        started: Whether the head has been counted as handed over.
-        finished: Whether the whole answer has.
-        failure: An instance's own failure, for want of anything better.
+        started: Whether the response head is counted as delivered.
+        finished: Whether the complete response is counted as delivered.
+        failure: Latest failure response of an instance, sent if no attempt does better.
     """
 
     def __init__(
         self, request: ExchangeRequest, answer: ClientAnswer, outcome: ExchangeOutcome
     ) -> None:
-        """Prepare.
+        """Create the relay of one request.
 
         Args:
             request: The request.
-            answer: The client's answer.
-            outcome: Takes times, events and the status.
+            answer: Writes the response to the client.
+            outcome: Records times, number of events and the status.
         """
         self.started = False
         self.finished = False
-        self.failure: WholeAnswer | None = None
+        self.failure: CompleteResponse | None = None
         self._request = request
         self._answer = answer
         self._outcome = outcome
@@ -59,56 +59,56 @@
 
     @property
     def resume_after(self) -> str:
-        """Id of the last event that the client has; empty for none."""
+        """Id of the last event that the client has received; empty for none."""
         last_id = self._framer.last_id
         return str(last_id) if last_id is not None else self._request.resume_after
 
     def restart(self) -> None:
-        """Forget a partial event: another attempt goes on after the last whole one."""
+        """Discard a partial event: the next attempt resumes after the last complete one."""
         self._framer.restart()
 
     async def relay(self, candidate: Candidate, answer: InstanceAnswer, sent_at: float) -> None:
-        """Pass an answer on.
+        """Relay a response to the client.
 
         Args:
-            candidate: The instance that gives it.
-            answer: Head of the answer.
-            sent_at: When the request was sent there.
+            candidate: The instance that responds.
+            answer: Head of the response, and its body.
+            sent_at: When the request was sent there, by the steady clock in seconds.
 
         Raises:
-            InstanceCallError: When the answer isn't whole, or another attempt may do better.
+            InstanceCallError: When the response is incomplete, or another attempt may do better.
         """
         if self._is_stream(answer):
             await self._relay_stream(candidate, answer, sent_at)
         else:
-            await self._relay_whole(candidate, answer, sent_at)
+            await self._relay_complete(candidate, answer, sent_at)
 
     async def send_failure(self) -> bool:
-        """Pass on an instance's own failure; return False when there is none to pass on."""
+        """Send the recorded failure response; return False when there is none to send."""
         if self.failure is None or self.started:
             return False
-        await self._send_whole(self.failure)
+        await self._send_complete(self.failure)
         return True
 
     def _is_stream(self, answer: InstanceAnswer) -> bool:
-        """Return whether an answer is passed on event by event."""
+        """Return whether a response is relayed event by event."""
         successful = FIRST_SUCCESS_STATUS <= answer.status <= LAST_SUCCESS_STATUS
         return successful and self._request.route.kind is RequestKind.STREAM
 
     async def _relay_stream(
         self, candidate: Candidate, answer: InstanceAnswer, sent_at: float
     ) -> None:
-        """Pass events on as they come."""
+        """Relay events as they arrive."""
         self._require_signed(answer)
         view = candidate.view
         first = True
-        heard_at = 0.0
+        previous_chunk_at = 0.0
         async for data in answer.body():
             now = trio.current_time()
             if not first:
-                pause_ms = round((now - heard_at) * MILLISECONDS)
+                pause_ms = round((now - previous_chunk_at) * MILLISECONDS)
                 self._outcome.pause_ms = max(self._outcome.pause_ms, pause_ms)
-            heard_at = now
+            previous_chunk_at = now
             if first:
                 first = False
                 view.segments.mark_read(candidate.keys, now)
@@ -118,7 +118,7 @@
             await self._send_events(answer, data)
         if self._framer.has_partial or not self.started:
             raise InstanceCallError(
-                ErrorCode.STREAM_INTERRUPTED, "the stream ended in an event", Execution.UNKNOWN
+                ErrorCode.STREAM_INTERRUPTED, "the stream ended within an event", Execution.UNKNOWN
             )
         self._outcome.events = self._framer.events
         self._outcome.outcome = str(answer.status)
@@ -127,27 +127,27 @@
             await self._answer.finish()
 
     async def _send_events(self, answer: InstanceAnswer, data: bytes) -> None:
-        """Pass on the events that are whole with ``data``.
+        """Send the events that ``data`` completes.
 
-        The framer has counted them, so nothing may end the attempt before they are handed over.
+        The framer has counted them, so nothing may cancel the attempt before they are sent.
         """
         try:
-            whole = self._framer.feed(data)
+            complete = self._framer.feed(data)
         except StreamOrderError as error:
             raise InstanceCallError(
                 ErrorCode.STREAM_INTERRUPTED, str(error), Execution.UNKNOWN
             ) from error
-        if not whole:
+        if not complete:
             return
         with trio.CancelScope(shield=True):
             if not self.started:
                 await self._start(answer.status, answer.headers, None)
-            await self._answer.send(whole)
+            await self._answer.send(complete)
 
-    async def _relay_whole(
+    async def _relay_complete(
         self, candidate: Candidate, answer: InstanceAnswer, sent_at: float
     ) -> None:
-        """Read an answer to its end and pass it on, unless another attempt may do better."""
+        """Read a response to its end and send it, unless another attempt may do better."""
         body = bytearray()
         async for data in answer.body():
             body += data
@@ -157,15 +157,15 @@
                 )
         now = trio.current_time()
         candidate.view.first_byte(self._request.request_id, candidate.uncached_tokens, now)
-        if answer.status in PROMISES:
+        if answer.status in NOT_RUN_STATUSES:
             raise InstanceCallError(
                 ErrorCode.EXECUTION_UNKNOWN,
-                f"status {answer.status} without the proof",
+                f"status {answer.status} without proof that the request has not run",
                 Execution.UNKNOWN,
             )
-        whole = WholeAnswer(answer.status, answer.headers, bytes(body))
+        complete = CompleteResponse(answer.status, answer.headers, bytes(body))
         if self.started or answer.status >= FIRST_FAILURE_STATUS:
-            self.failure = whole
+            self.failure = complete
             raise InstanceCallError(
                 ErrorCode.RETRIES_EXHAUSTED,
                 f"the instance answered {answer.status}",
@@ -174,26 +174,26 @@
         if FIRST_SUCCESS_STATUS <= answer.status <= LAST_SUCCESS_STATUS:
             self._require_signed(answer)
         candidate.view.succeeded(now - sent_at)
-        await self._send_whole(whole)
+        await self._send_complete(complete)
 
     def _require_signed(self, answer: InstanceAnswer) -> None:
-        """Raise unless a success carries its instance's signature."""
+        """Raise unless a successful response carries its instance's signature."""
         if not answer.signed:
             raise InstanceCallError(
                 ErrorCode.EXECUTION_UNKNOWN, "the answer isn't signed", Execution.UNKNOWN
             )
 
-    async def _send_whole(self, whole: WholeAnswer) -> None:
-        """Pass a whole answer on, all of it or nothing."""
+    async def _send_complete(self, complete: CompleteResponse) -> None:
+        """Send a complete response, all of it or nothing."""
         self.finished = True
         with trio.CancelScope(shield=True):
-            await self._start(whole.status, whole.headers, len(whole.body))
-            await self._answer.send(whole.body)
-            self._outcome.outcome = str(whole.status)
+            await self._start(complete.status, complete.headers, len(complete.body))
+            await self._answer.send(complete.body)
+            self._outcome.outcome = str(complete.status)
             await self._answer.finish()
 
     async def _start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Send the head of the answer."""
+        """Send the head of the response."""
         self.started = True
         elapsed = trio.current_time() - self._request.received_at
         self._outcome.first_byte_ms = round(elapsed * MILLISECONDS)
@@ -201,5 +201,5 @@
 
 
 def _event_number(text: str) -> int | None:
-    """Return the number of an event that a client names, or None."""
+    """Return the event number in a ``Last-Event-Id`` header, or None when it has none."""
     return int(text) if text.isdecimal() else None
--- a/hopstep/services/exchanges/requests/exchange.py
+++ b/hopstep/services/exchanges/requests/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way: attempts at instances until its answer is whole or truthfully failed."""
+"""Runs one request: attempts at instances until the response is complete or the request fails."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 FURTHER_STEPS = (NextStep.RETRY, NextStep.RESUME)
 """Steps that send the request to another instance."""
 
-MAX_UNSENT_TRIES = 3
-"""Most instances that couldn't be reached before a request is refused."""
+MAX_UNSENT_ATTEMPTS = 3
+"""Number of unreachable instances after which a request is refused."""
 
 
 class Exchange:
-    """Carries one request.
+    """Runs one request.
 
     Attributes:
-        outcome: What is told of it when it has ended.
-        refused_seconds: For how much longer it is refused since it ends instances; else 0.
+        outcome: What is logged when the request has ended.
+        refused_seconds: Remaining time for which the quarantine refuses the request; else 0.
     """
 
     def __init__(
         self, parts: ExchangeParts, request: ExchangeRequest, service: str, answer: ClientAnswer
     ) -> None:
-        """Prepare.
+        """Create the run of one request.
 
         Args:
-            parts: What all requests share.
+            parts: Objects that all requests share.
             request: The request.
             service: Service that its route chose.
-            answer: The client's answer.
+            answer: Writes the response to the client.
         """
         self.outcome = ExchangeOutcome()
         self.refused_seconds = 0.0
@@ -59,7 +59,7 @@
         self._relay = AnswerRelay(request, answer, self.outcome)
         self._budget = parts.budgets(service)
         self._tried: set[str] = set()
-        self._unsent_tries = 0
+        self._unsent_attempts = 0
         self._may_have_run = False
         self._gate = QuarantineGate(parts.quarantine, parts.calls, request, self.outcome)
         self._in_flight = SendProof()
@@ -70,10 +70,11 @@
         return self._tried
 
     async def run(self) -> None:
-        """Give the client an answer, or cut it when it can't be completed.
+        """Send the client a response, or cut it off when it can't be completed.
 
         Raises:
-            ServiceError: When nothing of an answer was sent; ``execution`` is as proved.
+            ServiceError: When nothing of a response was sent; ``execution`` says whether the
+                request may have run.
         """
         self._budget.record_request(self._request.received_at)
         with trio.CancelScope(deadline=self._request.deadline) as scope:
@@ -86,13 +87,13 @@
             self._fail(ErrorCode.DEADLINE_EXCEEDED, "no whole answer in time")
 
     async def _run_attempts(self) -> None:
-        """Make attempts until the answer is whole or nothing more can be done."""
+        """Make attempts until the response is complete or no further attempt is allowed."""
         only: str | None = None
         while True:
             await self._refuse_quarantined()
             self._refuse_unproved_key()
             candidate = self._parts.choice.choose(self._request, self._service, self._tried, only)
-            if candidate is None and await self._wait_for_room():
+            if candidate is None and await self._wait_for_capacity():
                 continue
             if candidate is None:
                 self._fail(ErrorCode.OVERLOADED, "no instance may serve the request now")
@@ -103,8 +104,8 @@
             if error.withdrawn:
                 self._log_attempt(candidate.view, error, NextStep.RETRY)
                 continue
-            self._learn(candidate.view, error)
-            only = self._go_on(candidate.view, error)
+            self._record_failure(candidate.view, error)
+            only = self._uncounted_retry(candidate.view, error)
             if only is not None:
                 continue
             step = decide_step(self._progress(error))
@@ -121,11 +122,11 @@
                 return
             self._relay.restart()
 
-    async def _wait_for_room(self) -> bool:
-        """Wait until an instance takes the request; return False when none will early enough.
+    async def _wait_for_capacity(self) -> bool:
+        """Wait until an instance accepts the request; return False when none will early enough.
 
-        Only for an answer within the route's objective: a longer wait makes most answers late, and
-        holds requests that are refused in the end.
+        Waits only as long as a response within the route's objective is expected: a longer wait
+        makes most responses late, and holds requests that are refused in the end.
         """
         parts, request = self._parts, self._request
         answer_by = request.received_at + request.route.objective_seconds
@@ -144,16 +145,16 @@
         return True
 
     async def _refuse_quarantined(self) -> None:
-        """End a request that has ended too many instances, before each that it would be sent to."""
+        """Refuse a request under which too many instances crashed; called before each attempt."""
         self.refused_seconds = await self._gate.refused_seconds()
         if self.refused_seconds:
             self._fail(ErrorCode.REQUEST_QUARANTINED, "instances have ended under this request")
 
     def _refuse_unproved_key(self) -> None:
-        """End a request whose key may have been revoked since it was admitted.
+        """Refuse a request whose key may have been revoked since it was admitted.
 
-        A node that was suspended between two attempts would send the second one under a key that
-        it confirmed long before.
+        Otherwise a node that was suspended between two attempts would make the second one with a
+        key that it confirmed long before.
         """
         if self._request.tenant is None:
             return
@@ -162,16 +163,17 @@
         except ServiceError as error:
             self._fail(error.code, error.message)
 
-    def _go_on(self, view: InstanceView, error: InstanceCallError) -> str | None:
-        """Return where to go on after a refusal that doesn't count as an instance of the route.
+    def _uncounted_retry(self, view: InstanceView, error: InstanceCallError) -> str | None:
+        """Return where to retry after a refusal that doesn't count as one of the route's attempts.
 
-        Instances that have ended, and a second request to the same one, aren't counted. Both cost
-        the retry budget.
+        Refusals by a replaced instance, and a second request to the same instance, aren't counted
+        as attempts. Both use up retry budget.
 
         Returns:
-            The id of the one instance to go to, empty for any other, None when the refusal counts.
+            Id of the only instance to retry at, empty for any other one, None when the refusal
+            counts.
         """
-        where = self._learn_from_refusal(view, error)
+        where = self._apply_refusal(view, error)
         if where is None or not self._budget.allows(trio.current_time(), self._parts.nodes()):
             return None
         self._budget.record_repeat(trio.current_time())
@@ -181,8 +183,8 @@
         self._log_attempt(view, error, NextStep.RETRY)
         return where
 
-    def _learn_from_refusal(self, view: InstanceView, error: InstanceCallError) -> str | None:
-        """Learn what a refusal tells of an instance; see ``_go_on`` for what is returned."""
+    def _apply_refusal(self, view: InstanceView, error: InstanceCallError) -> str | None:
+        """Update the view of an instance that refused; returns the same as ``_uncounted_retry``."""
         if error.replaced:
             view.replaced = True
             self._parts.quarantine.note_ended(view.life, EndEvidence.REPLACED)
@@ -195,7 +197,7 @@
         return None
 
     async def _attempt(self, candidate: Candidate) -> InstanceCallError | None:
-        """Make one attempt; return what went wrong, or None after a whole answer."""
+        """Make one attempt; return its error, or None after a complete response."""
         view = candidate.view
         attempt = InstanceAttempt(
             self._parts, self._request, self._gate.name, self._relay, self.outcome, candidate
@@ -204,16 +206,16 @@
         error = await attempt.run()
         self._in_flight = SendProof()
         if error is not None:
-            self._learn_from_attempt(view, error)
+            self._record_attempt(view, error)
             return error
         self._count_sent(view)
         self._gate.note_whole_answer()
         return None
 
-    def _learn_from_attempt(self, view: InstanceView, error: InstanceCallError) -> None:
-        """Count an attempt without a whole answer, and have a silent instance looked at.
+    def _record_attempt(self, view: InstanceView, error: InstanceCallError) -> None:
+        """Count an attempt without a complete response, and have the instance checked.
 
-        One that was withdrawn before it was sent counts for nothing: another instance is chosen.
+        An attempt that was withdrawn before it was sent isn't counted: another instance is chosen.
         """
         if error.withdrawn:
             return
@@ -221,31 +223,31 @@
             self._count_sent(view)
             self._gate.note_broken(view, error)
         else:
-            self._unsent_tries += 1
+            self._unsent_attempts += 1
         self._tried.add(view.instance.instance_id)
 
     def _count_sent(self, view: InstanceView) -> None:
-        """Count an attempt that left."""
+        """Count an attempt that was sent."""
         if self.outcome.attempts:
             self._budget.record_repeat(trio.current_time())
         self.outcome.attempts += 1
         self._tried.add(view.instance.instance_id)
 
     async def _answer_unknown(self) -> None:
-        """Pass on an instance's own failure, or say that the request may have run."""
+        """Send an instance's failure response, or the error that the request may have run."""
         if not await self._relay.send_failure():
             self._fail(ErrorCode.EXECUTION_UNKNOWN, "the request may have run")
 
     def _fail(self, code: ErrorCode, message: str) -> None:
-        """Raise the error that ends the request, or end as cut when an answer has begun."""
+        """Raise the error that ends the request; when a response has begun, record it as cut."""
         if self._relay.started:
             self.outcome.outcome = "cut"
             return
         execution = Execution.UNKNOWN if self._may_have_run else Execution.NOT_RUN
         raise ServiceError(code, message, execution=execution)
 
-    def _learn(self, view: InstanceView, error: InstanceCallError) -> None:
-        """Learn from a failed attempt."""
+    def _record_failure(self, view: InstanceView, error: InstanceCallError) -> None:
+        """Update the instance's view after a failed attempt."""
         if error.execution is Execution.UNKNOWN:
             self._may_have_run = True
         answered = error.execution is Execution.NOT_RUN and error.sent
@@ -253,11 +255,11 @@
         view.failed(trio.current_time(), unreachable=unreachable)
 
     def _progress(self, error: InstanceCallError) -> ExchangeProgress:
-        """Return how far the request has come."""
+        """Return the request's progress, from which the next step is decided."""
         now = trio.current_time()
         route = self._request.route
         attempts = self.outcome.attempts
-        if self._unsent_tries >= MAX_UNSENT_TRIES:
+        if self._unsent_attempts >= MAX_UNSENT_ATTEMPTS:
             attempts = route.max_attempts
         return ExchangeProgress(
             idempotent=route.idempotent,
@@ -272,7 +274,7 @@
         )
 
     def _log_attempt(self, view: InstanceView, error: InstanceCallError, step: NextStep) -> None:
-        """Log and count a failed attempt and what follows."""
+        """Log and count a failed attempt and the next step."""
         self._parts.count_failure(error.code.value, step.value)
         emit(
             log_events.EXCHANGE_ATTEMPT_FAILED,
--- a/hopstep/services/exchanges/requests/exchange_parts.py
+++ b/hopstep/services/exchanges/requests/exchange_parts.py
@@ -1,4 +1,4 @@
-"""What an exchange is made of: shared parts, its outcome for the log, a whole answer."""
+"""Types of an exchange: objects that all requests share, outcome for the log, response."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 MILLISECONDS = 1_000
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
-    """An answer that was read to its end.
+class CompleteResponse(msgspec.Struct, frozen=True):
+    """A response that was read to its end.
 
     Attributes:
         status: HTTP status.
-        headers: Headers that are passed back.
-        body: Whole body.
+        headers: Headers that are sent to the client.
+        body: Complete body.
     """
 
     status: int
@@ -34,20 +34,22 @@
 
 
 class ExchangeOutcome(msgspec.Struct):
-    """What is told of a request when it has ended.
+    """What is logged of a request when it has ended.
 
     Attributes:
-        outcome: Status, or how it was cut.
-        instance: Last instance.
+        outcome: Status of the response, error code with execution, ``cut`` or ``client_left``.
+        instance: Id of the last instance that the request was sent to.
         attempts: Attempts of which a byte was sent.
-        first_byte_ms: From the head of the request to the first byte of the answer.
+        first_byte_ms: Milliseconds from the head of the request to the first byte of the
+            response; -1 for none.
         events: Events of a stream.
-        pause_ms: Longest time between two pieces of a stream.
+        pause_ms: Longest time between two chunks of a stream, in milliseconds.
         read_tokens: Prompt tokens that the last instance was expected to read.
-        source: Where it was told to bring segments from.
-        target: Where it was told to save segments.
-        waited_ms: Time for which it waited here until an instance took it.
-        kept_from: How many instances each barrier kept it from when it was refused.
+        source: Address from which the last instance was to load segments; empty for none.
+        target: Address to which the last instance was to save segments; empty for none.
+        waited_ms: Milliseconds for which the request waited for an instance to accept it.
+        kept_from: Number of instances for each barrier that kept the request from them when it
+            was refused.
         fingerprint: Digest that equal requests share, in hexadecimal digits; empty when nothing
             counts against any request.
     """
@@ -67,20 +69,20 @@
 
 
 class ExchangeParts(msgspec.Struct, frozen=True):
-    """What all requests of a node share.
+    """Objects and callbacks that all requests of a node share.
 
     Attributes:
-        calls: Instances.
-        choice: Chooses among them.
+        calls: Sends requests to instances.
+        choice: Chooses the instance of an attempt.
         budgets: Returns a service's retry budget.
         nodes: Returns how many nodes may be alive.
-        note_sent: Told of each prompt that is sent, for the peers.
-        pauses: Notices pauses of the node itself.
-        quarantine: Requests that end instances.
+        note_sent: Called with each prompt that is sent; reports it to other nodes.
+        pauses: Detects pauses of the node's own process.
+        quarantine: Requests under which instances crash.
         require_fresh: Raises ``ServiceError`` when keys may have been revoked unnoticed.
-        count_failure: Told of each failed attempt: its code, and what follows.
-        notices: Hears what instances say of themselves.
-        limits: Permits to send to limited instances.
+        count_failure: Called for each failed attempt with its error code and the next step.
+        notices: Receives what instances announce in response headers.
+        limits: Permits to send to rate-limited instances.
     """
 
     calls: InstanceCalls
--- a/hopstep/services/exchanges/requests/instance_attempt.py
+++ b/hopstep/services/exchanges/requests/instance_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one instance, from the first byte sent to the end of its answer."""
+"""One attempt of a request at one instance, from the first byte sent to the end of the response."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 )
 from hopstep.services.exchanges.requests.answer_relay import AnswerRelay
 from hopstep.services.exchanges.requests.exchange_parts import ExchangeOutcome, ExchangeParts
-from hopstep.services.exchanges.requests.silence_watchdog import SilenceWatchdog
+from hopstep.services.exchanges.requests.response_watchdog import ResponseWatchdog
 
 
 class InstanceAttempt:
-    """Sends a request to the instance that was chosen, and passes the answer on.
+    """Sends a request to the chosen instance and relays the response.
 
     Attributes:
-        proof: Whether a byte may have left.
+        proof: Whether a byte may have been sent.
     """
 
     def __init__(
@@ -38,15 +38,15 @@
         outcome: ExchangeOutcome,
         candidate: Candidate,
     ) -> None:
-        """Prepare.
+        """Create an attempt that is sent by ``run``.
 
         Args:
-            parts: What all requests share.
+            parts: Objects that all requests share.
             request: The request.
-            name: What it shares with equal requests.
-            relay: Passes answers on to the client.
-            outcome: Takes what is told of the attempt.
-            candidate: The instance, and what it would mean there.
+            name: Fingerprint and route that equal requests share.
+            relay: Relays responses to the client.
+            outcome: Records what is logged of the attempt.
+            candidate: The instance, and the estimated work of the request there.
         """
         self.proof = SendProof()
         self._parts = parts
@@ -61,7 +61,7 @@
         self._permit = parts.limits.hold(self._view)
 
     async def run(self) -> InstanceCallError | None:
-        """Make the attempt; return what went wrong, or None after a whole answer."""
+        """Make the attempt; return its error, or None after a complete response."""
         view, candidate = self._view, self._candidate
         request_id = self._request.request_id
         now = trio.current_time()
@@ -69,29 +69,29 @@
         view.begin(request_id, candidate.uncached_tokens, now)
         view.segments.record(candidate.keys, now + candidate.read_seconds)
         self._parts.note_sent(candidate)
-        left_midway = True
+        abandoned = True
         try:
             await self._call()
-            left_midway = False
+            abandoned = False
         except InstanceCallError as error:
-            left_midway = False
+            abandoned = False
             return error
         finally:
             view.end(request_id, candidate.uncached_tokens)
             self._parts.limits.release(view, self._permit)
-            if left_midway and self.proof.sent and not self._relay.finished:
+            if abandoned and self.proof.sent and not self._relay.finished:
                 look = functools.partial(self._parts.calls.look, view.instance)
                 self._parts.quarantine.note_left(self._name, view.life, look)
         return None
 
     async def _call(self) -> None:
-        """Send the request and pass its answer on; one that the client has whole stays so.
+        """Send the request and relay its response; errors after a complete response are ignored.
 
         Raises:
-            InstanceCallError: When the answer isn't whole.
+            InstanceCallError: When the response is incomplete.
         """
         async with trio.open_nursery() as nursery:
-            watchdog = SilenceWatchdog(self._view, self._parts.pauses)
+            watchdog = ResponseWatchdog(self._view, self._parts.pauses)
             if self._request.route.idempotent:
                 nursery.start_soon(watchdog.run, nursery.cancel_scope)
             try:
@@ -111,25 +111,25 @@
             raise failure
 
     async def _exchange(self) -> None:
-        """Open the call and relay its answer."""
+        """Open the call and relay its response."""
         view = self._view
         sent_at = trio.current_time()
         async with self._parts.calls.open(self._make_call()) as answer:
             view.heard(trio.current_time())
             self._parts.quarantine.note_answer(view.life, sent_at)
-            self._learn_version(answer)
+            self._record_version(answer)
             try:
                 await self._relay.relay(self._candidate, answer, sent_at)
             finally:
-                self._learn_version(answer)
+                self._record_version(answer)
 
-    def _learn_version(self, answer: InstanceAnswer) -> None:
-        """Learn the weights that an answer names: under a stream that goes on they may change."""
+    def _record_version(self, answer: InstanceAnswer) -> None:
+        """Record the weights version that a response names; it may change while a stream runs."""
         if answer.weights_version and self._request.prompt is not None:
             self._view.learn_version(self._request.prompt.model, answer.weights_version)
 
     def _make_call(self) -> InstanceCall:
-        """Return the call."""
+        """Return the call to the instance."""
         view, request, candidate = self._view, self._request, self._candidate
         choice, prompt = self._parts.choice, request.prompt
         self._outcome.read_tokens = candidate.uncached_tokens
@@ -151,6 +151,6 @@
         )
 
     def _may_send(self) -> bool:
-        """Return whether the request may leave now; counts it as sent under a limit."""
+        """Return whether the request may be sent now; counts it as sent under a limit."""
         may_send = self._parts.choice.may_send(self._view, self._purpose)
         return may_send and self._permit.use(trio.current_time())
--- a/hopstep/services/exchanges/requests/instance_choice.py
+++ b/hopstep/services/exchanges/requests/instance_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the instance of an attempt from what the node believes."""
+"""Chooses the instance of an attempt by the node's view of instances and caches."""
 
 from __future__ import annotations
 
@@ -19,23 +19,25 @@
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.instances.store_watch import CacheStoreWatch
 from hopstep.services.exchanges.pause_watch import PauseWatch
-from hopstep.services.exchanges.requests.permit_demand import LimitAsking, is_limited, note_wanted
+from hopstep.services.exchanges.requests.permit_demand import LimitProbes, is_limited, note_wanted
 
 LAST_REQUESTS_SHARE = 0.5
-"""Part of the drain bound in which an instance that leaves is sent what nobody else can serve. The
-rest is left for connecting, 0.4 s at most, and for the way there."""
+"""Fraction of the drain bound during which an instance that is shutting down is still sent requests
+that no other instance can serve. The rest is left for connecting, 0.4 s at most, and for
+transmission."""
 
 MIN_SAVED_TOKENS = 1_000
-"""Prompts with fewer shared tokens are read anew faster than they are moved about."""
+"""Prompts with fewer shared tokens are recomputed faster than their cached segments are moved."""
 
 
 class Opening(NamedTuple):
-    """How an instance may come to take a request.
+    """When an instance may accept a request that none accepts now.
 
     Attributes:
-        opens_at: When the first one takes it by itself; None for too late or never.
-        limited: Those that take it as soon as this node has a permit.
-        permit_by: A permit must come by then.
+        opens_at: Earliest time at which one accepts it without a permit, by the steady clock in
+            seconds; None for too late or never.
+        limited: Instances that accept it as soon as this node has a permit.
+        permit_by: Latest time at which a permit is of use, by the same clock.
     """
 
     opens_at: float | None
@@ -56,20 +58,20 @@
         other_zone_seconds: float,
         drain_seconds: float,
     ) -> None:
-        """Use what the node knows.
+        """Create the choice of one node.
 
         Args:
             knowledge: Instances and weights.
-            store_watch: What the cache stores keep.
-            pauses: Notices pauses of the node itself.
+            store_watch: Contents of the cache stores.
+            pauses: Detects pauses of the node's own process.
             generator: Breaks ties.
             zone: Zone of this node.
-            other_zone_seconds: Delay that a request to another zone counts for.
-            drain_seconds: Time after an instance's word that it leaves in which it still serves.
+            other_zone_seconds: Delay that is added to the estimate of instances in other zones.
+            drain_seconds: Time for which an instance still serves after it announced its shutdown.
         """
         self._last_requests_seconds = LAST_REQUESTS_SHARE * drain_seconds
         self._knowledge = knowledge
-        self._asking = LimitAsking(knowledge)
+        self._limit_probes = LimitProbes(knowledge)
         self._store_watch = store_watch
         self._pauses = pauses
         self._generator = generator
@@ -84,8 +86,8 @@
         Args:
             request: The request.
             service: Service that the route chose.
-            tried: Ids of instances that it was sent to.
-            only: Id of the one instance that it may go to; none for any that wasn't tried.
+            tried: Ids of instances that the request was sent to.
+            only: Id of the only instance allowed; empty or None for any that wasn't tried.
         """
         self._pauses.look()
         self._knowledge.instances.expire_lapsed()
@@ -93,10 +95,10 @@
         eligible = self._eligible(request, service, tried, now)
         if only:
             eligible = [view for view in eligible if view.instance.instance_id == only]
-        views = self._admissible(eligible, now) or self._unheard(eligible, request, now)
+        views = self._admissible(eligible, now) or self._without_report(eligible, request, now)
         if views:
             self._note_wanted(request, service, eligible, views, now)
-        asked = self._asked(request, service, views, now)
+        asked = self._limit_probe(request, service, views, now)
         return asked or self._best(request, service, views, now)
 
     def _note_wanted(
@@ -107,27 +109,27 @@
         views: list[InstanceView],
         now: float,
     ) -> None:
-        """Ask for a permit where the best instance is one under a limit, or a limit is in doubt."""
+        """Request a permit if the best instance is limited, or if a limit may be outdated."""
         if all(view.standing.limited_sends is None for view in eligible):
             return
         kept = [view for view in eligible if is_limited(view, now)]
         note_wanted(self._best(request, service, [*views, *kept], now), now)
-        self._asking.note_doubted([*views, *kept], now)
+        self._limit_probes.note_doubted([*views, *kept], now)
 
-    def _asked(
+    def _limit_probe(
         self, request: ExchangeRequest, service: str, views: list[InstanceView], now: float
     ) -> Candidate | None:
-        """Return an instance that the request finds out about; None when none is in doubt."""
-        askable = self._asking.askable(views, now)
-        candidate = self._best(request, service, askable, now)
-        if candidate is None or not self._asking.asks(request, candidate, now):
+        """Return an instance whose limit the request is to probe; None when none is due."""
+        probeable = self._limit_probes.probeable(views, now)
+        candidate = self._best(request, service, probeable, now)
+        if candidate is None or not self._limit_probes.start_probe(request, candidate, now):
             return None
         return candidate
 
     def _best(
         self, request: ExchangeRequest, service: str, views: list[InstanceView], now: float
     ) -> Candidate | None:
-        """Return the best of some instances, those of which nothing bad is known first."""
+        """Return the best of some instances, preferring those without known problems."""
         usable = [view for view in views if view.is_usable(now)]
         views = usable or views
         if request.prompt is None:
@@ -137,14 +139,14 @@
         return choose_engine(views, sources, engine_request, now, self._generator)
 
     def assume_newest(self, request: ExchangeRequest, view: InstanceView) -> bool:
-        """Take an instance to have the newest weights, and return whether that is news."""
+        """Assume that an instance has the newest weights; return whether the view changed."""
         if request.prompt is None:
             return False
         model = request.prompt.model
         return view.assume_version(model, self._knowledge.weights.newest(model))
 
     def salt(self, request: ExchangeRequest, view: InstanceView) -> str:
-        """Return the text under which a request's segments are kept at an instance."""
+        """Return the salt of a request's segment keys: weights version and isolated tenant."""
         if request.prompt is None:
             return ""
         version = view.serving_version(request.prompt.model)
@@ -153,16 +155,16 @@
         return f"{version}.{group}"
 
     def _admissible(self, eligible: list[InstanceView], now: float) -> list[InstanceView]:
-        """Return the instances that take a request now; those that leave only alone."""
+        """Return the instances that accept a request now; if none, those shutting down."""
         taking = [view for view in eligible if view.takes(Purpose.REQUEST, now)]
         return taking or [view for view in eligible if self._last_admission(view, now).is_open]
 
-    def _unheard(
+    def _without_report(
         self, eligible: list[InstanceView], request: ExchangeRequest, now: float
     ) -> list[InstanceView]:
-        """Return the instances that this node hasn't heard of yet, for a request that can't wait.
+        """Return the instances without a first report, for a request that can't wait for it.
 
-        Nothing is refused for that: nobody has said anything against it.
+        A missing report alone doesn't justify a refusal: no notice forbids the request.
         """
         answer_by = request.received_at + request.route.objective_seconds
         kept = ((view, view.admission(Purpose.REQUEST, now)) for view in eligible)
@@ -174,13 +176,13 @@
         ]
 
     def _last_admission(self, view: InstanceView, now: float) -> Admission:
-        """Return whether an instance takes what no other may serve."""
+        """Return whether an instance accepts requests that no other can serve."""
         return view.admission(Purpose.LAST_REQUEST, now, self._last_requests_seconds)
 
     def _eligible(
         self, request: ExchangeRequest, service: str, tried: Set[str], now: float
     ) -> list[InstanceView]:
-        """Return the instances that may serve a request, apart from whether they want it."""
+        """Return the instances able to serve a request, whether or not they accept it now."""
         model = request.prompt.model if request.prompt is not None else ""
         required = self._knowledge.weights.required(model, now) if model else 0
         return [
@@ -191,15 +193,15 @@
             and (not required or view.serving_version(model) >= required)
         ]
 
-    def kept_from(
+    def blocked_instances(
         self, request: ExchangeRequest, service: str, tried: Set[str]
     ) -> list[tuple[InstanceView, Admission]]:
-        """Return the instances that may serve a request at another time, and what is in the way.
+        """Return the instances that may serve a request later, and what prevents it now.
 
         Args:
             request: The request.
             service: Service that the route chose.
-            tried: Ids of instances that it was sent to.
+            tried: Ids of instances that the request was sent to.
         """
         now = trio.current_time()
         eligible = self._eligible(request, service, tried, now)
@@ -209,15 +211,15 @@
     def next_opening(
         self, request: ExchangeRequest, service: str, tried: Set[str], answer_by: float
     ) -> Opening:
-        """Return how an instance may come to take a request early enough for its answer.
+        """Return when an instance may accept a request early enough for its response.
 
         Args:
             request: The request.
             service: Service that the route chose.
-            tried: Ids of instances that it was sent to.
-            answer_by: An answer is expected by then.
+            tried: Ids of instances that the request was sent to.
+            answer_by: Time by which the response is expected, by the steady clock in seconds.
         """
-        kept = self.kept_from(request, service, tried)
+        kept = self.blocked_instances(request, service, tried)
         openings = [
             answer.until
             for view, answer in kept
@@ -234,7 +236,7 @@
         return listed and view.takes(purpose, trio.current_time())
 
     def _sources(self, service: str) -> list[InstanceView]:
-        """Return the instances from which segments may be brought."""
+        """Return the instances from which segments may be loaded."""
         now = trio.current_time()
         views = self._knowledge.table.of_service(service)
         return [view for view in views if view.takes(Purpose.SOURCE, now)]
@@ -266,7 +268,7 @@
         )
 
     def _stores(self, keys_of: KeysOf, traits: EngineTraits) -> tuple[StoreSource, ...]:
-        """Return the cache stores from which segments may be brought."""
+        """Return the cache stores from which segments may be loaded."""
         index = self._knowledge.require_index()
         sources = []
         for store in index.cache_stores():
@@ -300,5 +302,5 @@
 
 
 def _tokens_in_store(keys_of: KeysOf, contents: StoreContents) -> Callable[[InstanceView], int]:
-    """Return a function that tells how many tokens a store keeps for an instance's weights."""
+    """Return a function from an instance to the tokens that a store holds for its weights."""
     return lambda view: contents.cached_tokens(keys_of(view))
--- a/hopstep/services/exchanges/requests/permit_demand.py
+++ b/hopstep/services/exchanges/requests/permit_demand.py
@@ -1,8 +1,8 @@
-"""Asks for permits to send to limited instances, and whether limits that were heard long ago hold.
+"""Requests permits to send to limited instances, and probes whether old limits still hold.
 
-Without the first a limited instance would get nothing as long as any other takes requests, however
-late those answer. Without the second nobody would hear that a limit is lifted while others serve
-all requests better.
+Without permits a limited instance gets no requests as long as any other accepts them, however slow
+that is. Without probes no node learns that a limit was lifted while other instances serve all
+requests better.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 
 MAX_DOUBTS = 1_024
-"""Lives that were asked about and are remembered, the latest: more than have limits at a time."""
+"""Incarnations whose probes are remembered, the latest: more than have limits at a time."""
 
 
 def is_limited(view: InstanceView, now: float) -> bool:
-    """Return whether all that keeps a request from an instance is its limit."""
+    """Return whether its limit is the only thing that keeps requests from an instance."""
     return view.admission(Purpose.REQUEST, now).barrier is Barrier.LIMITED
 
 
 def note_wanted(candidate: Candidate | None, now: float) -> None:
-    """Ask for a permit if the best instance for a request is one under a limit."""
+    """Request a permit if the best instance for a request is limited."""
     sends = candidate.view.standing.limited_sends if candidate is not None else None
     if sends is not None:
         sends.note_wanted(now)
 
 
-class LimitAsking:
-    """Lets single requests find out whether limits still hold."""
+class LimitProbes:
+    """Sends single requests to limited instances to probe whether their limits still hold."""
 
     def __init__(self, knowledge: ServingKnowledge) -> None:
-        """Have asked nothing.
+        """Start without any probe.
 
         Args:
-            knowledge: This node's name, and how many nodes there are.
+            knowledge: This node's name, and the number of nodes.
         """
         self._knowledge = knowledge
         self._doubts: OrderedDict[str, LimitDoubt] = OrderedDict()
 
     def note_doubted(self, views: list[InstanceView], now: float) -> None:
-        """Ask for permits for instances whose limits are in doubt.
+        """Request permits for instances whose limits may be outdated.
 
         Args:
             views: Instances that may serve a request.
-            now: Steady clock.
+            now: Steady clock, seconds.
         """
         for view in views:
             sends = view.standing.limited_sends
@@ -58,12 +58,12 @@
             if self._doubt(view).wants_permit(now):
                 sends.note_wanted(now)
 
-    def askable(self, views: list[InstanceView], now: float) -> list[InstanceView]:
-        """Return the instances that a request may be sent to now to ask about their limits.
+    def probeable(self, views: list[InstanceView], now: float) -> list[InstanceView]:
+        """Return the instances to which a request may be sent now to probe their limits.
 
         Args:
-            views: Instances that take a request now.
-            now: Steady clock.
+            views: Instances that accept a request now.
+            now: Steady clock, seconds.
         """
         return [
             view
@@ -74,8 +74,8 @@
             and self._doubt(view).may_ask(now)
         ]
 
-    def asks(self, request: ExchangeRequest, candidate: Candidate, now: float) -> bool:
-        """Return whether a request can be answered in time there, and note that it is sent."""
+    def start_probe(self, request: ExchangeRequest, candidate: Candidate, now: float) -> bool:
+        """Return whether a request can be answered in time there, and record the probe if so."""
         answer_by = request.received_at + request.route.objective_seconds
         expected = candidate.read_seconds + candidate.view.expected_latency
         if now + expected > answer_by:
@@ -84,13 +84,13 @@
         return True
 
     def _is_doubted(self, view: InstanceView, now: float) -> bool:
-        """Return whether this node is to ask whether a limit holds."""
-        heard_at = view.standing.limit.times.before
+        """Return whether it is this node's turn to probe whether a limit still holds."""
+        received_at = view.standing.limit.times.before
         nodes = self._knowledge.count_nodes()
-        return now >= doubted_from(heard_at, view.life, self._knowledge.name, nodes)
+        return now >= doubted_from(received_at, view.life, self._knowledge.name, nodes)
 
     def _doubt(self, view: InstanceView) -> LimitDoubt:
-        """Return the doubt of an instance's limit."""
+        """Return when the limit of an instance may be probed; created at first use."""
         doubt = self._doubts.setdefault(view.life, LimitDoubt())
         self._doubts.move_to_end(view.life)
         if len(self._doubts) > MAX_DOUBTS:
--- a/hopstep/services/exchanges/requests/quotas.py
+++ b/hopstep/services/exchanges/requests/quotas.py
@@ -1,6 +1,6 @@
-"""Holds tenants' quotas: admits or refuses requests here, and tells other nodes what was used.
+"""Enforces tenants' quotas: admits or refuses requests, and reports usage to other nodes.
 
-What is told goes along with the messages that nodes send each other anyway.
+Usage reports are carried by the messages that nodes exchange anyway.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 MILLISECONDS = 1_000
 
 FIRST_TELLING_SECONDS = 1.5
-"""A node that has just started waits so long to hear what others have used, before it refuses: five
-of its queries to a relay, and some time to find one.
+"""Longest wait of a node that has just started for the usage of other nodes, before it refuses
+requests: five of its queries to a relay, and some time to find one.
 """
 
 
@@ -36,7 +36,7 @@
     """Quotas of one node.
 
     Attributes:
-        book: What all nodes have used of their tenants' quotas.
+        book: What all nodes have used of the tenants' quotas.
     """
 
     def __init__(
@@ -46,30 +46,31 @@
 
         Args:
             knowledge: Tenants, nodes and relays.
-            bounds: What operators tolerate.
-            generator: Draws who admits where a node's share is less than a request.
+            bounds: Tolerated overshoot and slack, and the window of quotas.
+            generator: Draws which node admits a request when a node's share is less than one.
         """
         self._knowledge = knowledge
         self._generator = generator
         self._started_at = trio.current_time()
-        self._told = trio.Event()
+        self._others_reported = trio.Event()
         self._ledger = QuotaLedger(bounds, self._started_at)
         self.book = UsageBook(knowledge, bounds.window_seconds, self._own_report)
 
     async def require(self, request: ExchangeRequest) -> None:
-        """Count a request, or refuse it.
+        """Count a request against its tenant's quota, or refuse it.
 
         Raises:
-            ServiceError: ``RATE_LIMITED``, with the time after which one like it may be admitted.
+            ServiceError: ``RATE_LIMITED``, with the time after which a request of the same cost may
+                be admitted.
         """
         tenant = request.tenant
         if tenant is None or tenant.quota is None:
             return
         cost = tenant.quota.cost(request.usage_tokens)
         decision = self._decide(tenant.name, tenant.quota, cost)
-        if decision.wait_seconds and not self._told.is_set():
+        if decision.wait_seconds and not self._others_reported.is_set():
             with trio.move_on_at(self._started_at + FIRST_TELLING_SECONDS):
-                await self._told.wait()
+                await self._others_reported.wait()
             decision = self._decide(tenant.name, tenant.quota, cost)
         if not decision.wait_seconds:
             return
@@ -91,45 +92,46 @@
         )
 
     def _decide(self, tenant: str, quota: TenantQuota, cost: int) -> QuotaDecision:
-        """Admit and count a request, or return when to come back."""
+        """Admit and count a request, or return when to retry."""
         now = trio.current_time()
         if not self._knowledge.relays.relay():
-            self._take_told(self.book.fleet_report(), now)
+            self._apply_usage(self.book.fleet_report(), now)
         return self._ledger.admit(
             tenant, quota, cost, now, self._knowledge.count_nodes(), self._generator.random()
         )
 
-    def _take_told(self, report: UsageReport, asked_at: float) -> None:
-        """Take the usage of all nodes; the report of this one alone tells nothing."""
+    def _apply_usage(self, report: UsageReport, asked_at: float) -> None:
+        """Apply the usage of all nodes; a report of this node alone ends no wait for others."""
         self._ledger.take_told(FleetUsage(report, asked_at))
         if report.nodes > 1:
-            self._told.set()
+            self._others_reported.set()
 
-    def give_back(self, request: ExchangeRequest) -> None:
-        """Count a request no longer that has not run."""
+    def uncount(self, request: ExchangeRequest) -> None:
+        """Stop counting a request that has not run."""
         tenant = request.tenant
         if tenant is not None and tenant.quota is not None:
             cost = tenant.quota.cost(request.usage_tokens)
             self._ledger.give_back(tenant.name, cost, trio.current_time())
 
     def _own_report(self) -> UsageReport:
-        """Return this node's usage."""
+        """Return this node's usage of quotas."""
         quotas = self._quotas()
         if not quotas:
             return UsageReport()
         return self._ledger.own_report(quotas, trio.current_time(), self._knowledge.count_nodes())
 
     def take_answer(self, report: UsageReport, asked_at: float) -> None:
-        """Take what the own relay tells of all nodes.
+        """Apply the usage of all nodes that this node's relay reports.
 
         Args:
             report: Usage of all nodes.
-            asked_at: When the query was sent that told the relay of this node's own.
+            asked_at: When the query with this node's own usage was sent to the relay, by the
+                steady clock in seconds.
         """
-        self._take_told(report, asked_at)
+        self._apply_usage(report, asked_at)
 
     def _quotas(self) -> dict[str, TenantQuota]:
-        """Return the quotas by tenant."""
+        """Return the quotas by name of tenant."""
         current = self._knowledge.current
         tenants = current.tenants if current is not None else ()
         return {tenant.name: tenant.quota for tenant in tenants if tenant.quota is not None}
--- a/hopstep/services/exchanges/requests/silence_watchdog.py
+++ b/hopstep/services/exchanges/requests/response_watchdog.py
@@ -1,4 +1,4 @@
-"""Ends an attempt that may be repeated when its instance has fallen silent."""
+"""Cancels an attempt that may be repeated when its instance has become unresponsive."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from hopstep.domain.exchanges.instance_view import InstanceView
 from hopstep.services.exchanges.pause_watch import PauseWatch
 
-LOOK_SECONDS = 0.2
-"""Between two looks at the instance, whose silence counts from a second on."""
+CHECK_SECONDS = 0.2
+"""Seconds between two checks of the instance, which counts as unresponsive after a second."""
 
 
-class SilenceWatchdog:
+class ResponseWatchdog:
     """Watches the instance of one attempt.
 
     Attributes:
-        fired: Whether it has ended the attempt.
+        fired: Whether the watchdog has cancelled the attempt.
     """
 
     def __init__(self, view: InstanceView, pauses: PauseWatch) -> None:
-        """Watch nothing yet.
+        """Create the watchdog; ``run`` starts it.
 
         Args:
             view: The instance.
-            pauses: Notices pauses of the node itself.
+            pauses: Detects pauses of the node's own process.
         """
         self.fired = False
         self._view = view
         self._pauses = pauses
 
     async def run(self, scope: trio.CancelScope) -> None:
-        """Watch until cancelled; cancel ``scope`` when the instance is silent."""
+        """Watch until cancelled; cancel ``scope`` when the instance is unresponsive."""
         while not self.fired:
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(CHECK_SECONDS)
             self._pauses.look()
             if self._view.is_silent(trio.current_time()):
                 self.fired = True
--- a/hopstep/services/exchanges/requests/retry_advisor.py
+++ b/hopstep/services/exchanges/requests/retry_advisor.py
@@ -1,4 +1,4 @@
-"""Tells refused clients when to come back; without any observation, after a fixed time."""
+"""Computes when refused clients should retry; a fixed time where nothing was observed."""
 
 from __future__ import annotations
 
@@ -22,32 +22,33 @@
 from hopstep.services.exchanges.instances.instance_limits import InstanceLimits
 
 LAST_RANK = 9
-"""Rank of the requests that are served last: a wait that suits all."""
+"""Rank of the requests that are served last: a wait that is long enough for any rank."""
 
-LATELY_SECONDS = 0.5
-"""Clients that were told the same within this time would come back together."""
+RECENT_ADVICE_SECONDS = 0.5
+"""Seconds within which clients with the same advice would retry at the same time."""
 
-ANSWERED_SECONDS = 1.0
-"""Other nodes are within reach if one has answered in this time; queries leave each 0.2 s."""
+NODE_ANSWER_SECONDS = 1.0
+"""Other nodes are reachable if one answered within this time, in seconds; queries are sent every
+0.2 s."""
 
 
 class RetryAdvisor:
-    """Collects what is observed at a refusal."""
+    """Collects the facts of a refusal, and returns the advice for the client."""
 
     def __init__(
         self, knowledge: ServingKnowledge, limits: InstanceLimits, generator: random.Random
     ) -> None:
-        """Use what the node knows.
+        """Start without any advice given.
 
         Args:
-            knowledge: Instances, and the age of what is known.
-            limits: When permits for limited instances come.
-            generator: Spreads clients.
+            knowledge: Instances, and the times of the last responses of the store and of nodes.
+            limits: When permits for limited instances are expected.
+            generator: Spreads clients' retries.
         """
         self._knowledge = knowledge
         self._limits = limits
         self._generator = generator
-        self._told: dict[RetryReason, deque[float]] = {reason: deque() for reason in RetryReason}
+        self._advised: dict[RetryReason, deque[float]] = {reason: deque() for reason in RetryReason}
 
     def advise(
         self,
@@ -56,13 +57,13 @@
         tried: Set[str] = frozenset(),
         refused_seconds: float = 0.0,
     ) -> RetryAdvice:
-        """Return when a client should come back.
+        """Return when a client should retry.
 
         Args:
-            code: Why it is refused.
-            service: Service that it asked for; empty when it wasn't looked up.
+            code: Why its request is refused.
+            service: Service of the request; empty when it wasn't looked up.
             tried: Ids of instances that the request was sent to.
-            refused_seconds: For how much longer the request itself is refused; 0 for not at all.
+            refused_seconds: Remaining time for which the quarantine refuses the request; else 0.
         """
         if refused_seconds:
             return RetryAdvice(refused_seconds, RetryReason.QUARANTINE)
@@ -71,7 +72,7 @@
         listed = knowledge.table.of_service(service)
         asked = [(view, view.admission(Purpose.REQUEST, now)) for view in listed]
         views = [view for view, answer in asked if answer.is_open]
-        resting = [a.until - now for _view, a in asked if a.barrier is Barrier.RESTING]
+        backing_off = [a.until - now for _view, a in asked if a.barrier is Barrier.RESTING]
         limited = [
             self._limits.expected_seconds(view, LAST_RANK)
             for view, answer in asked
@@ -83,19 +84,19 @@
             code=code,
             other_instance=bool(tried) and any(view.is_usable(now) for view in untried),
             loading_seconds=min(loading, default=None),
-            resting_seconds=None if views else min(resting, default=None),
+            resting_seconds=None if views else min(backing_off, default=None),
             limited_seconds=None if views else min(limited, default=None),
             relisting_seconds=None if views else knowledge.contact.relisting_seconds(now),
             store_silence_seconds=now - knowledge.contact.heard_at,
-            others_answer=now - knowledge.node_heard_at < ANSWERED_SECONDS,
+            others_answer=now - knowledge.node_heard_at < NODE_ANSWER_SECONDS,
         )
         return self._spread(facts, now)
 
     def _spread(self, facts: RefusalFacts, now: float) -> RetryAdvice:
-        """Return the advice, by how many were told the same lately."""
-        told = self._told[retry_reason(facts)]
-        while told and told[0] < now - LATELY_SECONDS:
-            told.popleft()
-        facts = msgspec.structs.replace(facts, told_lately=len(told))
-        told.append(now)
+        """Return the advice, spread by how many recent refusals had the same reason."""
+        advised = self._advised[retry_reason(facts)]
+        while advised and advised[0] < now - RECENT_ADVICE_SECONDS:
+            advised.popleft()
+        facts = msgspec.structs.replace(facts, told_lately=len(advised))
+        advised.append(now)
         return advise(facts, self._generator.random())
--- a/hopstep/services/exchanges/requests/service.py
+++ b/hopstep/services/exchanges/requests/service.py
@@ -1,4 +1,4 @@
-"""Entry of requests: admission, one exchange each, and a log line for each outcome."""
+"""Entry point of requests: admission, one exchange each, and a log line for each outcome."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class ExchangeService(ExchangeHandler):
-    """Serves requests of a node."""
+    """Serves the requests that arrive at a node."""
 
     def __init__(
         self,
@@ -62,25 +62,25 @@
         other_zone_seconds: float,
         drain_seconds: float,
     ) -> None:
-        """Join the parts.
+        """Create the service and its parts.
 
         Args:
-            knowledge: What the node knows.
+            knowledge: Configuration, instances and nodes.
             lifecycle: Counts active requests.
-            calls: Instances.
-            sharing: Told of each prompt that is sent.
-            store_watch: What the cache stores keep.
-            pauses: Notices pauses of the node itself.
-            quarantine: Requests that end instances.
-            quotas: What tenants may use.
-            notices: Hears what instances say of themselves.
-            limits: Permits to send to limited instances.
+            calls: Sends requests to instances.
+            sharing: Reports each prompt that is sent to other nodes.
+            store_watch: Contents of the cache stores.
+            pauses: Detects pauses of the node's own process.
+            quarantine: Requests under which instances crash.
+            quotas: Quotas of tenants.
+            notices: Receives what instances announce in response headers.
+            limits: Permits to send to rate-limited instances.
             bounds: Bounds of retries over all nodes.
             metrics: Counts requests and attempts.
             generator: Splits traffic and breaks ties.
             zone: Zone of this node.
-            other_zone_seconds: Delay that a request to another zone counts for.
-            drain_seconds: Time after an instance's word that it leaves in which it still serves.
+            other_zone_seconds: Delay that is added to the estimate of instances in other zones.
+            drain_seconds: Time for which an instance still serves after it announced its shutdown.
         """
         self.admission = ExchangeAdmission(knowledge, lifecycle)
         self._knowledge = knowledge
@@ -114,7 +114,7 @@
         )
 
     def max_body_bytes(self) -> int:
-        """Return the longest body that is read into memory."""
+        """Return the size of the largest body that is read into memory, in bytes."""
         current = self._knowledge.current
         return (current.limits if current is not None else RequestLimits()).max_body_bytes
 
@@ -122,7 +122,7 @@
         """Serve one request.
 
         Raises:
-            ServiceError: When nothing of an answer was sent.
+            ServiceError: When nothing of a response was sent.
         """
         with self._lifecycle.active():
             await self._knowledge.wait_first_reading()
@@ -138,7 +138,7 @@
             await self._run(request, answer)
 
     def _advise(self, error: ServiceError) -> RetryAdvice:
-        """Return when a client that wasn't admitted should come back."""
+        """Return when a client that wasn't admitted should retry."""
         if error.code is ErrorCode.RATE_LIMITED:
             return RetryAdvice(error.retry_after_seconds or 0.0, RetryReason.QUOTA)
         return self._advisor.advise(error.code)
@@ -159,7 +159,7 @@
             )
             error.retry_after_seconds = advice.seconds
             if error.execution is Execution.NOT_RUN:
-                self._quotas.give_back(request)
+                self._quotas.uncount(request)
             raise
         except Exception as error:
             outcome.outcome = f"crashed:{type(error).__name__}"
@@ -198,9 +198,9 @@
             )
 
     def _kept_from(self, request: ExchangeRequest, service: str, tried: Set[str]) -> dict[str, int]:
-        """Return how many instances each barrier keeps a request from."""
-        kept = self._parts.choice.kept_from(request, service, tried)
-        return dict(Counter(a.barrier.value for _view, a in kept if a.barrier is not None))
+        """Return the number of instances that each barrier keeps a request from."""
+        blocked = self._parts.choice.blocked_instances(request, service, tried)
+        return dict(Counter(a.barrier.value for _view, a in blocked if a.barrier is not None))
 
     def _log_refusal(self, head: RequestHead, error: ServiceError, advice: RetryAdvice) -> None:
         """Log a request that wasn't admitted."""
@@ -245,5 +245,5 @@
 
 
 def _retry_after_ms(advice: RetryAdvice | None) -> int:
-    """Return the wait that a client was told; 0 for none."""
+    """Return the advised wait in milliseconds; 0 for none."""
     return round(advice.seconds * MILLISECONDS) if advice is not None else 0
