--- a/hopstep/services/exchanges/exchange_metrics.py
+++ b/hopstep/services/exchanges/exchange_metrics.py
@@ -10,7 +10,7 @@
 
 
 class ExchangeMetrics:
-    """What the node counts; labels are bounded by the configuration and by code."""
+    """Metrics of one node; the configuration and the code bound the number of label values."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         """Register the metrics.
@@ -74,5 +74,5 @@
         )
 
     def watch(self, name: str, documentation: str, read: Callable[[], float]) -> None:
-        """Register a gauge that is read when metrics are asked for."""
+        """Register a gauge whose value is read when metrics are scraped."""
         Gauge(name, documentation, registry=self._registry).set_function(read)
--- a/hopstep/services/exchanges/instances/__init__.py
+++ b/hopstep/services/exchanges/instances/__init__.py
@@ -1,1 +1,1 @@
-"""What instances say and keep, and what follows for sending to them."""
+"""State that instances announce or cache, and its effect on sending to them."""
--- a/hopstep/services/exchanges/instances/connection_reaper.py
+++ b/hopstep/services/exchanges/instances/connection_reaper.py
@@ -1,8 +1,8 @@
-"""Closes connections to instances that say nothing: those that aren't listed, and silent ones.
+"""Closes idle connections to instances that are unlisted or unresponsive.
 
-A connection may fall silent for good while new ones work. An instance from which nothing comes
-while requests wait may be well and its connections dead, so no later request is sent on one of
-them. What was sent already isn't sent again because of that: it may have run.
+A connection may stop delivering data for good while new ones work. An unresponsive instance may be
+healthy and only its connections dead, so no later request is sent on one of them. Requests that
+were already sent aren't sent again for that reason: they may have run.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 from hopstep.services.exchanges.pause_watch import PauseWatch
 
 CHECK_SECONDS = 5.0
-"""Between two looks for connections to instances that aren't listed."""
+"""Seconds between two checks for connections to instances that aren't listed."""
 
-SILENT = "silent"
+UNRESPONSIVE_REASON = "silent"
 
 
 class ConnectionReaper:
-    """Looks for such connections from time to time."""
+    """Checks for such connections periodically."""
 
     def __init__(self, calls: InstanceCalls, table: InstanceTable, pauses: PauseWatch) -> None:
-        """Use the node's connections and instances.
+        """Create the reaper; ``run`` starts it.
 
         Args:
             calls: Holds the connections.
             table: Instances that are listed.
-            pauses: Notices pauses of the node itself.
+            pauses: Detects pauses of the node's own process.
         """
         self._calls = calls
         self._table = table
         self._pauses = pauses
-        self._silent: set[str] = set()
+        self._unresponsive: set[str] = set()
 
     async def run(self) -> None:
         """Check until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._forget_unlisted)
+            nursery.start_soon(self._close_unlisted)
             while True:
                 await self._pauses.wait_look()
-                await self._leave_silent()
+                await self._drop_unresponsive()
 
-    async def _forget_unlisted(self) -> None:
+    async def _close_unlisted(self) -> None:
         """Close connections to instances that aren't listed and have no request under way."""
         while True:
             await trio.sleep(CHECK_SECONDS)
@@ -53,11 +53,11 @@
             for address in self._calls.idle_addresses() - listed:
                 await self._calls.forget(address)
 
-    async def _leave_silent(self) -> None:
-        """Drop the idle connections of instances that have fallen silent, once each time."""
+    async def _drop_unresponsive(self) -> None:
+        """Drop idle connections of instances that have become unresponsive, once each time."""
         now = trio.current_time()
-        silent = {view.instance.address for view in self._table if view.is_silent(now)}
-        for address in silent - self._silent:
-            emit(log_events.CONNECTIONS_DROPPED, peer=address, reason=SILENT)
+        unresponsive = {view.instance.address for view in self._table if view.is_silent(now)}
+        for address in unresponsive - self._unresponsive:
+            emit(log_events.CONNECTIONS_DROPPED, peer=address, reason=UNRESPONSIVE_REASON)
             await self._calls.drop_idle(address)
-        self._silent = silent
+        self._unresponsive = unresponsive
--- a/hopstep/services/exchanges/instances/engine_cache_watch.py
+++ b/hopstep/services/exchanges/instances/engine_cache_watch.py
@@ -1,6 +1,7 @@
-"""Follows the cache events of engines: each engine's on one node, which tells the others.
+"""Follows the cache events of engines: one node reads each engine's and reports them to the others.
 
-While an engine's events can't be read, or its node is gone, pictures of it go on from what is sent.
+While an engine's events can't be read, or its node is gone, its cache indexes are updated only from
+the prompts that are sent to it.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 from hopstep.services.exchanges.peers.load_sharing import LoadSharing
 
 WAIT_SECONDS = 1.0
-"""Longest wait of one call; waits of 0.2 s and more aren't priced."""
+"""Longest wait of one call, in seconds; waits of 0.2 s and more add no cost."""
 
-PAUSE_SECONDS = 0.15
-"""Between two calls, so that events gather."""
+BATCHING_SECONDS = 0.15
+"""Seconds between two calls, so that events are read in batches."""
 
 RETRY_SECONDS = 1.0
 ASSIGN_SECONDS = 0.5
-"""Between two looks at which engines this node follows."""
+"""Seconds between two checks of which engines this node follows."""
 
 
 class EngineCacheWatch:
-    """Reads the events of the engines that fall to this node."""
+    """Reads the events of the engines that are assigned to this node."""
 
     def __init__(
         self,
@@ -42,14 +43,14 @@
         pauses: PauseWatch,
         notices: InstanceNotices,
     ) -> None:
-        """Follow nothing yet.
+        """Start without any engine.
 
         Args:
             knowledge: Engines and nodes.
             events: Reads events.
-            sharing: Told what the events say.
-            pauses: Notices pauses of the node itself.
-            notices: Hears what engines say of themselves.
+            sharing: Reports cache changes to other nodes.
+            pauses: Detects pauses of the node's own process.
+            notices: Receives what engines announce in response headers.
         """
         self._notices = notices
         self._knowledge = knowledge
@@ -67,7 +68,7 @@
                 await trio.sleep(ASSIGN_SECONDS)
 
     def _assign(self, nursery: trio.Nursery) -> None:
-        """Begin with engines that have come to this node and leave those that went."""
+        """Start following engines newly assigned to this node, stop following all others."""
         knowledge = self._knowledge
         self._plan.set_nodes({**knowledge.nodes, knowledge.name: knowledge.record})
         own = {
@@ -91,51 +92,51 @@
             while True:
                 wanted = view.takes(Purpose.CACHE_EVENTS, trio.current_time())
                 if not wanted or not self._knowledge.table.is_trusted(view):
-                    await trio.sleep(PAUSE_SECONDS)
+                    await trio.sleep(BATCHING_SECONDS)
                     continue
-                heard: list[InstanceNotice] = []
+                received: list[InstanceNotice] = []
                 asked_at = trio.current_time()
                 batch = await self._events.read(
-                    view.instance.address, position, WAIT_SECONDS, heard.append
+                    view.instance.address, position, WAIT_SECONDS, received.append
                 )
                 if batch is None and self._pauses.has_just_ended:
-                    await trio.sleep(PAUSE_SECONDS)
+                    await trio.sleep(BATCHING_SECONDS)
                     continue
                 if readable != (batch is not None):
                     readable = batch is not None
                     _log_readable(view, readable)
                 if batch is None or not view.instance.life.may_tell(batch.born_ms):
-                    rests = [notice.rest_seconds for notice in heard]
-                    await trio.sleep(max(RETRY_SECONDS, max(rests, default=0.0)))
+                    backoffs = [notice.rest_seconds for notice in received]
+                    await trio.sleep(max(RETRY_SECONDS, max(backoffs, default=0.0)))
                     continue
-                self._hear(view, asked_at, heard, batch)
-                self._take(view, contents, batch, epoch)
+                self._apply_notices(view, asked_at, received, batch)
+                self._apply(view, contents, batch, epoch)
                 position, epoch = batch.position, batch.epoch
-                await trio.sleep(PAUSE_SECONDS)
+                await trio.sleep(BATCHING_SECONDS)
 
-    def _hear(
+    def _apply_notices(
         self,
         view: InstanceView,
         asked_at: float,
-        heard: list[InstanceNotice],
+        received: list[InstanceNotice],
         batch: CacheEventBatch,
     ) -> None:
-        """Take what the answer's head said, if the batch proves that it is of this life.
+        """Apply the notices of a response, if the batch proves that it is of this incarnation.
 
         Calls for events name no instance, so another one at the address may have answered.
         """
         if batch.born_ms and batch.born_ms == view.instance.born_ms:
-            for notice in heard:
+            for notice in received:
                 self._notices.take(view, asked_at, notice)
 
-    def _take(
+    def _apply(
         self,
         view: InstanceView,
         contents: EngineContents,
         batch: CacheEventBatch,
         epoch: int | None,
     ) -> None:
-        """Take a batch and tell what it changes."""
+        """Apply a batch and report the changes to other nodes."""
         now = trio.current_time()
         if epoch is not None and batch.epoch != epoch:
             contents.restart(now)
@@ -147,7 +148,7 @@
 
 
 def _log_readable(view: InstanceView, readable: bool) -> None:
-    """Log that an engine's events can be read again, or no longer."""
+    """Log that an engine's events have become readable or unreadable."""
     emit(
         log_events.ENGINE_EVENTS_CHANGED,
         instance=view.instance.instance_id,
--- a/hopstep/services/exchanges/instances/instance_limits.py
+++ b/hopstep/services/exchanges/instances/instance_limits.py
@@ -1,4 +1,4 @@
-"""This node's part in keeping to the limits that instances name: permits, and who waits for one."""
+"""This node's part in keeping instances' rate limits: permits, and requests that wait for one."""
 
 from __future__ import annotations
 
@@ -17,34 +17,35 @@
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.instances.instance_notices import InstanceNotices
 
-OLDEST_TURN = 4
-"""Each so many permits that are waited for go to who has waited longest, whatever its rank: or
-else the lowest ranks would get none where the higher ones want them all."""
+OLDEST_FIRST_INTERVAL = 4
+"""One of this number of permits goes to the request that has waited longest, whatever its rank.
+Otherwise requests served last would get none while those before them use up all permits."""
 
 CONTROL_RANK = -1
-"""Orders and reports go before all requests: engines must load in time."""
+"""Rank of control calls (weight orders and reports), served before all requests: engines must load
+weights in time."""
 
-LEAST_PERMITS_PER_SECOND = 0.1
-"""Foretells when a permit comes where none came lately."""
+MIN_PERMITS_PER_SECOND = 0.1
+"""Rate assumed for the expected wait for a permit when none came recently."""
 
 
 class HeldPermit:
-    """Leave to send one request to an instance; without a limit that needs no permit."""
+    """Right to send one request to an instance; without a limit no permit is needed."""
 
     def __init__(self, standing: InstanceStanding, now: float) -> None:
         """Take a permit if the instance has a limit and this node holds one.
 
         Args:
-            standing: Of the life that the request is for.
+            standing: Announced state of the incarnation that the request is for.
             now: Steady clock, seconds.
         """
         self._standing = standing
         self._until = self._take(now)
 
     def use(self, now: float) -> bool:
-        """Count a send right before its first byte; return False when it may not leave.
+        """Count a request right before its first byte; return False when it may not be sent.
 
-        The limit may have come, and the permit may have expired, since the instance was chosen.
+        The limit may be new, or the permit expired, since the instance was chosen.
         """
         sends = self._standing.limited_sends
         if sends is None:
@@ -58,7 +59,7 @@
         return True
 
     def release(self) -> bool:
-        """Give a permit back that wasn't used; return whether there was one."""
+        """Return an unused permit; return whether there was one."""
         sends, until = self._standing.limited_sends, self._until
         self._until = None
         if sends is None or until is None:
@@ -67,25 +68,25 @@
         return True
 
     def _take(self, now: float) -> float | None:
-        """Take a permit; return until when it may be used, None for none."""
+        """Take a permit; return when it expires, None if there is none."""
         sends = self._standing.limited_sends
         return sends.permits.take_one(now) if sends is not None else None
 
 
 class _Waiter(msgspec.Struct, eq=False):
-    """One that waits: the lowest rank is served first, and then who came first."""
+    """A request that waits for a permit, ordered by rank (lowest first), then by arrival."""
 
     rank: int
     number: int
     woken: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def __lt__(self, other: _Waiter) -> bool:
-        """Return whether this one is served before another."""
+        """Return whether this waiter is served before another."""
         return (self.rank, self.number) < (other.rank, other.number)
 
 
 class InstanceLimits:
-    """Holds this node's permits, and lets requests wait for them in the order of their rank."""
+    """Holds this node's permits, and queues requests for them by rank."""
 
     def __init__(
         self,
@@ -93,12 +94,12 @@
         notices: InstanceNotices,
         generator: random.Random,
     ) -> None:
-        """Hold no permits.
+        """Start without any permits.
 
         Args:
             knowledge: Instances and nodes.
-            notices: What instances say of themselves.
-            generator: Draws for which instance a request waits.
+            notices: What instances announce in response headers.
+            generator: Draws the instance that a request waits for.
         """
         self._generator = generator
         self._knowledge = knowledge
@@ -116,12 +117,12 @@
         return UsageReport(tuple(each for each in usage if not each.is_empty))
 
     def receive(self, life: str, count: int, until: float) -> None:
-        """Take permits for a life, and wake as many of those that wait.
+        """Add permits for an incarnation, and wake as many waiting requests.
 
         Args:
-            life: The life, as ``str(InstanceLife)``.
-            count: How many.
-            until: They may be used until then.
+            life: The incarnation, as ``str(InstanceLife)``.
+            count: Number of permits.
+            until: When they expire, by the steady clock in seconds.
         """
         sends = self._sends(life)
         if sends is not None and count > 0:
@@ -129,61 +130,61 @@
             self._wake(life, sends)
 
     def hold(self, view: InstanceView) -> HeldPermit:
-        """Return leave to send one request to an instance that was chosen."""
+        """Return the right to send one request to an instance that was chosen."""
         return HeldPermit(view.standing, trio.current_time())
 
     def release(self, view: InstanceView, permit: HeldPermit) -> None:
-        """Give a permit back if it wasn't used."""
+        """Release a permit if it wasn't used."""
         sends = view.standing.limited_sends
         if permit.release() and sends is not None:
             self._wake(view.life, sends)
 
     def may_wait(self, views: Sequence[InstanceView], rank: int, until: float) -> bool:
-        """Return whether a permit may come in time, by what has come lately.
+        """Return whether a permit may come in time, by the rate of recent permits.
 
-        One of each rank may always wait.
+        One request of each rank may always wait.
 
         Args:
             views: Limited instances, any of which may serve the request.
             rank: Rank of the request; lower ones are served first.
-            until: The permit must come by then.
+            until: Latest useful time of a permit, by the steady clock in seconds.
         """
         now = trio.current_time()
         if until <= now:
             return False
         return any(
             self._expected_within(view, until - now) > self._ahead(view, rank)
-            or not self._waits(view, rank)
+            or not self._has_waiter(view, rank)
             for view in views
         )
 
     def waits_for(self, life: str) -> bool:
-        """Return whether anything waits for a permit for a life."""
+        """Return whether any request waits for a permit for an incarnation."""
         return life in self._waiters
 
     def note_refused(self, views: Sequence[InstanceView]) -> None:
-        """Ask for permits for requests that are refused for want of one: others like them come."""
+        """Request a permit after a request was refused without one: similar requests follow."""
         sends = self._draw(views).standing.limited_sends
         if sends is not None:
             sends.note_wanted(trio.current_time())
 
     def expected_seconds(self, view: InstanceView, rank: int) -> float:
-        """Return the time after which a permit for a request is likely to come."""
+        """Return the expected wait for a permit, in seconds."""
         now = trio.current_time()
         sends = view.standing.limited_sends
         if sends is None:
             return 0.0
-        even = view.standing.limit.per_second / max(1, self._knowledge.count_nodes())
-        rate = max(sends.permits_per_second(now), even, LEAST_PERMITS_PER_SECOND)
+        even_share = view.standing.limit.per_second / max(1, self._knowledge.count_nodes())
+        rate = max(sends.permits_per_second(now), even_share, MIN_PERMITS_PER_SECOND)
         return (1 + self._ahead(view, rank)) / rate
 
     async def acquire(self, view: InstanceView, rank: int, until: float) -> bool:
-        """Count a send to an instance as soon as a permit comes; return False for none in time.
+        """Count a call to an instance as soon as a permit comes; return False for none in time.
 
         Args:
             view: The instance.
             rank: Lower ones are served first.
-            until: Longest wait.
+            until: End of the longest wait, by the steady clock in seconds.
         """
         sends = view.standing.limited_sends
         if sends is not None and sends.free(trio.current_time()) <= 0:
@@ -191,12 +192,12 @@
         return self.hold(view).use(trio.current_time())
 
     async def wait(self, views: Sequence[InstanceView], rank: int, until: float) -> None:
-        """Wait for a permit of one of some instances, or until a time.
+        """Wait for a permit for one of some instances, at most until a given time.
 
         Args:
             views: Limited instances, any of which may serve the request.
             rank: Rank of the request; lower ones are served first.
-            until: Longest wait.
+            until: End of the longest wait, by the steady clock in seconds.
         """
         view = self._draw(views)
         sends = view.standing.limited_sends
@@ -220,19 +221,19 @@
                 self._waiters.pop(view.life, None)
 
     def _wake(self, life: str, sends: LimitedSends) -> None:
-        """Let as many go on as there are permits."""
+        """Wake as many waiting requests as there are permits."""
         while sends.free(trio.current_time()) > 0 and self._wake_next(life, sends):
             pass
 
     def _wake_all(self, life: str) -> None:
-        """Let all go on that wait for a permit for a life whose limit was lifted."""
+        """Wake all requests that wait for an incarnation whose limit was lifted."""
         view = self._knowledge.table.of_life(life)
         sends = view.standing.sends if view is not None else None
         while sends is not None and self._wake_next(life, sends):
             pass
 
     def _wake_next(self, life: str, sends: LimitedSends) -> bool:
-        """Let the one go on that is served next; return False when nobody waits."""
+        """Wake the request that is served next; return False when none waits."""
         waiter = self._next(life)
         if waiter is None:
             return False
@@ -242,43 +243,43 @@
         return True
 
     def _next(self, life: str) -> _Waiter | None:
-        """Return who is served next; None when nobody waits."""
+        """Return the waiter that is served next; None when none waits."""
         waiting = [w for w in self._waiters.get(life, ()) if not w.woken.is_set()]
         if not waiting:
             return None
         self._served += 1
-        if self._served % OLDEST_TURN == 0:
+        if self._served % OLDEST_FIRST_INTERVAL == 0:
             return min(waiting, key=lambda waiter: waiter.number)
         return waiting[0]
 
-    def _waits(self, view: InstanceView, rank: int) -> bool:
+    def _has_waiter(self, view: InstanceView, rank: int) -> bool:
         """Return whether a request of a rank waits for an instance."""
         return any(waiter.rank == rank for waiter in self._waiters.get(view.life, ()))
 
     def _expected_within(self, view: InstanceView, seconds: float) -> float:
-        """Return how many permits are likely to come within a time: one at least."""
+        """Return the expected number of permits within a time, in seconds: one at least."""
         sends = view.standing.limited_sends
         rate = sends.permits_per_second(trio.current_time()) if sends is not None else 0.0
         return 1.0 + rate * seconds
 
     def _ahead(self, view: InstanceView, rank: int) -> int:
-        """Return how many wait for an instance before a request of a rank."""
+        """Return the number of requests served before a new one of a rank."""
         return sum(1 for waiter in self._waiters.get(view.life, ()) if waiter.rank <= rank)
 
     def _draw(self, views: Sequence[InstanceView]) -> InstanceView:
-        """Draw an instance to wait for: by its limit, and by how few wait for it.
+        """Draw an instance to wait for, weighted by its limit and by how few requests wait for it.
 
-        If each node took the best one, the few that wait at each of many nodes would all wait for
-        the same instance, and the limits of others would go unused.
+        If each node chose the best one, the few waiting requests of each of many nodes would all
+        wait for the same instance, and the limits of others would go unused.
         """
-        return self._generator.choices(views, [self._room(view) for view in views])[0]
+        return self._generator.choices(views, [self._rate_per_waiter(view) for view in views])[0]
 
-    def _room(self, view: InstanceView) -> float:
-        """Return what an instance takes in a second for each request that would wait for it."""
+    def _rate_per_waiter(self, view: InstanceView) -> float:
+        """Return an instance's limit per second, divided by the requests that would wait for it."""
         limit = max(view.standing.limit.per_second, LEAST_PER_SECOND)
         return limit / (1 + len(self._waiters.get(view.life, ())))
 
     def _sends(self, life: str) -> LimitedSends | None:
-        """Return what is sent to a life that is listed and has a limit."""
+        """Return what is sent to an incarnation, if it is listed and has a limit."""
         view = self._knowledge.table.of_life(life)
         return view.standing.limited_sends if view is not None else None
--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -1,4 +1,4 @@
-"""Takes what instances say of themselves in answers, logs what is news, and counts it."""
+"""Applies the notices in instances' response headers; logs and counts changes."""
 
 from __future__ import annotations
 
@@ -20,47 +20,47 @@
 from hopstep.ports.node_exchange import LIMIT_LIFTED, LimitedInstance
 
 ANSWER_SOURCE = "answer"
-"""Source of what an instance has told this node itself."""
+"""Source of notices that this node received from the instance itself."""
 
 PEER_SOURCE = "node"
-"""Label for what other nodes have told: their names aren't bounded."""
+"""Metric label of notices from other nodes: node names would be unbounded."""
 
-MAX_TOLD_LIVES = 32
-"""Most instances that leave in one message to other nodes, the latest: some 1 kB."""
+MAX_REPORTED_INCARNATIONS = 32
+"""Most incarnations in one report to other nodes, the latest: some 1 kB."""
 
 LEAVING = "leaving"
 LIMIT = "limit"
-NONE_SHOWN = -1.0
-"""How a log line shows that there is no limit."""
+NO_LIMIT_SHOWN = -1.0
+"""Value in log lines for no limit."""
 
 REST = "rest"
-LIFTED_TOLD_SECONDS = 10.0
-"""For so long after a limit was lifted other nodes are told so: longer than any is cut off while it
-still counts as heard."""
+LIFTED_REPORT_SECONDS = 10.0
+"""Seconds for which a lifted limit is reported to other nodes: longer than a node can be cut off
+while it still counts as reachable."""
 
-UNLISTED_TOLD_SECONDS = 60.0
-"""For so long a limit of a life that isn't listed is told: its entry may have lapsed or not have
-been read yet. Later it has ended."""
+UNLISTED_REPORT_SECONDS = 60.0
+"""Seconds for which a limit of an unlisted incarnation is reported: its entry may have expired with
+its lease, or not have been read yet. After that it counts as terminated."""
 
-MAX_TOLD_SECONDS = 600.0
-"""Longest time that is told since a request was sent."""
+MAX_REPORTED_SECONDS = 600.0
+"""Longest time since a request was sent that a report states."""
 
-ON_THE_WAY_SECONDS = 0.05
-"""Messages between nodes take up to so long, usually: for so much longer a request may have been
-under way than the node that told it knew."""
+NODE_MESSAGE_SECONDS = 0.05
+"""Usual upper bound of a message's time between nodes, in seconds. It is added to the time since a
+request was sent, as the reporting node can't include it."""
 
 MILLISECONDS = 1_000
 MILLI = 1_000
-"""Limits are told in thousandths of a request a second."""
+"""Limits are reported in thousandths of a request per second."""
 
 
-class LimitedLife(NamedTuple):
-    """A life that takes only so many requests.
+class LimitedIncarnation(NamedTuple):
+    """An incarnation with a rate limit.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
-        per_second: Requests a second from all nodes together.
-        sends: What this node sends it.
+        life: The incarnation, as ``str(InstanceLife)``.
+        per_second: Requests per second from all nodes together.
+        sends: Requests that this node has sent, and its permits.
     """
 
     life: str
@@ -69,52 +69,52 @@
 
 
 class InstanceNotices:
-    """Puts what instances say of themselves into the table."""
+    """Applies the notices of instances to the instance table."""
 
     def __init__(self, table: InstanceTable, count: Callable[[str, str], None]) -> None:
-        """Have heard nothing.
+        """Start without any received notice.
 
         Args:
-            table: Keeps what lives of instances have said.
-            count: Told the kind and the source of each change of belief.
+            table: Keeps the announced state of incarnations.
+            count: Called with the kind and the source of each change.
         """
         self._table = table
         self._count = count
         self._limits: dict[str, InstanceStanding] = {}
-        self._tell_lifted: Callable[[str], None] = lambda _life: None
+        self._on_lifted: Callable[[str], None] = lambda _life: None
 
     def follow_lifted(self, listener: Callable[[str], None]) -> None:
-        """Tell a listener of each life that has no limit any more."""
-        self._tell_lifted = listener
+        """Call a listener with each incarnation whose limit was lifted."""
+        self._on_lifted = listener
 
     def listener(self, view: InstanceView) -> NoticeListener:
-        """Return what takes notices of the life that a view is of."""
+        """Return a callback that applies notices of a view's incarnation."""
         return functools.partial(self.take, view, trio.current_time())
 
     def take(self, view: InstanceView, asked_at: float, notice: InstanceNotice) -> None:
-        """Take what a life of an instance says of itself in an answer to this node.
+        """Apply the notice in a response to this node.
 
-        The word is of the life that was asked, also when a later one is listed by now.
+        It applies to the incarnation that the call was for, even if a later one is listed by now.
 
         Args:
-            view: The life.
-            asked_at: The call had not been sent before then.
-            notice: What the answer's head says.
+            view: View of the incarnation.
+            asked_at: The call was not sent before this time, by the steady clock in seconds.
+            notice: Contents of the response headers.
         """
         if notice.is_empty:
             return
         previous = view.standing.limit.per_second
-        news = view.standing.take(notice, trio.current_time(), asked_at)
-        if news.is_empty:
+        changes = view.standing.take(notice, trio.current_time(), asked_at)
+        if changes.is_empty:
             return
         self._table.standings.remember(view.life, view.standing)
-        if news.limit is not None:
+        if changes.limit is not None:
             self._note_limit(view.life, view.standing, previous, ANSWER_SOURCE)
-        if news.leaving:
-            self._note_news(view.life, ANSWER_SOURCE, 0)
-        if news.rest_seconds:
+        if changes.leaving:
+            self._note_leaving(view.life, ANSWER_SOURCE, 0)
+        if changes.rest_seconds:
             self._count(REST, ANSWER_SOURCE)
-            rest_ms = round(news.rest_seconds * MILLISECONDS)
+            rest_ms = round(changes.rest_seconds * MILLISECONDS)
             emit(
                 log_events.INSTANCE_WANTS_REST,
                 instance=view.instance.instance_id,
@@ -124,51 +124,54 @@
             )
 
     def take_told(self, life: str, since: float, node: str) -> None:
-        """Take from another node that a life of an instance leaves.
+        """Apply another node's report that an incarnation is shutting down.
 
-        The life may be unknown here: a node that has just started may read its entry later.
+        The incarnation may be unknown here: a node that has just started may read its entry later.
 
         Args:
-            life: As ``str(InstanceLife)``.
-            since: When it said so first, by this node's steady clock.
-            node: Who tells it.
+            life: The incarnation, as ``str(InstanceLife)``.
+            since: When it first announced it, by this node's steady clock in seconds.
+            node: Name of the reporting node.
         """
         view = self._table.of_life(life)
         standing = view.standing if view is not None else self._table.standings.of_life(life)
-        is_news = standing.note_leaving(since)
+        is_new = standing.note_leaving(since)
         self._table.standings.remember(life, standing)
-        if is_news:
+        if is_new:
             age_ms = round((trio.current_time() - since) * MILLISECONDS)
-            self._note_news(life, node, age_ms)
+            self._note_leaving(life, node, age_ms)
 
     def unlisted_leaving(self) -> list[tuple[str, float]]:
-        """Return the latest lives that leave, with since when, while their entry says ``ready``.
+        """Return the latest incarnations to announce a shutdown while their entry says ``ready``.
 
-        What the directory shows itself isn't told among nodes.
+        Changes that are in the directory aren't reported between nodes.
+
+        Returns:
+            Each incarnation, and when it announced it, by the steady clock in seconds.
         """
         leaving = [
             (life, standing.leaving_since)
             for life, standing in self._table.standings
             if standing.leaving_since is not None and self._is_listed_ready(life)
         ]
-        return leaving[-MAX_TOLD_LIVES:]
+        return leaving[-MAX_REPORTED_INCARNATIONS:]
 
     def _is_listed_ready(self, life: str) -> bool:
-        """Return whether a life is listed, and not as leaving."""
+        """Return whether an incarnation is listed, and not as shutting down."""
         view = self._table.of_life(life)
         return view is not None and not view.instance.draining
 
     def take_told_limit(self, told: LimitedInstance, node: str) -> None:
-        """Take from another node what a life of an instance has said last of its limit.
+        """Apply another node's report of an incarnation's latest limit.
 
         Args:
-            told: What it said, and when.
-            node: Who tells it.
+            told: The limit, and when it was announced.
+            node: Name of the reporting node.
         """
         now = trio.current_time()
         lifted = told.per_second_milli == LIMIT_LIFTED
         word = LimitWord(None if lifted else told.per_second_milli / MILLI)
-        asked_at = now - told.asked_ms / MILLISECONDS - ON_THE_WAY_SECONDS
+        asked_at = now - told.asked_ms / MILLISECONDS - NODE_MESSAGE_SECONDS
         times = HeadTimes(asked_at, now - told.heard_ms / MILLISECONDS)
         view = self._table.of_life(told.life)
         standing = view.standing if view is not None else self._table.standings.of_life(told.life)
@@ -177,36 +180,36 @@
             self._table.standings.remember(told.life, standing)
             self._note_limit(told.life, standing, previous, node)
 
-    def limited(self) -> list[LimitedLife]:
-        """Return the listed lives that have a limit."""
+    def limited(self) -> list[LimitedIncarnation]:
+        """Return the listed incarnations that have a limit."""
         return [
-            LimitedLife(life, standing.limit.per_second, standing.sends)
+            LimitedIncarnation(life, standing.limit.per_second, standing.sends)
             for life, standing in self._limits.items()
             if standing.limit.is_set and standing.sends and self._table.of_life(life) is not None
         ]
 
     def told_limits(self) -> tuple[LimitedInstance, ...]:
-        """Return what other nodes are told of limits: those that hold, and those lifted lately."""
+        """Return the limits to report to other nodes: those in force or recently lifted."""
         now = trio.current_time()
         self._limits = {
             life: standing
             for life, standing in self._limits.items()
-            if self._is_worth_telling(life, standing, now)
+            if self._is_worth_reporting(life, standing, now)
         }
-        told = list(self._limits.items())[-MAX_TOLD_LIVES:]
-        return tuple(_told_limit(life, standing, now) for life, standing in told)
+        told = list(self._limits.items())[-MAX_REPORTED_INCARNATIONS:]
+        return tuple(_limit_report(life, standing, now) for life, standing in told)
 
-    def _is_worth_telling(self, life: str, standing: InstanceStanding, now: float) -> bool:
-        """Return whether a limit of a life may still bind anybody who doesn't know it."""
+    def _is_worth_reporting(self, life: str, standing: InstanceStanding, now: float) -> bool:
+        """Return whether other nodes may still need the report of a limit or of its end."""
         heard_seconds = now - standing.limit.times.before
         if not standing.limit.is_set:
-            return heard_seconds < LIFTED_TOLD_SECONDS
-        return self._table.of_life(life) is not None or heard_seconds < UNLISTED_TOLD_SECONDS
+            return heard_seconds < LIFTED_REPORT_SECONDS
+        return self._table.of_life(life) is not None or heard_seconds < UNLISTED_REPORT_SECONDS
 
     def _note_limit(
         self, life: str, standing: InstanceStanding, previous: float, source: str
     ) -> None:
-        """Log and count that a life has another limit, or none any more."""
+        """Log and count that an incarnation's limit was changed or lifted."""
         self._limits[life] = standing
         view = self._table.of_life(life)
         limit = standing.limit.per_second
@@ -223,10 +226,10 @@
             age_ms=age_ms,
         )
         if not standing.limit.is_set:
-            self._tell_lifted(life)
+            self._on_lifted(life)
 
-    def _note_news(self, life: str, source: str, age_ms: int) -> None:
-        """Log and count that an instance is now known to leave."""
+    def _note_leaving(self, life: str, source: str, age_ms: int) -> None:
+        """Log and count that an instance has announced its shutdown."""
         view = self._table.of_life(life)
         self._count(LEAVING, PEER_SOURCE if source != ANSWER_SOURCE else source)
         emit(
@@ -239,11 +242,11 @@
         )
 
 
-def _told_limit(life: str, standing: InstanceStanding, now: float) -> LimitedInstance:
-    """Return what another node is told of a limit."""
+def _limit_report(life: str, standing: InstanceStanding, now: float) -> LimitedInstance:
+    """Return the report of a limit for other nodes."""
     limit = standing.limit
     milli = round(limit.per_second * MILLI) if limit.is_set else LIMIT_LIFTED
-    asked_seconds = min(MAX_TOLD_SECONDS, now - limit.times.after)
+    asked_seconds = min(MAX_REPORTED_SECONDS, now - limit.times.after)
     heard_seconds = now - limit.times.before
     return LimitedInstance(
         life, milli, round(asked_seconds * MILLISECONDS), round(heard_seconds * MILLISECONDS)
@@ -251,5 +254,5 @@
 
 
 def _shown(limit: float) -> float:
-    """Return a limit as log lines show it."""
-    return NONE_SHOWN if limit == NO_LIMIT else limit
+    """Return a limit as log lines show it; -1 for none."""
+    return NO_LIMIT_SHOWN if limit == NO_LIMIT else limit
--- a/hopstep/services/exchanges/instances/store_watch.py
+++ b/hopstep/services/exchanges/instances/store_watch.py
@@ -1,6 +1,6 @@
-"""Follows what the cache stores keep: by their events on relays, by the relay on other nodes.
+"""Tracks the contents of the cache stores: relays read their events, other nodes ask a relay.
 
-While a store doesn't answer it counts as out of reach: nothing is brought from it or saved to it.
+While a store doesn't answer it counts as unreachable: nothing is loaded from it or saved to it.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from hopstep.services.exchanges.pause_watch import PauseWatch
 
 WAIT_SECONDS = 1.0
-PAUSE_SECONDS = 0.3
-"""Between two calls, so that events gather."""
+BATCHING_SECONDS = 0.3
+"""Seconds between two calls, so that events are read in batches."""
 
 IDENTITY_BYTES = 6
 MAX_CHANGES = 256
-"""Most changes of one store in an answer."""
+"""Most changes of one store in a relay's answer."""
 
 
 class CacheStoreWatch:
@@ -36,12 +36,12 @@
     def __init__(
         self, knowledge: ServingKnowledge, events: CacheEvents, pauses: PauseWatch
     ) -> None:
-        """Know no store yet.
+        """Start without any store.
 
         Args:
-            knowledge: Names the stores.
-            events: Reads their events.
-            pauses: Notices pauses of the node itself.
+            knowledge: Configuration with the cache stores.
+            events: Reads the stores' events.
+            pauses: Detects pauses of the node's own process.
         """
         self._knowledge = knowledge
         self._events = events
@@ -50,20 +50,20 @@
         self._reconsidered = trio.Event()
 
     def reconsider(self) -> None:
-        """Look again whether this node has to read the stores: it may have no relay any more."""
+        """Check again whether this node has to read the stores, after its relay changed."""
         self._reconsidered.set()
         self._reconsidered = trio.Event()
 
     def contents(self, address: str) -> StoreContents | None:
-        """Return what a store keeps; None when it isn't followed yet."""
+        """Return the contents of a store; None when it isn't followed yet."""
         return self._contents.get(address)
 
     def positions(self) -> tuple[ContentsPosition, ...]:
-        """Return how far this node knows each store."""
+        """Return the position of this node in the changes of each store."""
         return tuple(contents.position for contents in self._contents.values())
 
     def news_after(self, positions: tuple[ContentsPosition, ...]) -> tuple[ContentsNews, ...]:
-        """Return what another node doesn't know yet."""
+        """Return the changes after another node's positions."""
         followed = ((self._contents.get(at.address), at) for at in positions)
         return tuple(
             contents.news_after(at, MAX_CHANGES)
@@ -71,14 +71,14 @@
             if contents is not None
         )
 
-    def take(self, news: tuple[ContentsNews, ...]) -> None:
-        """Take what the relay tells."""
-        for told in news:
-            contents = self._contents.get(told.after.address)
+    def take(self, updates: tuple[ContentsNews, ...]) -> None:
+        """Apply the changes that the relay reports."""
+        for update in updates:
+            contents = self._contents.get(update.after.address)
             if contents is not None:
                 before = contents.reachable
-                contents.take(told)
-                _log_reachable(told.after.address, before, contents)
+                contents.take(update)
+                _log_reachable(update.after.address, before, contents)
 
     async def run(self) -> None:
         """Follow all stores until cancelled."""
@@ -92,7 +92,7 @@
                 await self._knowledge.changed.wait()
 
     async def _follow(self, address: str, contents: StoreContents) -> None:
-        """Follow one store, as long as no relay tells of it."""
+        """Read one store's events whenever this node has no relay that reports them."""
         while True:
             if not self._knowledge.relays.relay():
                 contents.clear(secrets.token_hex(IDENTITY_BYTES))
@@ -100,35 +100,35 @@
             await self._reconsidered.wait()
 
     async def _read(self, address: str, contents: StoreContents) -> None:
-        """Read a store's events until a relay tells them."""
+        """Read a store's events until this node has a relay that reports them."""
         position = 0
         epoch: int | None = None
         while not self._knowledge.relays.relay():
-            heard: list[InstanceNotice] = []
-            batch = await self._events.read(address, position, WAIT_SECONDS, heard.append)
+            received: list[InstanceNotice] = []
+            batch = await self._events.read(address, position, WAIT_SECONDS, received.append)
             if batch is None and self._pauses.has_just_ended:
-                await trio.sleep(PAUSE_SECONDS)
+                await trio.sleep(BATCHING_SECONDS)
                 continue
             before, contents.reachable = contents.reachable, batch is not None
             _log_reachable(address, before, contents)
             if batch is not None:
-                _take(contents, batch, epoch)
+                _apply(contents, batch, epoch)
                 if epoch is not None and batch.epoch != epoch:
                     batch = await self._events.read(address, 0, 0.0) or batch
-                    _take(contents, batch, batch.epoch)
+                    _apply(contents, batch, batch.epoch)
                 epoch, position = batch.epoch, batch.position
-            rests = [notice.rest_seconds for notice in heard]
-            await trio.sleep(max(PAUSE_SECONDS, max(rests, default=0.0)))
+            backoffs = [notice.rest_seconds for notice in received]
+            await trio.sleep(max(BATCHING_SECONDS, max(backoffs, default=0.0)))
 
 
-def _take(contents: StoreContents, batch: CacheEventBatch, epoch: int | None) -> None:
-    """Take a batch; a restart or a gap empties what is known."""
+def _apply(contents: StoreContents, batch: CacheEventBatch, epoch: int | None) -> None:
+    """Apply a batch; after a restart or a gap the known contents are cleared first."""
     if batch.epoch != epoch or batch.lost:
         contents.clear(secrets.token_hex(IDENTITY_BYTES))
     contents.apply(batch.events)
 
 
 def _log_reachable(address: str, before: bool, contents: StoreContents) -> None:
-    """Log a lost or regained store."""
+    """Log that a store has become reachable or unreachable."""
     if before != contents.reachable:
         emit(log_events.CACHE_STORE_CHANGED, address=address, reachable=contents.reachable)
--- a/hopstep/services/exchanges/instances/unknown_words.py
+++ b/hopstep/services/exchanges/instances/unknown_words.py
@@ -1,4 +1,4 @@
-"""Logs and counts words of others that nothing here reads, once a name."""
+"""Counts unrecognized values in messages of others, and logs each name once."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from hopstep.ports.unknown_words import UnknownWord, WordPlace
 
 MAX_NAMES = 256
-"""Names that are logged by one process; more are counted only."""
+"""Most names that one process logs; further ones are only counted."""
 
 MAX_NAME_LENGTH = 80
 
 
 class UnknownWords:
-    """Takes unknown words of all adapters."""
+    """Receives unrecognized values from all adapters."""
 
     def __init__(self) -> None:
-        """Have been told of none."""
+        """Start without any received value."""
         self._logged: set[tuple[WordPlace, str]] = set()
         self._count: Callable[[str], None] = lambda _place: None
 
     def count_with(self, count: Callable[[str], None]) -> None:
-        """Count each word, by its place, with a function."""
+        """Set the function that counts each value; it is called with the value's place."""
         self._count = count
 
     def note(self, word: UnknownWord) -> None:
-        """Take one word."""
+        """Count one value, and log its name at its first occurrence."""
         self._count(word.place.value)
         name = word.name[:MAX_NAME_LENGTH]
         if (word.place, name) in self._logged or len(self._logged) >= MAX_NAMES:
--- a/hopstep/services/exchanges/node_gauges.py
+++ b/hopstep/services/exchanges/node_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of what a node knows, holds and does."""
+"""Gauges of a node's state: its knowledge, active work and limits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def watch_knowledge(metrics: ExchangeMetrics, knowledge: ServingKnowledge) -> None:
-    """Show what a node knows, and how old it is."""
+    """Register the metrics of a node's configuration and view of the store, and of their age."""
     knowledge.follow_rejections(lambda reason: metrics.rejected_entries.labels(reason.value).inc())
     metrics.watch(
         "hopstep_knowledge_age_seconds",
@@ -40,7 +40,7 @@
 def watch_work(
     metrics: ExchangeMetrics, lifecycle: Lifecycle, quarantine: Quarantine, lease: RolloutLease
 ) -> None:
-    """Show what a node does."""
+    """Register the gauges of requests and of the rollout lease."""
     metrics.watch(
         "hopstep_exchanges_active",
         "Requests under way.",
@@ -59,7 +59,7 @@
 
 
 def watch_limits(metrics: ExchangeMetrics, notices: InstanceNotices) -> None:
-    """Show what instances under limits take, and what a node sends them."""
+    """Register the gauges of rate-limited instances and of the requests sent to them."""
     metrics.watch(
         "hopstep_limited_instances",
         "Listed instances that take only so many requests from all nodes together.",
--- a/hopstep/services/exchanges/requests/permit_demand.py
+++ b/hopstep/services/exchanges/requests/permit_demand.py
@@ -16,7 +16,7 @@
 from hopstep.domain.limits.limit_doubt import LimitDoubt, doubted_from
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 
-MAX_DOUBTS = 1_024
+MAX_REMEMBERED_PROBES = 1_024
 """Incarnations whose probes are remembered, the latest: more than have limits at a time."""
 
 
@@ -85,14 +85,14 @@
 
     def _is_doubted(self, view: InstanceView, now: float) -> bool:
         """Return whether it is this node's turn to probe whether a limit still holds."""
-        received_at = view.standing.limit.times.before
+        limit_named_at = view.standing.limit.times.before
         nodes = self._knowledge.count_nodes()
-        return now >= doubted_from(received_at, view.life, self._knowledge.name, nodes)
+        return now >= doubted_from(limit_named_at, view.life, self._knowledge.name, nodes)
 
     def _doubt(self, view: InstanceView) -> LimitDoubt:
         """Return when the limit of an instance may be probed; created at first use."""
         doubt = self._doubts.setdefault(view.life, LimitDoubt())
         self._doubts.move_to_end(view.life)
-        if len(self._doubts) > MAX_DOUBTS:
+        if len(self._doubts) > MAX_REMEMBERED_PROBES:
             self._doubts.popitem(last=False)
         return doubt
--- a/hopstep/services/exchanges/requests/quotas.py
+++ b/hopstep/services/exchanges/requests/quotas.py
@@ -26,7 +26,7 @@
 
 MILLISECONDS = 1_000
 
-FIRST_TELLING_SECONDS = 1.5
+FIRST_USAGE_SECONDS = 1.5
 """Longest wait of a node that has just started for the usage of other nodes, before it refuses
 requests: five of its queries to a relay, and some time to find one.
 """
@@ -69,7 +69,7 @@
         cost = tenant.quota.cost(request.usage_tokens)
         decision = self._decide(tenant.name, tenant.quota, cost)
         if decision.wait_seconds and not self._others_reported.is_set():
-            with trio.move_on_at(self._started_at + FIRST_TELLING_SECONDS):
+            with trio.move_on_at(self._started_at + FIRST_USAGE_SECONDS):
                 await self._others_reported.wait()
             decision = self._decide(tenant.name, tenant.quota, cost)
         if not decision.wait_seconds:
