--- a/hopstep/cli/node_process.py
+++ b/hopstep/cli/node_process.py
@@ -32,7 +32,7 @@
 from hopstep.platform.instances import HttpInstances
 from hopstep.platform.names import SETTINGS_VARIABLE
 from hopstep.platform.store import PlatformStore
-from hopstep.services.exchanges.instances.unknown_words import UnknownWords
+from hopstep.services.exchanges.instances.unknown_words import UnrecognizedValues
 from hopstep.settings_loader import EXIT_BAD_SETTINGS, SettingsError, load_exchange_settings
 
 NODE_KEY_BYTES = 16
@@ -51,7 +51,7 @@
         listeners: Those that are open already.
     """
     platform_client = HttpClient()
-    unknown_words = UnknownWords()
+    unknown_words = UnrecognizedValues()
     store = PlatformStore(settings.store, platform_client, on_unknown=unknown_words.note)
     instances = HttpInstances(HttpClient(), unknown_words.note)
     node_key = secrets.token_bytes(NODE_KEY_BYTES)
--- a/hopstep/services/exchanges/directory/directory_follower.py
+++ b/hopstep/services/exchanges/directory/directory_follower.py
@@ -103,7 +103,7 @@
     @property
     def has_lost_store(self) -> bool:
         """Whether this node reads the store and has had no answer for too long."""
-        self._pauses.look()
+        self._pauses.check()
         return trio.current_time() > self._answer_due_at
 
     @property
--- a/hopstep/services/exchanges/instances/connection_reaper.py
+++ b/hopstep/services/exchanges/instances/connection_reaper.py
@@ -42,7 +42,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._close_unlisted)
             while True:
-                await self._pauses.wait_look()
+                await self._pauses.wait_check()
                 await self._drop_unresponsive()
 
     async def _close_unlisted(self) -> None:
--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -123,7 +123,7 @@
                 rest_ms=rest_ms,
             )
 
-    def take_told(self, life: str, since: float, node: str) -> None:
+    def take_leaving_report(self, life: str, since: float, node: str) -> None:
         """Apply another node's report that an incarnation is shutting down.
 
         The incarnation may be unknown here: a node that has just started may read its entry later.
@@ -161,7 +161,7 @@
         view = self._table.of_life(life)
         return view is not None and not view.instance.draining
 
-    def take_told_limit(self, told: LimitedInstance, node: str) -> None:
+    def take_limit_report(self, told: LimitedInstance, node: str) -> None:
         """Apply another node's report of an incarnation's latest limit.
 
         Args:
@@ -188,7 +188,7 @@
             if standing.limit.is_set and standing.sends and self._table.of_life(life) is not None
         ]
 
-    def told_limits(self) -> tuple[LimitedInstance, ...]:
+    def limit_reports(self) -> tuple[LimitedInstance, ...]:
         """Return the limits to report to other nodes: those in force or recently lifted."""
         now = trio.current_time()
         self._limits = {
--- a/hopstep/services/exchanges/instances/unknown_words.py
+++ b/hopstep/services/exchanges/instances/unknown_words.py
@@ -14,7 +14,7 @@
 MAX_NAME_LENGTH = 80
 
 
-class UnknownWords:
+class UnrecognizedValues:
     """Receives unrecognized values from all adapters."""
 
     def __init__(self) -> None:
--- a/hopstep/services/exchanges/pause_watch.py
+++ b/hopstep/services/exchanges/pause_watch.py
@@ -55,10 +55,10 @@
     @property
     def has_just_ended(self) -> bool:
         """Whether a pause ended so recently that data from it may still be unread."""
-        self.look()
+        self.check()
         return trio.current_time() < self._reading_until
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Check the clock for a pause; call this before a timeout of others is evaluated."""
         now = trio.current_time()
         seconds = now - self._checked_at
@@ -75,10 +75,10 @@
         while True:
             spread = self._generator.uniform(-SPREAD, SPREAD) if self._generator else 0.0
             await trio.sleep(CHECK_SECONDS * (1.0 + spread))
-            self.look()
+            self.check()
             self._looked.set()
             self._looked = trio.Event()
 
-    async def wait_look(self) -> None:
+    async def wait_check(self) -> None:
         """Wait for the next check of the clock."""
         await self._looked.wait()
--- a/hopstep/services/exchanges/peers/fleet_hints.py
+++ b/hopstep/services/exchanges/peers/fleet_hints.py
@@ -28,13 +28,13 @@
 
     def of_node(self) -> Hints:
         """Return what this node tells its relay."""
-        hints = _with_usage(self._sharing.own_hints(), self._quotas.book.own_report())
+        hints = _with_usage(self._sharing.own_hints(), self._quotas.usage_table.own_report())
         return msgspec.structs.replace(hints, sends=self._permits.own_sends())
 
     def of_group(self) -> Hints:
         """Return what this relay tells the others: permits are given out with that."""
         permits = self._permits.allocate()
-        hints = _with_usage(self._sharing.group_hints(), self._quotas.book.group_report())
+        hints = _with_usage(self._sharing.group_hints(), self._quotas.usage_table.group_report())
         sends = self._permits.group_sends()
         return msgspec.structs.replace(hints, sends=sends, permits=permits)
 
@@ -47,14 +47,14 @@
             told: The hints in it.
         """
         hints, position = self._sharing.hints_for(node, query.feed, query.position)
-        hints = _with_usage(hints, self._quotas.book.fleet_report())
+        hints = _with_usage(hints, self._quotas.usage_table.fleet_report())
         permits = self._permits.serve(node, told)
         return msgspec.structs.replace(hints, permits=permits), position
 
     def take_from_member(self, node: str, hints: Hints) -> None:
         """Take the hints of a node that asks this one; its permits come with the answer."""
         self._sharing.take_from_member(node, hints)
-        self._quotas.book.take_from_member(node, _usage(hints))
+        self._quotas.usage_table.take_from_member(node, _usage(hints))
 
     def take_digest(self, relay: str, number: int, hints: Hints) -> None:
         """Take the hints of another relay.
@@ -65,7 +65,7 @@
             hints: Of its group.
         """
         self._sharing.take_from_relay(relay, hints)
-        self._quotas.book.take_from_relay(relay, _usage(hints))
+        self._quotas.usage_table.take_from_relay(relay, _usage(hints))
         self._permits.take_digest(relay, number, hints)
 
     def take_answer(self, relay: str, hints: Hints, asked_at: float) -> None:
@@ -77,7 +77,7 @@
             asked_at: When it was asked.
         """
         self._sharing.take_answer(relay, hints)
-        self._quotas.take_answer(_usage(hints), asked_at)
+        self._quotas.take_fleet_usage(_usage(hints), asked_at)
         self._permits.take_answer(hints.permits, asked_at)
 
 
--- a/hopstep/services/exchanges/peers/load_sharing.py
+++ b/hopstep/services/exchanges/peers/load_sharing.py
@@ -162,7 +162,7 @@
             self._take_unsent(),
             self._loading_now(now),
             leaving=self._leaving_now(now),
-            limits=self._notices.told_limits(),
+            limits=self._notices.limit_reports(),
         )
 
     def group_hints(self) -> Hints:
@@ -175,7 +175,7 @@
             self._take_unsent(),
             self._loading_now(now),
             leaving=self._leaving_now(now),
-            limits=self._notices.told_limits(),
+            limits=self._notices.limit_reports(),
         )
 
     def hints_for(self, node: str, identity: str, position: int) -> tuple[Hints, int]:
@@ -189,7 +189,7 @@
             news,
             self._loading_now(now),
             leaving=self._leaving_now(now),
-            limits=self._notices.told_limits(),
+            limits=self._notices.limit_reports(),
         )
         return hints, position
 
@@ -244,9 +244,9 @@
             self._take_loading(loading, now)
         for leaving in hints.leaving:
             since = now - max(0, leaving.age_ms) / MILLISECONDS
-            self._notices.take_told(leaving.life, since, node)
+            self._notices.take_leaving_report(leaving.life, since, node)
         for limited in hints.limits:
-            self._notices.take_told_limit(limited, node)
+            self._notices.take_limit_report(limited, node)
 
     def _take_segments(self, news: SegmentNews, now: float) -> None:
         """Put news of an instance's segments into its picture."""
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -105,7 +105,7 @@
     async def _tell(self) -> None:
         """Send queries or digests with each look of the node at its clock, every 0.2 s."""
         while True:
-            await self._pauses.wait_look()
+            await self._pauses.wait_check()
             await self._send_due()
             self._sharing.refresh()
             self._knowledge.node_book.expire()
--- a/hopstep/services/exchanges/requests/instance_choice.py
+++ b/hopstep/services/exchanges/requests/instance_choice.py
@@ -89,7 +89,7 @@
             tried: Ids of instances that the request was sent to.
             only: Id of the only instance allowed; empty or None for any that wasn't tried.
         """
-        self._pauses.look()
+        self._pauses.check()
         self._knowledge.instances.expire_lapsed()
         now = trio.current_time()
         eligible = self._eligible(request, service, tried, now)
--- a/hopstep/services/exchanges/requests/quotas.py
+++ b/hopstep/services/exchanges/requests/quotas.py
@@ -36,7 +36,7 @@
     """Quotas of one node.
 
     Attributes:
-        book: What all nodes have used of the tenants' quotas.
+        usage_table: What all nodes have used of the tenants' quotas.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._started_at = trio.current_time()
         self._others_reported = trio.Event()
         self._ledger = QuotaLedger(bounds, self._started_at)
-        self.book = UsageBook(knowledge, bounds.window_seconds, self._own_report)
+        self.usage_table = UsageBook(knowledge, bounds.window_seconds, self._own_report)
 
     async def require(self, request: ExchangeRequest) -> None:
         """Count a request against its tenant's quota, or refuse it.
@@ -95,7 +95,7 @@
         """Admit and count a request, or return when to retry."""
         now = trio.current_time()
         if not self._knowledge.relays.relay():
-            self._apply_usage(self.book.fleet_report(), now)
+            self._apply_usage(self.usage_table.fleet_report(), now)
         return self._ledger.admit(
             tenant, quota, cost, now, self._knowledge.count_nodes(), self._generator.random()
         )
@@ -120,7 +120,7 @@
             return UsageReport()
         return self._ledger.own_report(quotas, trio.current_time(), self._knowledge.count_nodes())
 
-    def take_answer(self, report: UsageReport, asked_at: float) -> None:
+    def take_fleet_usage(self, report: UsageReport, asked_at: float) -> None:
         """Apply the usage of all nodes that this node's relay reports.
 
         Args:
--- a/hopstep/services/exchanges/requests/response_watchdog.py
+++ b/hopstep/services/exchanges/requests/response_watchdog.py
@@ -33,7 +33,7 @@
         """Watch until cancelled; cancel ``scope`` when the instance is unresponsive."""
         while not self.fired:
             await trio.sleep(CHECK_SECONDS)
-            self._pauses.look()
+            self._pauses.check()
             if self._view.is_silent(trio.current_time()):
                 self.fired = True
                 scope.cancel()
--- a/tests/services/exchanges/test_exchange_chaos.py
+++ b/tests/services/exchanges/test_exchange_chaos.py
@@ -137,6 +137,6 @@
 
     def test_counting_a_request_at_work_as_not_run_is_caught(self):
         with unittest.mock.patch.object(
-            exchange.Exchange, "_learn", lambda _self, _view, _error: None
+            exchange.Exchange, "_record_failure", lambda _self, _view, _error: None
         ):
             self.assertIn("promised not run", self.kinds_of_problems())
--- a/tests/services/exchanges/test_instance_limits.py
+++ b/tests/services/exchanges/test_instance_limits.py
@@ -406,7 +406,7 @@
                     for _waiter in range(20):
                         nursery.start_soon(services.limits.wait, [view], 0, float("inf"))
                     await trio.testing.wait_all_tasks_blocked()
-                    services.notices.take_told_limit(lifted, "n1")
+                    services.notices.take_limit_report(lifted, "n1")
             self.assertFalse(view.standing.limit.is_set)
             self.assertEqual(view.standing.sends.claimed, 0)
 
--- a/tests/services/exchanges/test_quotas.py
+++ b/tests/services/exchanges/test_quotas.py
@@ -99,7 +99,7 @@
             for _ in range(30):
                 answer = await world.request("safe", usage_tokens=None)
                 self.assertIsNone(answer.error)
-            [usage] = world.nodes[0].quotas.book.own_report().usage
+            [usage] = world.nodes[0].quotas.usage_table.own_report().usage
             self.assertEqual(usage.admitted, 30 * QUOTA.plain_tokens)
 
         self.run_world(script)
@@ -112,7 +112,8 @@
             answer = await world.request("stream", usage_tokens=4_000)
             self.assertIs(answer.error.execution, Execution.NOT_RUN)
             self.assertEqual(
-                [usage.admitted for usage in world.nodes[0].quotas.book.own_report().usage], [0]
+                [usage.admitted for usage in world.nodes[0].quotas.usage_table.own_report().usage],
+                [0],
             )
 
         self.run_world(script)
--- a/tests/services/exchanges/test_unknown_words.py
+++ b/tests/services/exchanges/test_unknown_words.py
@@ -9,7 +9,7 @@
 from hopstep.services.exchanges.instances.unknown_words import (
     MAX_NAME_LENGTH,
     MAX_NAMES,
-    UnknownWords,
+    UnrecognizedValues,
 )
 
 
@@ -19,7 +19,7 @@
 
 class UnknownWordsTest(unittest.TestCase):
     def setUp(self):
-        self.words = UnknownWords()
+        self.words = UnrecognizedValues()
         self.counted = Counter()
         self.words.count_with(lambda place: self.counted.update([place]))
 
@@ -40,5 +40,5 @@
         self.assertEqual(len(logs), MAX_NAMES)
         self.assertEqual(self.counted["answer_head"], 2 * MAX_NAMES + 1)
         with capture_logs() as logs:
-            UnknownWords().note(word("y" * 10_000))
+            UnrecognizedValues().note(word("y" * 10_000))
         self.assertEqual(len(logs[0]["name"]), MAX_NAME_LENGTH)
