--- a/tests/services/exchanges/exchange_world.py
+++ b/tests/services/exchanges/exchange_world.py
@@ -1,4 +1,4 @@
-"""One or more nodes of routed exchanges over emulated ports, on a virtual clock."""
+"""One or more exchange nodes on emulated ports and a virtual clock."""
 
 import random
 from collections import Counter
@@ -48,10 +48,10 @@
 MODEL = "m"
 BOUNDS = ExchangeBounds()
 HISTORY_LENGTH = 100_000
-"""Changes that a watch can look back on."""
+"""Number of past changes from which a watch can resume."""
 
 SETTLING_SECONDS = 1.0
-"""Nodes have registered and know each other, and watches wait for changes."""
+"""Seconds after which nodes have registered and listed each other, and watches wait for changes."""
 
 
 def route(name, kind, **options):
@@ -94,7 +94,7 @@
 
 
 class EmulatedCacheEvents(CacheEvents):
-    """Cache events by address; addresses without any give no answer."""
+    """Cache events by address; reads from addresses without any fail."""
 
     def __init__(self):
         self.events = {}
@@ -165,7 +165,7 @@
         self.clock = None
         self.nodes = []
         self.directories = []
-        self._lives = []
+        self._node_scopes = []
         self._node_count = nodes
         self._seed = seed
         self._order_seed = seed if order_seed is None else order_seed
@@ -184,7 +184,7 @@
         return self.instances.add(instance)
 
     def restart(self, instance_id, born_ms, **changes):
-        """End an instance and start it again under its id, and list its new life."""
+        """Terminate an instance, restart it under its id, and list its new incarnation."""
         changes = {"born_ms": born_ms, "order_sequence": 0, "draining": False, **changes}
         instance = msgspec.structs.replace(self.listed[instance_id], **changes)
         server = self.instances.restart(instance)
@@ -192,7 +192,7 @@
         return server
 
     def relist(self, instance):
-        """Write a listed instance's changed entry, as instances do."""
+        """Write the changed entry of a listed instance, as instances do."""
         if instance.instance_id in self.listed:
             self.publish(InstanceListed(instance))
 
@@ -231,11 +231,11 @@
         return read_entry(stored).change.configuration.version
 
     def name_weights(self, version):
-        """Name weights as operators do."""
+        """Publish a weights version as operators do."""
         self.publish(WeightsPublished(NamedWeights(MODEL, version)))
 
     def run(self, script):
-        """Run ``script(world)`` beside the nodes."""
+        """Run ``script(world)`` while the nodes run."""
         self.clock = virtual_clock()
         run_in_virtual_time(self._run, script, seed=self._order_seed, clock=self.clock)
 
@@ -283,15 +283,15 @@
 
     async def _run_node(self, services):
         """Run a node until it is killed."""
-        with trio.CancelScope() as life:
-            self._lives.append(life)
+        with trio.CancelScope() as scope:
+            self._node_scopes.append(scope)
             await services.run()
 
     def kill_nodes(self):
-        """Kill all nodes at the same moment; they leave what is in the store."""
-        for life in self._lives:
-            life.cancel()
-        for known in (self._lives, self.nodes, self.directories):
+        """Kill all nodes at once; their entries stay in the store."""
+        for scope in self._node_scopes:
+            scope.cancel()
+        for known in (self._node_scopes, self.nodes, self.directories):
             known.clear()
 
     async def request(
--- a/tests/services/exchanges/test_engine_cache_watch.py
+++ b/tests/services/exchanges/test_engine_cache_watch.py
@@ -1,4 +1,4 @@
-"""Engines' cache events: one node follows each engine, and all nodes hear of it."""
+"""Cache events of engines: one node reads each engine's and reports them to all nodes."""
 
 import unittest
 
@@ -14,8 +14,8 @@
 
 SALT = "1."
 KEYS = segment_keys(MODEL, SALT, (PromptSegment("a1", 3_000),))
-HEARD_SECONDS = 1.5
-"""From an event to all nodes: a pause of the reader, and three hops of the relays."""
+REPORTED_SECONDS = 1.5
+"""Seconds until an event has reached all nodes: the reader's batching and three relay hops."""
 
 
 def event(segment_id="a1", tokens=3_000):
@@ -30,7 +30,7 @@
         world.cache_events.events[address] = []
         world.run(script)
 
-    def tell(self, world, event):
+    def add_event(self, world, event):
         world.cache_events.add(world.listed["e0"].address, event)
 
     def kept(self, world):
@@ -47,20 +47,20 @@
     def test_what_an_engine_has_dropped_is_known_at_all_nodes(self):
         async def script(world):
             await world.request("stream", node=3)
-            self.tell(world, event())
-            await trio.sleep(HEARD_SECONDS)
+            self.add_event(world, event())
+            await trio.sleep(REPORTED_SECONDS)
             self.assertEqual(self.kept(world), [3_000] * 6)
-            self.tell(world, event(tokens=0))
-            await trio.sleep(HEARD_SECONDS)
+            self.add_event(world, event(tokens=0))
+            await trio.sleep(REPORTED_SECONDS)
             self.assertEqual(self.kept(world), [0] * 6)
 
         self.run_world(script)
 
     def test_a_node_that_has_just_started_learns_what_is_kept(self):
         async def script(world):
-            self.tell(world, event())
+            self.add_event(world, event())
             world.start_node(world.nursery, "late", "z1")
-            await trio.sleep(RETRY_SECONDS + 2 * HEARD_SECONDS)
+            await trio.sleep(RETRY_SECONDS + 2 * REPORTED_SECONDS)
             self.assertEqual(self.kept(world)[0], 3_000)
 
         self.run_world(script, nodes=1)
@@ -79,7 +79,7 @@
 
 
 class NoticesOfEventsTest(unittest.TestCase):
-    """Calls for events name no instance, so only a batch that tells its start speaks for it."""
+    """Calls for events name no instance, so a notice counts only if its batch states the start."""
 
     def run_world(self, script, **entry):
         world = ExchangeWorld()
@@ -87,16 +87,16 @@
         world.cache_events.events[world.listed["e0"].address] = []
         world.run(script)
 
-    def say(self, world, notice):
+    def announce(self, world, notice):
         world.cache_events.notices[world.listed["e0"].address] = notice
 
     def test_the_word_of_leaving_counts_with_the_start_of_the_listed_life(self):
-        for told, leaves in ((5, True), (4, False), (0, False)):
-            with self.subTest(told=told):
+        for born_ms, leaves in ((5, True), (4, False), (0, False)):
+            with self.subTest(born_ms=born_ms):
 
-                async def script(world, told=told, leaves=leaves):
-                    world.cache_events.born_ms[world.listed["e0"].address] = told
-                    self.say(world, InstanceNotice(leaving=True))
+                async def script(world, born_ms=born_ms, leaves=leaves):
+                    world.cache_events.born_ms[world.listed["e0"].address] = born_ms
+                    self.announce(world, InstanceNotice(leaving=True))
                     await trio.sleep(4.0)
                     view = world.nodes[0].knowledge.table.get("e0")
                     self.assertIs(view.standing.leaves, leaves)
@@ -107,7 +107,7 @@
         async def script(world):
             address = world.listed["e0"].address
             await trio.sleep(2.0)
-            self.say(world, InstanceNotice(rest_seconds=5.0))
+            self.announce(world, InstanceNotice(rest_seconds=5.0))
             del world.cache_events.events[address]
             await trio.sleep(2.0)
             reads = world.cache_events.reads[address]
--- a/tests/services/exchanges/test_exchange.py
+++ b/tests/services/exchanges/test_exchange.py
@@ -1,4 +1,4 @@
-"""Attempts, promises and streams of routed exchanges under failing instances."""
+"""Attempts, guarantees and streams of exchanges with failing instances."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 from hopstep.ports.serving_directory import InstanceListed, InstanceRemoved
 from tests.services.exchanges.exchange_world import ISOLATED_KEY, ExchangeWorld
 
-WHOLE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(5))
+COMPLETE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(5))
 
 
 class ExchangeTest(unittest.TestCase):
@@ -155,13 +155,13 @@
             answer = await world.request("resumable", request_id="r")
             runs = world.instances.runs("r")
             self.assertEqual([run.resume_after for run in runs], ["", "1"])
-            self.assertTrue(WHOLE_STREAM.startswith(answer.body))
+            self.assertTrue(COMPLETE_STREAM.startswith(answer.body))
             self.assertFalse(answer.finished)
             engine["e0"].behaviour = engine["e1"].behaviour = Behaviour.SERVE
             engine[runs[0].request_id and "e0"].behaviour = behaviour
             for _ in range(4):
                 answer = await world.request("resumable")
-                self.assertEqual((answer.body, answer.finished), (WHOLE_STREAM, True))
+                self.assertEqual((answer.body, answer.finished), (COMPLETE_STREAM, True))
 
         self.run_world(script)
 
@@ -170,7 +170,7 @@
             self.set_all(world, Behaviour.CUT_EVENT)
             answer = await world.request("stream", request_id="r")
             self.assertFalse(answer.finished)
-            self.assertEqual(answer.body, WHOLE_STREAM[: len(answer.body)])
+            self.assertEqual(answer.body, COMPLETE_STREAM[: len(answer.body)])
             self.assertTrue(answer.body.endswith(b"\n\n"))
             self.assertEqual(len(world.instances.runs("r")), 1)
 
--- a/tests/services/exchanges/test_exchange_chaos.py
+++ b/tests/services/exchanges/test_exchange_chaos.py
@@ -1,4 +1,4 @@
-"""Drawn faults of instances and of the store during drawn requests, judged by what was run."""
+"""Random faults of instances and of the store during random requests, checked by what was run."""
 
 import random
 import unittest
@@ -17,16 +17,16 @@
 ROUTES = ("safe", "unsafe", "unsafe2", "stream", "resumable")
 AT_MOST_ONCE = ("unsafe", "unsafe2", "stream")
 MAX_ATTEMPTS = {"safe": 2, "unsafe": 1, "unsafe2": 2, "stream": 1, "resumable": 2}
-WHOLE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(5))
+COMPLETE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(5))
 WEIGHTS_SECONDS = BOUNDS.weights_ms / 1_000
 
 
 class Chaos:
-    """One run under one seed."""
+    """One random run, determined by its seed."""
 
     def __init__(self, seed, behaviours=tuple(Behaviour)):
         self.behaviours = (Behaviour.SERVE, *behaviours)
-        self.draw = random.Random(seed)
+        self.generator = random.Random(seed)
         self.world = ExchangeWorld(nodes=3, seed=seed)
         self.sent = {}
         self.answers = {}
@@ -37,7 +37,7 @@
 
     def play(self):
         self.world.run(self.script)
-        return self.problems()
+        return self.violations()
 
     async def script(self, world):
         async with trio.open_nursery() as nursery:
@@ -51,42 +51,42 @@
     async def send_requests(self, nursery):
         number = 0
         while True:
-            await trio.sleep(self.draw.expovariate(15.0))
+            await trio.sleep(self.generator.expovariate(15.0))
             number += 1
-            nursery.start_soon(self.request, f"c{number}", self.draw.choice(ROUTES))
+            nursery.start_soon(self.request, f"c{number}", self.generator.choice(ROUTES))
 
     async def request(self, request_id, name):
         self.sent[request_id] = name
-        with trio.move_on_after(self.draw.choice((0.1, 5.0, 5.0, 5.0))):
+        with trio.move_on_after(self.generator.choice((0.1, 5.0, 5.0, 5.0))):
             answer = await self.world.request(
-                name, node=self.draw.randrange(3), request_id=request_id
+                name, node=self.generator.randrange(3), request_id=request_id
             )
             self.answers[request_id] = answer
 
     async def change_instances(self):
         while True:
-            await trio.sleep(self.draw.expovariate(2.0))
-            server = self.draw.choice(list(self.world.instances.servers.values()))
-            server.behaviour = self.draw.choice(self.behaviours)
+            await trio.sleep(self.generator.expovariate(2.0))
+            server = self.generator.choice(list(self.world.instances.servers.values()))
+            server.behaviour = self.generator.choice(self.behaviours)
 
     async def change_store(self):
         while True:
-            await trio.sleep(self.draw.uniform(2.0, 6.0))
+            await trio.sleep(self.generator.uniform(2.0, 6.0))
             for directory in self.world.directories:
-                directory.down = self.draw.random() < 0.3
-            if self.draw.random() < 0.2:
-                self.world.shared.faults.lost_answers = self.draw.randrange(4)
+                directory.down = self.generator.random() < 0.3
+            if self.generator.random() < 0.2:
+                self.world.shared.faults.lost_answers = self.generator.randrange(4)
 
     async def name_weights(self):
         version = 1
         while True:
-            await trio.sleep(self.draw.uniform(3.0, 12.0))
+            await trio.sleep(self.generator.uniform(3.0, 12.0))
             version += 1
             self.world.name_weights(version)
             self.named.append((trio.current_time(), version))
 
-    def problems(self):
-        """Return what must not happen and did."""
+    def violations(self):
+        """Return the violated guarantees."""
         found = []
         for request_id, name in self.sent.items():
             runs = self.world.instances.runs(request_id)
@@ -101,9 +101,9 @@
                 found.append(("promised not run", request_id))
             stream = name in ("stream", "resumable")
             if stream and answer.status == 200:
-                if not WHOLE_STREAM.startswith(answer.body):
+                if not COMPLETE_STREAM.startswith(answer.body):
                     found.append(("out of order", request_id))
-                if answer.finished and answer.body != WHOLE_STREAM:
+                if answer.finished and answer.body != COMPLETE_STREAM:
                     found.append(("looks whole", request_id))
         return found
 
@@ -117,7 +117,7 @@
                 served = sum(a.status == 200 for a in chaos.answers.values())
                 self.assertGreater(served, 50)
 
-    def kinds_of_problems(self, behaviours=tuple(Behaviour)):
+    def kinds_of_violations(self, behaviours=tuple(Behaviour)):
         return {kind for seed in SEEDS for kind, _ in Chaos(seed, behaviours).play()}
 
     def test_repeating_an_unknown_outcome_is_caught(self):
@@ -129,14 +129,14 @@
             return NextStep.RETRY if again else step
 
         with unittest.mock.patch.object(exchange, "decide_step", repeat_unknown):
-            self.assertIn("run twice", self.kinds_of_problems())
+            self.assertIn("run twice", self.kinds_of_violations())
 
     def test_keeping_a_cut_event_is_caught(self):
         with unittest.mock.patch.object(EventFramer, "restart", lambda _self: None):
-            self.assertIn("out of order", self.kinds_of_problems((Behaviour.CUT_EVENT,)))
+            self.assertIn("out of order", self.kinds_of_violations((Behaviour.CUT_EVENT,)))
 
     def test_counting_a_request_at_work_as_not_run_is_caught(self):
         with unittest.mock.patch.object(
             exchange.Exchange, "_record_failure", lambda _self, _view, _error: None
         ):
-            self.assertIn("promised not run", self.kinds_of_problems())
+            self.assertIn("promised not run", self.kinds_of_violations())
--- a/tests/services/exchanges/test_instance_limits.py
+++ b/tests/services/exchanges/test_instance_limits.py
@@ -1,4 +1,4 @@
-"""A limit that an instance names binds all nodes together, and its end is found out."""
+"""A rate limit that an instance announces holds for all nodes together until it is lifted."""
 
 import itertools
 import random
@@ -17,24 +17,25 @@
 NODES = 6
 INSTANCES = ("i1", "i2", "i3")
 REQUEST_SECONDS = 0.05
-"""Between two requests at each node: 20 a second."""
+"""Seconds between two requests at each node: 20 a second."""
 
 BUSY_SECONDS = 0.5
-"""Time of a request at an instance that is busy: ten times that of an idle one."""
+"""Seconds that a request takes at a busy instance: ten times as long as at an idle one."""
 
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
-"""From so long after an instance first named its limit, what it gets is counted."""
+REPORTED_SECONDS = 0.5
+"""Seconds after an instance first announced its limit from which its requests are counted."""
 
 LIMITED_SHARE = 12.0 / 125.0
-"""Of all requests, where three instances take 4 a second each, and 120 and 5 a second come."""
+"""Share of all requests that is served: three instances accept 4 a second each, and requests of two
+ranks arrive at 120 and 5 a second."""
 
 USED_SECONDS = 20.0
-"""Time over which the use of a limit is counted: some 30 requests at 1.5 a second."""
+"""Seconds over which the use of a limit is counted: some 30 requests at 1.5 a second."""
 
 
 def allowed(limit):
-    """Return how many requests an instance with a limit may get within the window."""
+    """Return the most requests that an instance with a limit may get within the window."""
     return 1.5 * limit * WINDOW_SECONDS + 5
 
 
@@ -61,15 +62,15 @@
                 await trio.sleep(every)
         return answers
 
-    async def name_limit(self, world, limit, instances=("i1",)):
-        """Let instances name a limit, and nodes hear it; return when that is counted from."""
+    async def announce_limit(self, world, limit, instances=("i1",)):
+        """Let instances announce a limit to nodes; return from when on requests are counted."""
         for instance_id in instances:
             world.instances.servers[instance_id].names_limit = limit
-        await self.load(world, 2 * TOLD_SECONDS)
+        await self.load(world, 2 * REPORTED_SECONDS)
         return trio.current_time()
 
     def arrived(self, world, since, instance_id="i1"):
-        """Return when requests came to an instance after a time."""
+        """Return the arrival times of requests at an instance since a given time."""
         return [at for at in world.instances.servers[instance_id].arrived_at if at >= since]
 
     def check_bound(self, world, since, limit, instance_id="i1"):
@@ -87,9 +88,9 @@
                     server = world.instances.servers["i1"]
                     await self.load(world, 1.0)
                     server.names_limit = limit
-                    named_at = trio.current_time()
-                    await self.load(world, TOLD_SECONDS + 3 * WINDOW_SECONDS)
-                    self.check_bound(world, named_at + TOLD_SECONDS, limit)
+                    announced_at = trio.current_time()
+                    await self.load(world, REPORTED_SECONDS + 3 * WINDOW_SECONDS)
+                    self.check_bound(world, announced_at + REPORTED_SECONDS, limit)
 
                 world.run(script)
 
@@ -99,7 +100,7 @@
                 world = self.make_world(nodes)
 
                 async def script(world, limit=limit, nodes=nodes):
-                    since = await self.name_limit(world, limit)
+                    since = await self.announce_limit(world, limit)
                     answers = await self.load(world, USED_SECONDS, every=0.02 * nodes)
                     used = len(self.arrived(world, since)) / (limit * USED_SECONDS)
                     self.assertGreaterEqual(used, 0.9)
@@ -112,7 +113,7 @@
         world = self.make_world()
 
         async def script(world):
-            await self.name_limit(world, 1.5)
+            await self.announce_limit(world, 1.5)
             world.instances.servers["i1"].names_limit = None
             await self.load(world, 3.0)
             for services in world.nodes:
@@ -130,9 +131,9 @@
                 world = self.make_world()
 
                 async def script(world, first=first, second=second):
-                    await self.name_limit(world, first)
+                    await self.announce_limit(world, first)
                     await self.load(world, WINDOW_SECONDS)
-                    since = await self.name_limit(world, second)
+                    since = await self.announce_limit(world, second)
                     await self.load(world, USED_SECONDS)
                     self.check_bound(world, since, second)
                     used = len(self.arrived(world, since)) / (second * USED_SECONDS)
@@ -144,7 +145,7 @@
         world = self.make_world()
 
         async def script(world):
-            await self.name_limit(world, 0.3)
+            await self.announce_limit(world, 0.3)
             server = world.restart("i1", born_ms=2)
             await trio.sleep(1.0)
             await self.load(world, 1.0)
@@ -156,7 +157,7 @@
         world = self.make_world(nodes=3)
 
         async def script(world):
-            await self.name_limit(world, 1.5)
+            await self.announce_limit(world, 1.5)
             self.assertEqual(len(world.nodes[0].sharing.own_hints().limits), 1)
             world.instances.servers["i1"].end()
             world.publish(InstanceRemoved("i1"))
@@ -170,7 +171,7 @@
         world = self.make_world()
 
         async def script(world):
-            since = await self.name_limit(world, 0.0)
+            since = await self.announce_limit(world, 0.0)
             await self.load(world, 4 * WINDOW_SECONDS)
             self.check_bound(world, since, 0.0)
             world.instances.servers["i1"].names_limit = None
@@ -183,7 +184,7 @@
         world = self.make_world()
 
         async def script(world):
-            since = await self.name_limit(world, 1.5)
+            since = await self.announce_limit(world, 1.5)
             started = world.start_node(world.nursery, "n9")
             await trio.sleep(1.0)
             self.assertEqual(started.knowledge.table.get("i1").standing.limit.per_second, 1.5)
@@ -234,7 +235,7 @@
         world.run(script)
 
     def test_a_holder_that_loses_its_lease_while_it_waits_orders_nothing(self):
-        """A holder that waits for leave to ask a limited engine may lose its lease meanwhile."""
+        """A holder may lose its lease while it waits for a permit to call a limited engine."""
         world = ExchangeWorld(nodes=1)
         world.add("e0", "llm")
         world.add("e1", "llm")
@@ -246,7 +247,7 @@
             await self.load(world, 2.0, name="stream")
             world.name_weights(2)
             [services] = world.nodes
-            for _look in range(300):
+            for _check in range(300):
                 if services.limits.waits_for("e0"):
                     break
                 await trio.sleep(0.01)
@@ -283,13 +284,13 @@
 
 
 class UnneededInstanceTest(LimitsCase):
-    """An instance under a limit that nobody needs, since the others answer sooner."""
+    """A limited instance that is never the best choice, since the others answer sooner."""
 
-    DOUBT_SECONDS = 2.0
+    OUTDATED_SECONDS = 2.0
     PERMIT_SECONDS = 1.0
     NODES_PER_SECOND = 50.0
 
-    def run_limited(self, limit, nodes, script, asking=None):
+    def run_limited(self, limit, nodes, script, asking_nodes=None):
         world = ExchangeWorld(nodes=nodes, zones=3)
         for instance_id in INSTANCES:
             world.add(instance_id)
@@ -299,37 +300,37 @@
             await self.load(world, 1.0, every=0.1)
             server.work_seconds = BUSY_SECONDS
             server.names_limit = limit
-            named_at = trio.current_time()
-            await self.load(world, 2 * WINDOW_SECONDS, asking, every=0.1)
-            self.check_bound(world, named_at + TOLD_SECONDS, limit)
+            announced_at = trio.current_time()
+            await self.load(world, 2 * WINDOW_SECONDS, asking_nodes, every=0.1)
+            self.check_bound(world, announced_at + REPORTED_SECONDS, limit)
             await script(world)
 
         world.run(limited)
 
-    def asked_within(self, limit, nodes):
-        """Return the time within which a lifted limit is found out while requests come."""
-        doubted = self.DOUBT_SECONDS + nodes / self.NODES_PER_SECOND
-        return doubted + self.PERMIT_SECONDS + 1 / max(limit, 0.25)
+    def detected_within(self, limit, nodes):
+        """Return the time within which a lifted limit is detected while requests arrive."""
+        outdated = self.OUTDATED_SECONDS + nodes / self.NODES_PER_SECOND
+        return outdated + self.PERMIT_SECONDS + 1 / max(limit, 0.25)
 
     def test_an_instance_stays_unused_after_its_limit_is_lifted(self):
         for limit, nodes in itertools.product((0.0, 2.3, 60.0), (1, 6, 24)):
-            for asking in (None, [nodes - 1]):
-                with self.subTest(limit=limit, nodes=nodes, asking=asking):
+            for asking_nodes in (None, [nodes - 1]):
+                with self.subTest(limit=limit, nodes=nodes, asking_nodes=asking_nodes):
 
-                    async def script(world, limit=limit, nodes=nodes, asking=asking):
+                    async def script(world, limit=limit, nodes=nodes, asking_nodes=asking_nodes):
                         world.instances.servers["i1"].names_limit = None
-                        seconds = self.asked_within(limit, nodes)
-                        await self.load(world, seconds, asking, every=0.1)
-                        await trio.sleep(TOLD_SECONDS)
+                        seconds = self.detected_within(limit, nodes)
+                        await self.load(world, seconds, asking_nodes, every=0.1)
+                        await trio.sleep(REPORTED_SECONDS)
                         for services in world.nodes:
                             view = services.knowledge.table.get("i1")
                             self.assertFalse(view.standing.limit.is_set, services.knowledge.name)
 
-                    self.run_limited(limit, nodes, script, asking)
+                    self.run_limited(limit, nodes, script, asking_nodes)
 
 
 class AllLimitedTest(LimitsCase):
-    """Where all instances of a service have limits."""
+    """All instances of a service have limits."""
 
     def make_limited(self):
         world = self.make_world()
@@ -341,7 +342,7 @@
         world = self.make_limited()
 
         async def script(world):
-            since = await self.name_limit(world, 8.0, INSTANCES)
+            since = await self.announce_limit(world, 8.0, INSTANCES)
             answers = await self.load(world, USED_SECONDS)
             for instance_id in INSTANCES:
                 self.check_bound(world, since, 8.0, instance_id)
@@ -355,13 +356,13 @@
         world.run(script)
 
     def test_requests_wait_where_permits_come_most_often(self):
-        """With nobody waiting all limited instances look alike."""
+        """Without waiting requests, only their limits tell the instances apart."""
         world = self.make_limited()
         limits = {"i1": 0.3, "i2": 0.3, "i3": 12.0}
 
         async def script(world):
             for instance_id, limit in limits.items():
-                await self.name_limit(world, limit, (instance_id,))
+                await self.announce_limit(world, limit, (instance_id,))
             since = trio.current_time()
             await self.load(world, USED_SECONDS, every=0.4)
             used = len(self.arrived(world, since, "i3")) / (12.0 * USED_SECONDS)
@@ -370,7 +371,7 @@
         world.run(script)
 
     def test_all_limits_are_used_where_few_requests_wait_at_each_node(self):
-        """Few wait at each node; all of them may not wait for the same engine."""
+        """Few requests wait at each node; they must not all wait for the same instance."""
         limits = (4.0, 1.5, 1.5, 1.5, 0.3, 0.3)
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
@@ -397,7 +398,7 @@
         world = self.make_limited()
 
         async def script(world):
-            await self.name_limit(world, 0.0, INSTANCES)
+            await self.announce_limit(world, 0.0, INSTANCES)
             services = world.nodes[0]
             view = services.knowledge.table.get("i1")
             lifted = LimitedInstance(view.life, LIMIT_LIFTED, asked_ms=-1_000, heard_ms=-1_000)
@@ -416,7 +417,7 @@
         world = self.make_limited()
 
         async def script(world):
-            await self.name_limit(world, 0.0, INSTANCES)
+            await self.announce_limit(world, 0.0, INSTANCES)
             await trio.sleep(5.0)
             limits = world.nodes[0].limits
             view = world.nodes[0].knowledge.table.get("i1")
@@ -453,7 +454,7 @@
         world.publish(ConfigurationPublished(exchange_world.configuration(2, routes)))
 
         async def script(world):
-            await self.name_limit(world, 4.0, INSTANCES)
+            await self.announce_limit(world, 4.0, INSTANCES)
             low = []
 
             async def send_low():
@@ -471,16 +472,16 @@
 
 
 class DoubtTest(LimitsCase):
-    """What isn't known never lets more through."""
+    """A disturbed fleet never exceeds a limit."""
 
     LIMIT = 1.5
 
     def check_while(self, disturb, nodes=NODES, zones=3):
-        """Check the bound while something is done to a world that keeps to a limit."""
+        """Check the bound while a world that keeps a limit is disturbed."""
         world = self.make_world(nodes, zones)
 
         async def script(world):
-            since = await self.name_limit(world, self.LIMIT)
+            since = await self.announce_limit(world, self.LIMIT)
             await self.load(world, WINDOW_SECONDS)
             await disturb(world)
             await self.load(world, 3 * WINDOW_SECONDS)
@@ -526,8 +527,8 @@
 
     def test_nodes_that_start_anew(self):
         async def disturb(world):
-            for number, life in list(enumerate(world._lives))[:3]:
-                life.cancel()
+            for number, scope in list(enumerate(world._node_scopes))[:3]:
+                scope.cancel()
                 name = f"n{number}"
                 world.nodes[number] = world.start_node(
                     world.nursery, name, world._zone(number), f"127.0.0.1:{3 + number}"
@@ -539,8 +540,8 @@
 
     def test_a_fleet_that_shrinks(self):
         async def disturb(world):
-            for life in world._lives[3:]:
-                life.cancel()
+            for scope in world._node_scopes[3:]:
+                scope.cancel()
                 await self.load(world, 1.0, nodes=(0, 1, 2))
             del world.nodes[3:]
 
--- a/tests/services/exchanges/test_instance_lives.py
+++ b/tests/services/exchanges/test_instance_lives.py
@@ -1,6 +1,6 @@
-"""An instance that starts again under its id holds nothing of before, and is taken as such.
+"""An instance that restarts under its id is a new incarnation without its earlier state.
 
-What is said of an earlier life changes nothing of the later one, however late it comes.
+Reports of an earlier incarnation don't affect the later one, however late they arrive.
 """
 
 import unittest
@@ -20,7 +20,7 @@
 from tests.services.exchanges.exchange_world import BOUNDS, MODEL, ExchangeWorld
 
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
-HEARD_SECONDS = 1.0
+REPORTED_SECONDS = 1.0
 BOUND_SECONDS = BOUNDS.weights_ms / 1_000
 LEASE_SECONDS = BOUNDS.lease_ms / 1_000
 ORDER_DELAY_SECONDS = 3.0
@@ -54,7 +54,7 @@
             self.assertEqual(await self.read_tokens(world), PROMPT_TOKENS)
             self.assertLess(await self.read_tokens(world), PROMPT_TOKENS)
             world.restart("e0", SECOND)
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             self.assertEqual(await self.read_tokens(world), PROMPT_TOKENS)
 
         self.run_world(script)
@@ -65,7 +65,7 @@
             await trio.sleep(BOUND_SECONDS)
             self.assertEqual(self.views(world)[0].versions, {MODEL: 2})
             world.restart("e0", SECOND, versions={MODEL: 1})
-            await trio.sleep(HEARD_SECONDS / 2)
+            await trio.sleep(REPORTED_SECONDS / 2)
             self.assertEqual(self.views(world)[0].versions, {MODEL: 1})
 
         self.run_world(script)
@@ -79,7 +79,7 @@
             view.set_others(InstanceLoad(view.life, 9, 9_000), trio.current_time())
             self.assertFalse(view.is_usable(trio.current_time()))
             world.restart("e0", SECOND)
-            await trio.sleep(HEARD_SECONDS / 2)
+            await trio.sleep(REPORTED_SECONDS / 2)
             again = self.views(world)[0]
             now = trio.current_time()
             self.assertTrue(again.is_usable(now))
@@ -106,7 +106,7 @@
 
         self.run_world(script, service="plain")
 
-    def test_a_retry_does_not_take_the_second_life_for_another_instance(self):
+    def test_a_retry_does_not_take_the_start_second_for_another_instance(self):
         async def script(world):
             server = world.instances.servers["e0"]
             server.work_seconds = 0.5
@@ -127,12 +127,12 @@
             await self.read_tokens(world)
             born = world.listed["e0"]
             world.publish(InstanceListed(msgspec.structs.replace(born, born_ms=0, slots=9)))
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             view = self.views(world)[0]
             self.assertEqual(view.instance.life, InstanceLife("e0", FIRST))
             self.assertEqual(view.instance.slots, 9)
             world.publish(InstanceListed(born))
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             self.assertLess(await self.read_tokens(world), PROMPT_TOKENS)
 
         self.run_world(script)
@@ -141,7 +141,7 @@
         async def script(world):
             await self.read_tokens(world)
             world.restart("e0", FIRST - 5_000)
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             self.assertEqual(self.views(world)[0].instance.born_ms, FIRST - 5_000)
             self.assertEqual(await self.read_tokens(world), PROMPT_TOKENS)
 
@@ -149,16 +149,16 @@
 
 
 class LateWordTest(InstanceLivesCase):
-    async def second_life(self, world):
-        """Start the second life, and return the text form of the first."""
+    async def start_second(self, world):
+        """Start the second incarnation, and return the text form of the first."""
         first = self.views(world)[0].life
         world.restart("e0", SECOND)
-        await trio.sleep(HEARD_SECONDS)
+        await trio.sleep(REPORTED_SECONDS)
         return first
 
     def test_what_other_nodes_tell_of_the_earlier_life(self):
         async def script(world):
-            first = await self.second_life(world)
+            first = await self.start_second(world)
             sharing = world.nodes[0].sharing
             segments = SegmentNews(first, (SegmentKey(7, 800),))
             sharing.take_news("n1", (SentPrompt(segments, 9_000),), (LoadingEngine(first, 900),))
@@ -178,7 +178,7 @@
             world.nursery.start_soon(world.request, "stream")
             await trio.sleep(0.5)
             world.restart("e0", SECOND, versions={MODEL: 1})
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             earlier.learn_version(MODEL, 7)
             self.assertEqual(self.views(world)[0].versions, {MODEL: 1})
             self.assertEqual(self.views(world)[0].active, 0)
@@ -188,7 +188,7 @@
     def test_a_report_of_another_life(self):
         async def script(world):
             server = world.restart("e0", SECOND, versions={MODEL: 1})
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             server.reported_born_ms = FIRST
             server.versions = {MODEL: 5}
             world.name_weights(2)
@@ -203,10 +203,10 @@
             address = world.listed["e0"].address
             world.cache_events.events[address] = []
             world.restart("e0", SECOND)
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             world.cache_events.born_ms[address] = FIRST
             world.cache_events.add(address, CacheEvent("1.", "a1", SHARED_TOKENS, MODEL))
-            await trio.sleep(2 * HEARD_SECONDS)
+            await trio.sleep(2 * REPORTED_SECONDS)
             self.assertEqual(await self.read_tokens(world), PROMPT_TOKENS)
             world.cache_events.born_ms[address] = SECOND
             world.cache_events.add(address, CacheEvent("1.", "b9", 16, MODEL))
--- a/tests/services/exchanges/test_instance_notices.py
+++ b/tests/services/exchanges/test_instance_notices.py
@@ -1,14 +1,12 @@
-"""What an instance says of itself in its answers binds the node that reads it.
-
-An instance said in every answer that it was about to leave. The store couldn't be written at that
-time, so its entry went on saying ``ready`` for another twelve seconds, and nodes went by the entry
-alone: one sent it a request 2,080 ms after it had passed on such an answer, four more up to 5.9 s
-after it, and the instance ended under one of them. A second instance was overloaded, refused what
-came and asked for three seconds of rest with each refusal. A node counted that as one failure among
-others: it sent five more requests within the next second, all of them refused, while two other
-instances of the service were free. Neither word was read anywhere. The logs of that time show a
-request after the word like any other (``exchange_ended``, ``outcome: 200``) and a refusal without
-its wait (``not run, status 503``).
+"""Nodes follow the notices in instances' responses: about to shut down, and back off.
+
+The failures guarded against: an instance announces its shutdown in every response while the store
+can't be written, so its entry says ``ready`` for twelve more seconds. A node that goes by the entry
+alone sends it requests 2.1 to 5.9 s after relaying such a response, and the instance terminates
+under one. An overloaded instance refuses requests and asks for a backoff of three seconds. A node
+that ignores it sends five more requests within a second, all refused, while two other instances are
+free. The logs show the first as an ordinary request (``exchange_ended``, ``outcome: 200``), the
+second as a refusal without its wait (``not run, status 503``).
 """
 
 import unittest
@@ -26,20 +24,20 @@
 
 INSTANCES = ("i1", "i2", "i3")
 REQUEST_SECONDS = 0.03
-"""Between two requests: 33 a second, what the busiest node of the incident had."""
+"""Seconds between two requests: 33 a second, as at the busiest node of the incident."""
 
 DRAIN_SECONDS = BOUNDS.drain_ms / 1_000
-REST_SECONDS = 3.0
-ON_THEIR_WAY_SECONDS = 0.5
-"""Requests that were sent before a refusal was read may still come for so long."""
+BACKOFF_SECONDS = 3.0
+IN_FLIGHT_SECONDS = 0.5
+"""Seconds for which requests that were sent before a refusal was read may still arrive."""
 
-MAX_WITHIN_A_REST = 2
+MAX_WITHIN_BACKOFF = 2
 BUSY_SECONDS = 0.5
-"""Time of a request at an instance that is busy: some twenty times that of an idle one."""
+"""Seconds that a request takes at a busy instance: some twenty times as long as at an idle one."""
 
 
 class RecordedRefusals:
-    """Notes when an instance refuses, by wrapping what it says of itself."""
+    """Records when an instance sends notices, by wrapping its source of them."""
 
     def __init__(self, server):
         self.at = []
@@ -59,7 +57,7 @@
         return world
 
     def make_busy(self, world):
-        """Let the other instances be as slow as in a burst, so that the idle one seems better."""
+        """Make the other instances as slow as in a burst, so that the idle one is preferred."""
         for instance_id in INSTANCES[1:]:
             world.instances.servers[instance_id].work_seconds = BUSY_SECONDS
 
@@ -101,15 +99,15 @@
             server = world.instances.servers["i1"]
             self.make_busy(world)
             await self.load(world, 1.0)
-            server.sheds_for = REST_SECONDS
+            server.sheds_for = BACKOFF_SECONDS
             refusals = RecordedRefusals(server)
-            await self.load(world, 3 * REST_SECONDS)
+            await self.load(world, 3 * BACKOFF_SECONDS)
             self.assertTrue(refusals.at)
             for refused_at in refusals.at:
-                first = refused_at + ON_THEIR_WAY_SECONDS
-                last = refused_at + REST_SECONDS
+                first = refused_at + IN_FLIGHT_SECONDS
+                last = refused_at + BACKOFF_SECONDS
                 within = [at for at in server.arrived_at if first < at < last]
-                self.assertLessEqual(len(within), MAX_WITHIN_A_REST)
+                self.assertLessEqual(len(within), MAX_WITHIN_BACKOFF)
 
         world.run(script)
 
@@ -120,11 +118,11 @@
             server = world.instances.servers["i1"]
             self.make_busy(world)
             await self.load(world, 1.0)
-            server.sheds_for = REST_SECONDS
+            server.sheds_for = BACKOFF_SECONDS
             refusals = RecordedRefusals(server)
             await self.load(world, 0.5)
             self.assertTrue(refusals.at)
-            answers = await self.load(world, REST_SECONDS - 1.0)
+            answers = await self.load(world, BACKOFF_SECONDS - 1.0)
             refused = [answer for answer in answers if answer.error is not None]
             self.assertEqual(refused, [])
 
@@ -132,10 +130,10 @@
 
 
 class LeavingTest(NoticesCase):
-    """What else must hold of an instance that has said that it leaves."""
+    """Further rules for an instance that has announced its shutdown."""
 
-    def tell(self, world, instance_id="i1", node=0):
-        """Let a node have read that an instance leaves."""
+    def announce_leaving(self, world, instance_id="i1", node=0):
+        """Let a node receive the notice that an instance is shutting down."""
         services = world.nodes[node]
         view = services.knowledge.table.get(instance_id)
         services.notices.listener(view)(InstanceNotice(leaving=True))
@@ -145,7 +143,7 @@
 
         async def script(world):
             server = world.instances.servers["i1"]
-            self.tell(world)
+            self.announce_leaving(world)
             ready = world.listed["i1"]
             world.publish(InstanceListed(msgspec.structs.replace(ready, slots=9)))
             await self.load(world, 1.0)
@@ -162,7 +160,7 @@
         world = self.make_world()
 
         async def script(world):
-            self.tell(world)
+            self.announce_leaving(world)
             for instance_id in INSTANCES[1:]:
                 world.publish(InstanceRemoved(instance_id))
             server = world.restart("i1", born_ms=2)
@@ -205,7 +203,7 @@
                 await trio.sleep(0.1)
                 waiting = world.nodes[0].knowledge.table.get("i1").active
                 self.assertGreater(waiting, 0)
-                self.tell(world)
+                self.announce_leaving(world)
             self.assertEqual(server.arrived_at, [])
             self.assertEqual([answer.status for answer in answers], [200] * 6)
 
@@ -216,7 +214,7 @@
 
         async def script(world):
             for instance_id in INSTANCES:
-                self.tell(world, instance_id)
+                self.announce_leaving(world, instance_id)
             told_at = trio.current_time()
             answers = await self.load(world, DRAIN_SECONDS)
             arrived = [
@@ -238,7 +236,7 @@
             world.nodes[0].knowledge.instances.follow_ends(
                 lambda life, _evidence: ended.append(life)
             )
-            self.tell(world)
+            self.announce_leaving(world)
             for instance_id in INSTANCES[:2]:
                 world.publish(InstanceRemoved(instance_id))
             await trio.sleep(3.0)
@@ -253,7 +251,7 @@
             await trio.sleep(1.0)
             for directory in world.directories:
                 directory.down = True
-            self.tell(world)
+            self.announce_leaving(world)
             await trio.sleep(1.5)
             for services in world.nodes:
                 view = services.knowledge.table.get("i1")
@@ -270,7 +268,7 @@
         world = self.make_world()
 
         async def script(world):
-            self.tell(world)
+            self.announce_leaving(world)
             self.assertEqual(len(world.nodes[0].sharing.own_hints().leaving), 1)
             leaving = msgspec.structs.replace(world.listed["i1"], draining=True)
             world.publish(InstanceListed(leaving))
@@ -281,10 +279,10 @@
 
 
 class RestingTest(NoticesCase):
-    """What else must hold of an instance that has asked for rest."""
+    """Further rules for an instance that has asked for a backoff."""
 
-    def ask_for_rest(self, world, seconds, instance_id="i1", node=0):
-        """Let a node have been asked for rest."""
+    def ask_for_backoff(self, world, seconds, instance_id="i1", node=0):
+        """Let a node receive the notice that an instance asks for a backoff."""
         services = world.nodes[node]
         view = services.knowledge.table.get(instance_id)
         services.notices.listener(view)(InstanceNotice(rest_seconds=seconds))
@@ -294,8 +292,8 @@
 
         async def script(world):
             self.make_busy(world)
-            self.ask_for_rest(world, 5.0)
-            self.ask_for_rest(world, 0.5)
+            self.ask_for_backoff(world, 5.0)
+            self.ask_for_backoff(world, 0.5)
             started_at = trio.current_time()
             await self.load(world, 6.0)
             arrived = world.instances.servers["i1"].arrived_at
@@ -309,7 +307,7 @@
 
         async def script(world):
             self.make_busy(world)
-            self.ask_for_rest(world, 3.0)
+            self.ask_for_backoff(world, 3.0)
             await self.load(world, 1.0, node=1)
             self.assertTrue(world.instances.servers["i1"].arrived_at)
 
@@ -319,7 +317,7 @@
         world = self.make_world()
 
         async def script(world):
-            self.ask_for_rest(world, 60.0)
+            self.ask_for_backoff(world, 60.0)
             server = world.restart("i1", born_ms=2)
             await trio.sleep(1.0)
             await self.load(world, 1.0)
@@ -332,7 +330,7 @@
 
         async def script(world):
             for number, instance_id in enumerate(INSTANCES):
-                self.ask_for_rest(world, 2.0 + number, instance_id)
+                self.ask_for_backoff(world, 2.0 + number, instance_id)
             asked_at = trio.current_time()
             answer = await world.request("unsafe")
             self.assertEqual(trio.current_time(), asked_at)
@@ -351,7 +349,7 @@
 
         async def script(world):
             for instance_id in INSTANCES:
-                self.ask_for_rest(world, 0.3, instance_id)
+                self.ask_for_backoff(world, 0.3, instance_id)
             asked_at = trio.current_time()
             answer = await world.request("unsafe")
             self.assertEqual(answer.status, 200)
@@ -365,7 +363,7 @@
 
         async def script(world):
             for instance_id in INSTANCES:
-                self.ask_for_rest(world, 1.0, instance_id)
+                self.ask_for_backoff(world, 1.0, instance_id)
             for server in world.instances.servers.values():
                 server.work_seconds = BUSY_SECONDS
             ended_at = trio.current_time() + 1.0
@@ -396,7 +394,7 @@
         async def script(world):
             await trio.sleep(5.0)
             server = world.instances.servers["e0"]
-            self.ask_for_rest(world, 3.0, "e0")
+            self.ask_for_backoff(world, 3.0, "e0")
             asked_at = trio.current_time()
             before = len(server.arrived_at)
             world.name_weights(2)
--- a/tests/services/exchanges/test_own_pauses.py
+++ b/tests/services/exchanges/test_own_pauses.py
@@ -1,4 +1,4 @@
-"""A node that stood still, or whose clients read slowly, loses nothing and blames nobody for it."""
+"""A paused node, or one with slow clients, loses no data and marks no peer as unresponsive."""
 
 import unittest
 
@@ -15,14 +15,14 @@
     configuration,
 )
 
-WHOLE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(5))
+COMPLETE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(5))
 PAUSE_SECONDS = 2.0
-"""Shorter than the route allows: the requests can still be served."""
+"""In seconds, shorter than the route's timeout: the requests can still be served."""
 SEEDS = range(1, 9)
 
 
 class SlowAnswer(RecordedAnswer):
-    """A client that takes a while for each piece; a piece that is cut short never arrives."""
+    """A client that takes some time for each chunk; a chunk whose sending is cancelled is lost."""
 
     def __init__(self, seconds):
         super().__init__()
@@ -40,7 +40,7 @@
 
 
 class SlowEnd(RecordedAnswer):
-    """A client to which the end of an answer takes a while."""
+    """A client for which finishing a response takes some time."""
 
     async def finish(self):
         await trio.sleep(3.0)
@@ -48,7 +48,7 @@
 
 
 class HandingOverTest(unittest.TestCase):
-    """What was counted as passed on reaches the client, whatever ends the attempt meanwhile."""
+    """Data counted as delivered reaches the client, even if the attempt ends at the same time."""
 
     def run_world(self, script):
         world = ExchangeWorld()
@@ -70,7 +70,7 @@
                 world.add("e1", "llm")
             resumed = [call for call in world.instances.calls if call.resume_after]
             self.assertTrue(resumed, "the watchdog should have ended an attempt")
-            self.assertEqual(answer.body, WHOLE_STREAM)
+            self.assertEqual(answer.body, COMPLETE_STREAM)
             self.assertTrue(answer.finished)
             self.assertEqual(answer.starts, 1)
 
@@ -87,7 +87,7 @@
                     nursery.start_soon(world.request, "stream")
                     await trio.sleep(0.1)
                     world.add("e1", "llm")
-            self.assertEqual((answer.body, answer.finished), (WHOLE_STREAM, True))
+            self.assertEqual((answer.body, answer.finished), (COMPLETE_STREAM, True))
             self.assertEqual(len(world.instances.runs("r")), 1)
             ended = [line for line in lines if line.get("request_id") == "r"]
             self.assertEqual([line["event"] for line in ended], ["exchange_ended"])
@@ -98,9 +98,9 @@
     def test_an_answer_that_is_whole_at_the_deadline_is_not_called_cut(self):
         for name in ("resumable", "unsafe"):
             with self.subTest(name):
-                self.check_whole_at_deadline(name)
+                self.check_complete_at_deadline(name)
 
-    def check_whole_at_deadline(self, name):
+    def check_complete_at_deadline(self, name):
         async def script(world):
             answer = SlowEnd()
             with structlog.testing.capture_logs() as lines:
@@ -129,10 +129,10 @@
 
 
 class OwnPauseTest(unittest.TestCase):
-    """The node itself stands still while instances, store and other nodes go on."""
+    """The node's process pauses while instances, store and other nodes go on."""
 
     def run_paused(self, seed, name="resumable", nodes=1):
-        """Pause in the midst of requests; return their answers and the log."""
+        """Pause the node during requests; return their responses and the log."""
         answers = []
         lines = []
 
@@ -162,7 +162,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 answers, lines = self.run_paused(seed)
-                self.assertEqual([answer.body for answer in answers], [WHOLE_STREAM] * 6)
+                self.assertEqual([answer.body for answer in answers], [COMPLETE_STREAM] * 6)
                 reasons = [line.get("reason") for line in lines if line["number"] == "HS3103"]
                 self.assertEqual(reasons, [])
 
--- a/tests/services/exchanges/test_quarantined_requests.py
+++ b/tests/services/exchanges/test_quarantined_requests.py
@@ -1,4 +1,4 @@
-"""Nodes keep a request that ends instances from them, and nothing else."""
+"""Nodes refuse requests under which instances crash, and no other requests."""
 
 import unittest
 
@@ -24,11 +24,11 @@
 
 FATAL = b"fatal"
 ENGINES = 8
-TOLD_SECONDS = 0.05
-"""Until a datagram has reached all nodes by way of the relays."""
+REPORTED_SECONDS = 0.05
+"""Seconds until a datagram has reached all nodes through the relays."""
 
-KEPT_SECONDS = 2.0
-"""Until what a node has seen is in the store and all nodes have read it."""
+STORED_SECONDS = 2.0
+"""Seconds until a node's observations are in the store and all nodes have read them."""
 
 
 class QuarantinedRequestsCase(unittest.TestCase):
@@ -41,20 +41,20 @@
         return world
 
     def ended(self, world):
-        """Return how many instances have ended."""
+        """Return how many instances have terminated."""
         return sum(server.ended_at is not None for server in world.instances.servers.values())
 
     def unlist_ended(self, world):
-        """Let the entries of ended instances lapse."""
+        """Remove the entries of terminated instances, as when their leases expire."""
         for instance_id, server in world.instances.servers.items():
             if server.ended_at is not None:
                 world.publish(InstanceRemoved(instance_id))
 
-    async def end_instances(self, world, count=ENDS_TO_REFUSE, node=0, name="stream", **options):
-        """Let a request end instances, one after the other, by one node."""
+    async def crash_instances(self, world, count=ENDS_TO_REFUSE, node=0, name="stream", **options):
+        """Let a request crash instances, one after the other, through one node."""
         for _ in range(count):
             await world.request(name, node, body=FATAL, **options)
-        await trio.sleep(TOLD_SECONDS)
+        await trio.sleep(REPORTED_SECONDS)
 
     async def refused(self, world, node=0, name="stream", **options):
         """Return whether a node refuses the fatal request without sending it on."""
@@ -67,7 +67,7 @@
 class RefusalTest(QuarantinedRequestsCase):
     def test_the_refusal_is_immediate_and_says_when_the_request_may_come_again(self):
         async def script(world):
-            await self.end_instances(world)
+            await self.crash_instances(world)
             started_at = trio.current_time()
             answer = await world.request("stream", body=FATAL)
             self.assertEqual(trio.current_time(), started_at)
@@ -91,8 +91,8 @@
 
     def test_the_last_end_is_known_before_the_request_goes_to_another_instance(self):
         async def script(world):
-            await self.end_instances(world, 2, name="resumable")
-            await self.end_instances(world, 1, name="resumable")
+            await self.crash_instances(world, 2, name="resumable")
+            await self.crash_instances(world, 1, name="resumable")
             self.assertEqual(self.ended(world), ENDS_TO_REFUSE)
 
         self.run_world(script)
@@ -103,7 +103,7 @@
                 answer = await world.request("unsafe2", body=FATAL)
                 self.assertEqual(answer.error.code, ErrorCode.EXECUTION_UNKNOWN)
                 self.assertIs(answer.error.execution, Execution.UNKNOWN)
-            await trio.sleep(TOLD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             self.assertEqual(self.ended(world), ENDS_TO_REFUSE)
             self.assertTrue(await self.refused(world, name="unsafe2"))
 
@@ -111,21 +111,21 @@
 
     def test_it_may_run_again_some_time_after_the_last_end(self):
         async def script(world):
-            await self.end_instances(world)
+            await self.crash_instances(world)
             self.assertTrue(await self.refused(world, node=2))
             self.unlist_ended(world)
             await trio.sleep(MEMORY_SECONDS / 2)
             self.assertFalse(await self.refused(world, node=2))
-            await trio.sleep(TOLD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             for node in range(3):
                 self.assertTrue(await self.refused(world, node=node))
             self.assertEqual(self.ended(world), ENDS_TO_REFUSE + MAX_TRIALS)
-            await trio.sleep(MEMORY_SECONDS / 2 - KEPT_SECONDS)
+            await trio.sleep(MEMORY_SECONDS / 2 - STORED_SECONDS)
             for node in range(3):
                 self.assertTrue(await self.refused(world, node=node))
-            await trio.sleep(MEMORY_SECONDS + KEPT_SECONDS)
+            await trio.sleep(MEMORY_SECONDS + STORED_SECONDS)
             self.unlist_ended(world)
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             world.instances.fatal_bodies.clear()
             for node in range(3):
                 self.assertEqual((await world.request("stream", node, body=FATAL)).status, 200)
@@ -136,7 +136,7 @@
 class TrialTest(QuarantinedRequestsCase):
     def test_a_client_that_leaves_the_try_does_not_have_the_request_refused_for_good(self):
         async def script(world):
-            await self.end_instances(world)
+            await self.crash_instances(world)
             self.unlist_ended(world)
             world.instances.fatal_bodies.clear()
             for server in world.instances.servers.values():
@@ -156,7 +156,7 @@
 class OtherRequestsTest(QuarantinedRequestsCase):
     def test_other_requests_and_other_callers_are_served(self):
         async def script(world):
-            await self.end_instances(world)
+            await self.crash_instances(world)
             self.assertTrue(await self.refused(world))
             self.assertEqual((await world.request("stream", body=b"other")).status, 200)
             world.instances.fatal_bodies.clear()
@@ -177,7 +177,7 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(repeat_honest)
-                await self.end_instances(world, 6, name="unsafe")
+                await self.crash_instances(world, 6, name="unsafe")
                 self.assertTrue(await self.refused(world, name="unsafe"))
                 await trio.sleep(1.0)
                 nursery.cancel_scope.cancel()
@@ -245,8 +245,8 @@
 
 
 class EvidenceTest(QuarantinedRequestsCase):
-    async def leave_waiting(self, world, server):
-        """Let a request wait at a silent instance until its client leaves."""
+    async def disconnect_waiting(self, world, server):
+        """Let a request wait at an unresponsive instance until its client disconnects."""
         server.behaviour = Behaviour.SILENT
         others = [other for other in world.instances.servers.values() if other is not server]
         for other in others:
@@ -259,10 +259,10 @@
     def test_a_silent_instance_whose_entry_lapses_has_ended_under_what_it_left_unanswered(self):
         async def script(world):
             server = world.instances.servers["i0"]
-            await self.leave_waiting(world, server)
+            await self.disconnect_waiting(world, server)
             self.assertTrue(world.nodes[0].quarantine.is_idle)
             world.publish(InstanceRemoved("i0"))
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             self.assertFalse(world.nodes[0].quarantine.is_idle)
 
         self.run_world(script, service="plain")
@@ -270,10 +270,10 @@
     def test_an_instance_that_starts_again_under_its_id_has_ended(self):
         async def script(world):
             server = world.instances.servers["i0"]
-            await self.leave_waiting(world, server)
+            await self.disconnect_waiting(world, server)
             again = msgspec.structs.replace(server.instance, born_ms=1_700_000_000_000)
             world.publish(InstanceListed(again))
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             self.assertFalse(world.nodes[0].quarantine.is_idle)
 
         self.run_world(script, service="plain")
@@ -281,11 +281,11 @@
     def test_an_instance_that_said_it_leaves_has_not_ended_under_a_request(self):
         async def script(world):
             server = world.instances.servers["i0"]
-            await self.leave_waiting(world, server)
+            await self.disconnect_waiting(world, server)
             world.relist(msgspec.structs.replace(server.instance, draining=True))
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             world.publish(InstanceRemoved("i0"))
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             self.assertTrue(world.nodes[0].quarantine.is_idle)
 
         self.run_world(script, service="plain")
@@ -295,28 +295,28 @@
             for number in range(1, ENGINES):
                 world.publish(InstanceRemoved(f"i{number}"))
             await trio.sleep(1.0)
-            for life in range(1, ENDS_TO_REFUSE + 1):
-                born = msgspec.structs.replace(world.listed["i0"], born_ms=life)
+            for incarnation in range(1, ENDS_TO_REFUSE + 1):
+                born = msgspec.structs.replace(world.listed["i0"], born_ms=incarnation)
                 world.instances.add(born)
                 world.publish(InstanceListed(born))
-                await trio.sleep(KEPT_SECONDS)
+                await trio.sleep(STORED_SECONDS)
                 await world.request("unsafe", body=FATAL)
-            await trio.sleep(TOLD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
             self.assertTrue(await self.refused(world, name="unsafe"))
 
         self.run_world(script, service="plain")
 
 
 class SharingTest(QuarantinedRequestsCase):
-    async def spread_ends(self, world):
-        """Let the request end instances, each by another node."""
+    async def spread_crashes(self, world):
+        """Let the request crash instances, each through another node."""
         for node in range(ENDS_TO_REFUSE):
             await world.request("stream", node, body=FATAL)
-            await trio.sleep(TOLD_SECONDS)
+            await trio.sleep(REPORTED_SECONDS)
 
     def test_ends_that_different_nodes_see_add_up_at_all_nodes(self):
         async def script(world):
-            await self.spread_ends(world)
+            await self.spread_crashes(world)
             for node in range(len(world.nodes)):
                 self.assertTrue(await self.refused(world, node))
             self.assertEqual(self.ended(world), ENDS_TO_REFUSE)
@@ -329,7 +329,7 @@
             for instance in list(world.listed.values())[1:]:
                 world.publish(InstanceListed(msgspec.structs.replace(instance, zone="z9")))
             await trio.sleep(1.0)
-            await self.end_instances(world, 1, name="unsafe")
+            await self.crash_instances(world, 1, name="unsafe")
             self.assertIsNotNone(near.ended_at)
             world.instances.calls.clear()
             for number in range(30):
@@ -345,7 +345,7 @@
             for directory in world.directories:
                 directory.down = True
             world.shared.order_faults(FaultOrder(outage=True))
-            await self.spread_ends(world)
+            await self.spread_crashes(world)
             for node in range(len(world.nodes)):
                 self.assertTrue(await self.refused(world, node))
 
@@ -355,10 +355,10 @@
         async def script(world):
             await world.request("stream", 0, body=FATAL)
             world.network.loss = 1.0
-            await self.end_instances(world, ENDS_TO_REFUSE - 1)
-            await trio.sleep(KEPT_SECONDS + 2.0)
+            await self.crash_instances(world, ENDS_TO_REFUSE - 1)
+            await trio.sleep(STORED_SECONDS + 2.0)
             world.network.loss = 0.0
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             for node in range(len(world.nodes)):
                 self.assertTrue(await self.refused(world, node))
 
@@ -367,35 +367,35 @@
     def test_what_is_seen_while_the_store_is_away_is_kept_once_it_is_back(self):
         async def script(world):
             world.shared.order_faults(FaultOrder(outage=True))
-            await self.end_instances(world)
+            await self.crash_instances(world)
             await trio.sleep(3.0)
             world.shared.order_faults(FaultOrder(outage=False))
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             world.kill_nodes()
             world.start_node(world.nursery, "n0")
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             self.assertTrue(await self.refused(world))
 
         self.run_world(script)
 
     def test_one_end_is_not_written_to_the_store(self):
         async def script(world):
-            await self.end_instances(world, 1)
-            await trio.sleep(KEPT_SECONDS + 3.0)
-            self.assertEqual(await self.kept(world), [])
+            await self.crash_instances(world, 1)
+            await trio.sleep(STORED_SECONDS + 3.0)
+            self.assertEqual(await self.stored_requests(world), [])
 
         self.run_world(script)
 
-    async def kept(self, world):
+    async def stored_requests(self, world):
         """Return the requests that are in the store."""
         store = InMemoryStore(world.shared)
         return await store.list(QUARANTINE_PREFIX)
 
     def test_operators_find_a_request_in_the_store_and_allow_it(self):
         async def script(world):
-            await self.end_instances(world)
-            await trio.sleep(KEPT_SECONDS)
-            [value] = await self.kept(world)
+            await self.crash_instances(world)
+            await trio.sleep(STORED_SECONDS)
+            [value] = await self.stored_requests(world)
             stored = msgspec.json.decode(value.value, type=StoredRequest)
             self.assertEqual((stored.tenant, stored.route), ("t1", "stream"))
             self.assertEqual(len(stored.crashes), ENDS_TO_REFUSE)
@@ -403,7 +403,7 @@
                 value.key, value.version, b'{"lifted": true}'
             )
             self.unlist_ended(world)
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             world.instances.fatal_bodies.clear()
             for node in range(len(world.nodes)):
                 self.assertEqual((await world.request("stream", node, body=FATAL)).status, 200)
@@ -412,28 +412,28 @@
 
     def test_a_request_that_was_allowed_and_ends_instances_again_is_refused_again(self):
         async def script(world):
-            await self.end_instances(world)
-            await trio.sleep(KEPT_SECONDS)
-            [value] = await self.kept(world)
+            await self.crash_instances(world)
+            await trio.sleep(STORED_SECONDS)
+            [value] = await self.stored_requests(world)
             await InMemoryStore(world.shared).compare_and_swap(
                 value.key, value.version, b'{"lifted": true}'
             )
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             self.assertFalse(await self.refused(world))
-            await self.end_instances(world, ENDS_TO_REFUSE - 1)
+            await self.crash_instances(world, ENDS_TO_REFUSE - 1)
             self.assertTrue(await self.refused(world))
 
         self.run_world(script)
 
     def test_a_key_that_cannot_be_read_changes_nothing(self):
         async def script(world):
-            await self.end_instances(world)
-            await trio.sleep(KEPT_SECONDS)
-            [value] = await self.kept(world)
+            await self.crash_instances(world)
+            await trio.sleep(STORED_SECONDS)
+            [value] = await self.stored_requests(world)
             await InMemoryStore(world.shared).compare_and_swap(
                 value.key, value.version, b"\xff no document"
             )
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORED_SECONDS)
             self.assertTrue(await self.refused(world, node=1))
 
         self.run_world(script)
@@ -445,7 +445,7 @@
             with structlog.testing.capture_logs() as lines:
                 for node in range(ENDS_TO_REFUSE):
                     await world.request("stream", node, body=FATAL)
-                    await trio.sleep(TOLD_SECONDS)
+                    await trio.sleep(REPORTED_SECONDS)
                 await world.request("stream", body=FATAL, request_id="last")
             refused = [line for line in lines if line.get("request_id") == "last"][-1]
             self.assertEqual(refused["outcome"], "request_quarantined:not_run")
--- a/tests/services/exchanges/test_quotas.py
+++ b/tests/services/exchanges/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas over several nodes: refusals, what counts, what is given back."""
+"""Tenants' quotas over several nodes: refusals, counted requests, requests that have not run."""
 
 import unittest
 
@@ -23,7 +23,8 @@
 ALLOWED = (PER_SECOND * WINDOW + QUOTA.burst) * (1 + BOUNDS.quota_overshoot)
 SETTLED_SECONDS = 2.5
 AGED_SECONDS = WINDOW + 1.0
-"""A younger node counts something for the part of the window before it started."""
+"""Seconds until nodes are older than the window; a younger one adds an estimate for the time before
+its start."""
 
 
 class QuotasTest(unittest.TestCase):
--- a/tests/services/exchanges/test_repeated_crashes.py
+++ b/tests/services/exchanges/test_repeated_crashes.py
@@ -1,13 +1,11 @@
-"""A request that ends the instances which begin to work on it is kept from them by all nodes.
+"""All nodes refuse a request that crashes the instances which begin to process it.
 
-One request of a tenant ended each engine that began it, some 100 ms after its arrival and before
-its first event. Its client sent it again and again, each time under a new request id and at any
-node. Every node took each repeat for a new request, since it knew of a request's own attempts only;
-so the same request ended ten engines, and 54 other answers broke off with them.
-
-Three engines had ended under it at 11.42, 11.72 and 12.26 s. Four more were sent it later than
-three seconds after that, and ended at 21.92, 22.29, 22.82 and 23.58 s. Each node logged the same as
-at the first time, for one attempt of a request that it had never seen:
+The failure guarded against: a request crashes each engine some 100 ms after its arrival and before
+its first event. Its client repeats it under new request ids at any node. A node that only tracks
+the attempts of one request id takes each repeat for a new request: one such request crashed ten
+engines, which interrupted 54 other responses. Three engines crashed at 11.42, 11.72 and 12.26 s,
+and four more at 21.92, 22.29, 22.82 and 23.58 s, long after the bound of three seconds. For each
+crash the log shows the single attempt of a request that its node had not seen before:
 
     exchange_attempt_failed  reason="the answer broke off"  next_step=answer_unknown
     exchange_ended  attempts=1  events=0  outcome=execution_unknown:unknown
@@ -24,16 +22,16 @@
 ZONES = 3
 ENGINES = 9
 FATAL = b"fatal"
-ENDS_BEFORE_BOUND = 3
+CRASHES_BEFORE_BOUND = 3
 BOUND_SECONDS = 3.0
-"""After the third end, until when all nodes that are in touch know of it."""
+"""Seconds after the third crash within which all connected nodes have its report."""
 
 MAX_LATE_RETRIES = 3
-"""Most sends to instances later than that."""
+"""Most requests sent to instances after that bound."""
 
-LAPSE_SECONDS = 2.6
+EXPIRY_SECONDS = 2.6
 RESTART_SECONDS = 3.3
-"""From an engine's end to the lapse of its entry, and to the start of the next one: as observed."""
+"""Seconds from an engine's crash to the expiry of its entry, and to the start of the next."""
 
 REPEAT_SECONDS = 0.4
 WATCHED_SECONDS = 20.0
@@ -52,15 +50,15 @@
         return world
 
     async def replace(self, world, server):
-        """Let an ended engine's entry lapse, and start another one."""
+        """Let a crashed engine's entry expire, and start another one."""
         ended_id = server.instance.instance_id
-        await trio.sleep(LAPSE_SECONDS)
+        await trio.sleep(EXPIRY_SECONDS)
         world.publish(InstanceRemoved(ended_id))
-        await trio.sleep(RESTART_SECONDS - LAPSE_SECONDS)
+        await trio.sleep(RESTART_SECONDS - EXPIRY_SECONDS)
         world.add(f"{ended_id}+", "llm")
 
     async def repeat(self, world, seconds, at_once=1):
-        """Send the fatal request again and again, at one node after the other."""
+        """Send the fatal request repeatedly, to one node after the other."""
         until = trio.current_time() + seconds
         turn = 0
         while trio.current_time() < until:
@@ -74,17 +72,17 @@
         """Send the fatal request once."""
         await world.request("stream", number, patience=5.0, body=FATAL)
 
-    def ends(self, world):
-        """Return when engines ended, in order."""
+    def crashes(self, world):
+        """Return when engines crashed, in order."""
         ended = (server.ended_at for server in world.instances.servers.values())
         return sorted(at for at in ended if at is not None)
 
     def late_runs(self, world):
-        """Return when engines began the fatal request later than the bound after its third end."""
-        ends = self.ends(world)
-        if len(ends) < ENDS_BEFORE_BOUND:
+        """Return when engines began the fatal request after the bound from its third crash."""
+        crashes = self.crashes(world)
+        if len(crashes) < CRASHES_BEFORE_BOUND:
             return []
-        from_then = ends[ENDS_BEFORE_BOUND - 1] + BOUND_SECONDS
+        from_then = crashes[CRASHES_BEFORE_BOUND - 1] + BOUND_SECONDS
         runs = (run.at for server in world.instances.servers.values() for run in server.runs)
         return sorted(at for at in runs if at > from_then)
 
@@ -95,7 +93,7 @@
             await self.repeat(world, WATCHED_SECONDS)
 
         world = self.run_world(script)
-        self.assertGreaterEqual(len(self.ends(world)), ENDS_BEFORE_BOUND)
+        self.assertGreaterEqual(len(self.crashes(world)), CRASHES_BEFORE_BOUND)
         self.assertLessEqual(len(self.late_runs(world)), MAX_LATE_RETRIES)
 
     def test_nodes_stop_sending_it_when_it_comes_several_times_at_once(self):
@@ -103,7 +101,7 @@
             await self.repeat(world, WATCHED_SECONDS, at_once=3)
 
         world = self.run_world(script)
-        self.assertGreaterEqual(len(self.ends(world)), ENDS_BEFORE_BOUND)
+        self.assertGreaterEqual(len(self.crashes(world)), CRASHES_BEFORE_BOUND)
         self.assertLessEqual(len(self.late_runs(world)), MAX_LATE_RETRIES)
 
     def test_nodes_that_start_later_know_it_from_the_store(self):
@@ -116,5 +114,5 @@
             await self.repeat(world, WATCHED_SECONDS)
 
         world = self.run_world(script)
-        self.assertGreaterEqual(len(self.ends(world)), ENDS_BEFORE_BOUND)
+        self.assertGreaterEqual(len(self.crashes(world)), CRASHES_BEFORE_BOUND)
         self.assertLessEqual(len(self.late_runs(world)), MAX_LATE_RETRIES)
--- a/tests/services/exchanges/test_retry_advisor.py
+++ b/tests/services/exchanges/test_retry_advisor.py
@@ -1,4 +1,4 @@
-"""What refused clients are told, on nodes over emulated ports."""
+"""Retry advice for refused clients, on nodes with emulated ports."""
 
 import unittest
 
@@ -18,15 +18,15 @@
         world.run(script)
 
     async def refused(self, world, route="unsafe", node=0):
-        """Return a refused request's wait, and what the log says of it."""
+        """Return a refused request's error, and the logged reason of its retry advice."""
         with structlog.testing.capture_logs() as lines:
             answer = await world.request(route, node=node)
         self.assertTrue(answer.promised_not_run)
-        told = next(line for line in lines if line["number"] in ("HS3101", "HS3102"))
+        logged = next(line for line in lines if line["number"] in ("HS3101", "HS3102"))
         self.assertAlmostEqual(
-            told["retry_after_ms"], 1_000 * answer.error.retry_after_seconds, delta=1
+            logged["retry_after_ms"], 1_000 * answer.error.retry_after_seconds, delta=1
         )
-        return answer.error, told["retry_reason"]
+        return answer.error, logged["retry_reason"]
 
     def test_a_node_that_stops_sends_clients_elsewhere_at_once(self):
         async def script(world):
--- a/tests/services/exchanges/test_silent_connections.py
+++ b/tests/services/exchanges/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent for good, while new ones work: nobody waits long for them."""
+"""Connections that stop delivering data while new ones work are abandoned within a bound."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from tests.services.exchanges.exchange_world import ExchangeWorld, configuration
 
 CONTACT_SECONDS = 3.0
-"""On the users' deployments bounds hold again so long after connections were reset."""
+"""Seconds after a reset of connections from which bounds hold again on deployments."""
 
 BOUND_SECONDS = 2.0
 
--- a/tests/services/exchanges/test_store_watch.py
+++ b/tests/services/exchanges/test_store_watch.py
@@ -1,4 +1,4 @@
-"""A cache store that asks its readers to wait is left alone for so long."""
+"""A cache store that asks its readers to back off isn't read during that time."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 from tests.services.exchanges.exchange_world import ExchangeWorld
 
 STORE = "10.9.9.9:80"
-REST_SECONDS = 3.0
+BACKOFF_SECONDS = 3.0
 
 
 class StoreWatchTest(unittest.TestCase):
@@ -24,11 +24,11 @@
         world.publish(ConfigurationPublished(configuration))
 
         async def script(world):
-            world.cache_events.notices[STORE] = InstanceNotice(rest_seconds=REST_SECONDS)
+            world.cache_events.notices[STORE] = InstanceNotice(rest_seconds=BACKOFF_SECONDS)
             await trio.sleep(1.0)
             reads = world.cache_events.reads[STORE]
             self.assertGreater(reads, 0)
-            await trio.sleep(REST_SECONDS - 1.0)
+            await trio.sleep(BACKOFF_SECONDS - 1.0)
             self.assertLessEqual(world.cache_events.reads[STORE], reads + 1)
 
         world.run(script)
--- a/tests/services/exchanges/test_suspensions.py
+++ b/tests/services/exchanges/test_suspensions.py
@@ -1,8 +1,8 @@
-"""A machine that was suspended wakes at any await of a node, and nothing it does is out of date.
+"""A node whose machine was suspended at any await never acts on outdated state after it resumes.
 
-The clock jumps by 0.3 to 30 s at a drawn step of a drawn task, as it does for a process whose
-machine was suspended meanwhile: everything that waits is overdue at once, and what operators
-changed at that moment isn't known yet.
+The clock jumps by 0.3 to 30 s at a random step of a random task, as for a process whose machine was
+suspended: all timers are overdue at once, and changes that operators made during the suspension
+have not arrived yet.
 """
 
 import random
@@ -26,17 +26,17 @@
 
 SEEDS = range(1, 13)
 STEPS = 30
-"""Behind a drawn moment, of which one is drawn: they are of many tasks."""
+"""Number of task steps after a random time, among which the step of the jump is drawn."""
 
 SHORTEST, LONGEST = 0.3, 30.0
 REVOCATION_SECONDS = BOUNDS.revocation_ms / 1_000
 LEASE_SECONDS = BOUNDS.lease_ms / 1_000
-WAKING_SECONDS = 4.0
-"""After the jump, while requests go on."""
+RESUMED_SECONDS = 4.0
+"""Seconds after the jump during which requests are still sent."""
 
 
 class Suspension(trio.abc.Instrument):
-    """Lets the clock jump before a drawn step within a time from now on."""
+    """Lets the clock jump before a random step, at a random time within a window from now on."""
 
     def __init__(self, seed, window_seconds, on_suspended):
         generator = random.Random(seed)
@@ -44,16 +44,16 @@
         self.left = generator.randrange(1, STEPS)
         self.seconds = generator.uniform(SHORTEST, LONGEST)
         self.on_suspended = on_suspended
-        self.woke_at = None
+        self.resumed_at = None
 
     def before_task_step(self, task):
-        if self.woke_at is not None or trio.current_time() < self.at:
+        if self.resumed_at is not None or trio.current_time() < self.at:
             return
         self.left -= 1
         if self.left == 0:
             self.on_suspended()
             trio.lowlevel.current_clock().jump(self.seconds)
-            self.woke_at = trio.current_time()
+            self.resumed_at = trio.current_time()
 
 
 class SuspensionsTest(unittest.TestCase):
@@ -67,16 +67,16 @@
             suspension = Suspension(seed, window_seconds, lambda: on_suspended(world))
             trio.lowlevel.add_instrument(suspension)
             await script(world, suspension)
-            self.assertIsNotNone(suspension.woke_at)
+            self.assertIsNotNone(suspension.resumed_at)
 
         world.run(suspended)
         return world
 
     async def load(self, world, suspension, names, sent):
-        """Send requests until some time after the jump; note when each was sent."""
+        """Send requests until some time after the jump; record when each was sent."""
         number = 0
-        while suspension.woke_at is None or (
-            trio.current_time() < suspension.woke_at + WAKING_SECONDS
+        while suspension.resumed_at is None or (
+            trio.current_time() < suspension.resumed_at + RESUMED_SECONDS
         ):
             number += 1
             request_id = f"load{number}"
@@ -180,8 +180,8 @@
 
                 async def script(world, suspension, published=published, wrong=wrong):
                     world.network.extra_delay_seconds = 0.05
-                    while suspension.woke_at is None or (
-                        trio.current_time() < suspension.woke_at + WAKING_SECONDS
+                    while suspension.resumed_at is None or (
+                        trio.current_time() < suspension.resumed_at + RESUMED_SECONDS
                     ):
                         publish(world)
                         await trio.sleep(0.05)
