--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -161,24 +161,24 @@
         view = self._table.of_life(life)
         return view is not None and not view.instance.draining
 
-    def take_limit_report(self, told: LimitedInstance, node: str) -> None:
+    def take_limit_report(self, report: LimitedInstance, node: str) -> None:
         """Apply another node's report of an incarnation's latest limit.
 
         Args:
-            told: The limit, and when it was announced.
+            report: The limit, and when it was announced.
             node: Name of the reporting node.
         """
         now = trio.current_time()
-        lifted = told.per_second_milli == LIMIT_LIFTED
-        word = LimitWord(None if lifted else told.per_second_milli / MILLI)
-        asked_at = now - told.asked_ms / MILLISECONDS - NODE_MESSAGE_SECONDS
-        times = HeadTimes(asked_at, now - told.heard_ms / MILLISECONDS)
-        view = self._table.of_life(told.life)
-        standing = view.standing if view is not None else self._table.standings.of_life(told.life)
+        lifted = report.per_second_milli == LIMIT_LIFTED
+        announced = LimitWord(None if lifted else report.per_second_milli / MILLI)
+        asked_at = now - report.asked_ms / MILLISECONDS - NODE_MESSAGE_SECONDS
+        times = HeadTimes(asked_at, now - report.heard_ms / MILLISECONDS)
+        view = self._table.of_life(report.life)
+        standing = view.standing if view is not None else self._table.standings.of_life(report.life)
         previous = standing.limit.per_second
-        if standing.take_limit(word, times):
-            self._table.standings.remember(told.life, standing)
-            self._note_limit(told.life, standing, previous, node)
+        if standing.take_limit(announced, times):
+            self._table.standings.remember(report.life, standing)
+            self._note_limit(report.life, standing, previous, node)
 
     def limited(self) -> list[LimitedIncarnation]:
         """Return the listed incarnations that have a limit."""
@@ -196,8 +196,8 @@
             for life, standing in self._limits.items()
             if self._is_worth_reporting(life, standing, now)
         }
-        told = list(self._limits.items())[-MAX_REPORTED_INCARNATIONS:]
-        return tuple(_limit_report(life, standing, now) for life, standing in told)
+        reported = list(self._limits.items())[-MAX_REPORTED_INCARNATIONS:]
+        return tuple(_limit_report(life, standing, now) for life, standing in reported)
 
     def _is_worth_reporting(self, life: str, standing: InstanceStanding, now: float) -> bool:
         """Return whether other nodes may still need the report of a limit or of its end."""
--- a/hopstep/services/exchanges/instances/unknown_words.py
+++ b/hopstep/services/exchanges/instances/unknown_words.py
@@ -26,17 +26,17 @@
         """Set the function that counts each value; it is called with the value's place."""
         self._count = count
 
-    def note(self, word: UnknownWord) -> None:
+    def note(self, value: UnknownWord) -> None:
         """Count one value, and log its name at its first occurrence."""
-        self._count(word.place.value)
-        name = word.name[:MAX_NAME_LENGTH]
-        if (word.place, name) in self._logged or len(self._logged) >= MAX_NAMES:
+        self._count(value.place.value)
+        name = value.name[:MAX_NAME_LENGTH]
+        if (value.place, name) in self._logged or len(self._logged) >= MAX_NAMES:
             return
-        self._logged.add((word.place, name))
+        self._logged.add((value.place, name))
         emit(
             log_events.WORD_UNKNOWN,
-            place=word.place.value,
+            place=value.place.value,
             name=name,
-            source=word.source,
-            status=word.status,
+            source=value.source,
+            status=value.status,
         )
--- a/hopstep/services/exchanges/pause_watch.py
+++ b/hopstep/services/exchanges/pause_watch.py
@@ -25,7 +25,7 @@
 """Fraction by which the time between two checks varies."""
 
 PAUSE_SECONDS = 0.6
-"""A check at least this many seconds after the last one shows a pause, rather than a short load."""
+"""A check at least this many seconds after the last one shows a pause, not a busy loop."""
 
 READING_SECONDS = 0.3
 """Seconds after a pause for reading the data that arrived during it."""
--- a/tests/services/exchanges/test_engine_cache_watch.py
+++ b/tests/services/exchanges/test_engine_cache_watch.py
@@ -91,11 +91,11 @@
         world.cache_events.notices[world.listed["e0"].address] = notice
 
     def test_the_word_of_leaving_counts_with_the_start_of_the_listed_life(self):
-        for born_ms, leaves in ((5, True), (4, False), (0, False)):
-            with self.subTest(born_ms=born_ms):
+        for stated_ms, leaves in ((5, True), (4, False), (0, False)):
+            with self.subTest(stated_ms=stated_ms):
 
-                async def script(world, born_ms=born_ms, leaves=leaves):
-                    world.cache_events.born_ms[world.listed["e0"].address] = born_ms
+                async def script(world, stated_ms=stated_ms, leaves=leaves):
+                    world.cache_events.born_ms[world.listed["e0"].address] = stated_ms
                     self.announce(world, InstanceNotice(leaving=True))
                     await trio.sleep(4.0)
                     view = world.nodes[0].knowledge.table.get("e0")
