--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -141,7 +141,7 @@
             age_ms = round((trio.current_time() - since) * MILLISECONDS)
             self._note_leaving(life, node, age_ms)
 
-    def unlisted_leaving(self) -> list[tuple[str, float]]:
+    def leaving_reports(self) -> list[tuple[str, float]]:
         """Return the latest incarnations to announce a shutdown while their entry says ``ready``.
 
         Changes that are in the directory aren't reported between nodes.
--- a/hopstep/services/exchanges/instances/store_watch.py
+++ b/hopstep/services/exchanges/instances/store_watch.py
@@ -62,7 +62,7 @@
         """Return the position of this node in the changes of each store."""
         return tuple(contents.position for contents in self._contents.values())
 
-    def news_after(self, positions: tuple[ContentsPosition, ...]) -> tuple[ContentsNews, ...]:
+    def updates_after(self, positions: tuple[ContentsPosition, ...]) -> tuple[ContentsNews, ...]:
         """Return the changes after another node's positions."""
         followed = ((self._contents.get(at.address), at) for at in positions)
         return tuple(
@@ -71,7 +71,7 @@
             if contents is not None
         )
 
-    def take(self, updates: tuple[ContentsNews, ...]) -> None:
+    def apply_updates(self, updates: tuple[ContentsNews, ...]) -> None:
         """Apply the changes that the relay reports."""
         for update in updates:
             contents = self._contents.get(update.after.address)
--- a/hopstep/services/exchanges/peers/load_sharing.py
+++ b/hopstep/services/exchanges/peers/load_sharing.py
@@ -286,7 +286,7 @@
         """Return the instances that leave by their own word alone."""
         return tuple(
             LeavingInstance(life, round((now - since) * MILLISECONDS))
-            for life, since in self._notices.unlisted_leaving()
+            for life, since in self._notices.leaving_reports()
         )
 
     def _loading_now(self, now: float) -> tuple[LoadingEngine, ...]:
--- a/hopstep/services/exchanges/peers/relay_answers.py
+++ b/hopstep/services/exchanges/peers/relay_answers.py
@@ -67,7 +67,7 @@
             after=query.revision,
             revision=query.revision,
             age_ms=UNKNOWN_AGE_MS,
-            contents=self._store_watch.news_after(query.contents),
+            contents=self._store_watch.updates_after(query.contents),
             silence_ms=silence_ms(now, knowledge.contact.heard_at),
             after_era=query.era,
             era=query.era,
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -222,7 +222,7 @@
         self._knowledge.node_heard_at = trio.current_time()
         if pending.asks_hints and sender == self._knowledge.relays.relay():
             self._hints.take_answer(sender, answer.hints, pending.sent_at)
-            self._store_watch.take(answer.contents)
+            self._store_watch.apply_updates(answer.contents)
             self._feed, self._position = answer.feed, answer.position
         silence = trio.current_time() - store_heard_at(answer, pending.sent_at)
         self._knowledge.relays.note_store(sender, lost=silence > self._limits.silence)
