--- a/hopstep/services/exchanges/instances/unknown_words.py
+++ b/hopstep/services/exchanges/instances/unknown_words.py
@@ -26,17 +26,17 @@
         """Set the function that counts each value; it is called with the value's place."""
         self._count = count
 
-    def note(self, value: UnknownWord) -> None:
+    def note(self, unrecognized: UnknownWord) -> None:
         """Count one value, and log its name at its first occurrence."""
-        self._count(value.place.value)
-        name = value.name[:MAX_NAME_LENGTH]
-        if (value.place, name) in self._logged or len(self._logged) >= MAX_NAMES:
+        self._count(unrecognized.place.value)
+        name = unrecognized.name[:MAX_NAME_LENGTH]
+        if (unrecognized.place, name) in self._logged or len(self._logged) >= MAX_NAMES:
             return
-        self._logged.add((value.place, name))
+        self._logged.add((unrecognized.place, name))
         emit(
             log_events.WORD_UNKNOWN,
-            place=value.place.value,
+            place=unrecognized.place.value,
             name=name,
-            source=value.source,
-            status=value.status,
+            source=unrecognized.source,
+            status=unrecognized.status,
         )
