--- a/hopstep/exchange_services.py
+++ b/hopstep/exchange_services.py
@@ -121,13 +121,15 @@
         urgent = UrgentBox()
         self.quarantine = Quarantine(settings.name)
         self.knowledge.instances.follow_ends(
-            lambda life, evidence: self.quarantine.note_ended(str(life), evidence)
+            lambda life, evidence: self.quarantine.note_terminated(str(life), evidence)
         )
-        self.quarantine.follow_ends(self._suspend_ended)
+        self.quarantine.subscribe_terminations(self._suspend_ended)
         self.quarantine_records = QuarantineRecords(self.quarantine, ports.store, generator)
         self.knowledge.records.follow(
             QUARANTINE_PREFIX,
-            lambda record: self.quarantine_records.take(record.key, record.value, record.version),
+            lambda record: self.quarantine_records.apply_stored(
+                record.key, record.value, record.version
+            ),
         )
         self.crash_news = CrashNews(self.quarantine, urgent)
         self.metrics = ExchangeMetrics(self.registry)
--- a/hopstep/services/exchanges/peers/news_spreading.py
+++ b/hopstep/services/exchanges/peers/news_spreading.py
@@ -65,7 +65,9 @@
         while True:
             await self._urgent.filled.wait()
             contents = self._urgent.take()
-            crashes = tuple(self._quarantine.told(request) for request in contents.requests)
+            crashes = tuple(
+                self._quarantine.known_crashes(request) for request in contents.requests
+            )
             self._number += 1
             news = UrgentNews(self._number, contents.prompts, contents.loading, crashes)
             relay = self._knowledge.relays.relay()
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -203,7 +203,7 @@
                 self._hints.take_digest(received.sender, message.number, message.hints)
             case UrgentNews():
                 self._sharing.take_news(received.sender, message.prompts, message.loading)
-                self._quarantine.take(message.crashes)
+                self._quarantine.merge_reports(message.crashes)
                 await self._news.pass_on(received.sender, message)
 
     async def _answer(self, asker: str, query: RelayQuery) -> None:
--- a/hopstep/services/exchanges/requests/exchange.py
+++ b/hopstep/services/exchanges/requests/exchange.py
@@ -185,7 +185,7 @@
         """Learn what a refusal tells of an instance; see ``_go_on`` for what is returned."""
         if error.replaced:
             view.replaced = True
-            self._parts.quarantine.note_ended(view.life, EndEvidence.REPLACED)
+            self._parts.quarantine.note_terminated(view.life, EndEvidence.REPLACED)
             return ""
         prompt = self._request.prompt
         if not error.stale_version or prompt is None or view.drop_assumption(prompt.model):
--- a/hopstep/services/exchanges/requests/instance_attempt.py
+++ b/hopstep/services/exchanges/requests/instance_attempt.py
@@ -81,7 +81,7 @@
             self._parts.limits.release(view, self._permit)
             if left_midway and self.proof.sent and not self._relay.finished:
                 look = functools.partial(self._parts.calls.look, view.instance)
-                self._parts.quarantine.note_left(self._name, view.life, look)
+                self._parts.quarantine.note_abandoned(self._name, view.life, look)
         return None
 
     async def _call(self) -> None:
--- a/hopstep/services/exchanges/requests/quarantine_gate.py
+++ b/hopstep/services/exchanges/requests/quarantine_gate.py
@@ -58,12 +58,12 @@
         fingerprint = self.name.fingerprint
         self._outcome.fingerprint = fingerprint.hex()
         reached_none = not self._outcome.attempts
-        if reached_none and quarantine.ends(fingerprint) <= self._admitted_ends:
+        if reached_none and quarantine.terminations(fingerprint) <= self._admitted_ends:
             return 0.0
         seconds = await quarantine.admit(fingerprint)
         if not seconds:
             self._is_trial = self._is_trial or quarantine.refused_seconds(fingerprint) > 0
-            self._admitted_ends = quarantine.ends(fingerprint)
+            self._admitted_ends = quarantine.terminations(fingerprint)
         return seconds
 
     def end(self) -> None:
@@ -73,14 +73,14 @@
 
     def note_whole_answer(self) -> None:
         """Note that it was answered whole."""
-        self._quarantine.note_whole_answer(self.name.fingerprint)
+        self._quarantine.note_complete_response(self.name.fingerprint)
 
     def note_broken(self, view: InstanceView, error: InstanceCallError) -> None:
         """Have the instance looked at that gave no answer, or broke one off."""
         answered = error.execution is Execution.NOT_RUN or error.code in ANSWERED_CODES
         if not answered:
             look = functools.partial(self._calls.look, view.instance)
-            self._quarantine.note_broken(self.name, view.life, look)
+            self._quarantine.note_interrupted(self.name, view.life, look)
 
     async def settle(self, view: InstanceView) -> None:
         """Know whether the instance has ended, before a request that may end others goes on."""
--- a/hopstep/services/quarantine/crash_entries.py
+++ b/hopstep/services/quarantine/crash_entries.py
@@ -47,7 +47,7 @@
             full = len(self._slots) >= SLOTS
             slot = self._slots.popitem(last=False)[1] if full else next(self._free)
         self._slots[fingerprint] = slot
-        known = self._quarantine.told(fingerprint)
+        known = self._quarantine.known_crashes(fingerprint)
         cleared = known.cleared[-MAX_TOLD:]
         told = [
             crash
@@ -63,4 +63,4 @@
             return
         entry = action.entry
         if isinstance(entry.value, CrashEntry) and entry.owner != self._membership.own.name:
-            self._quarantine.take([entry.value.request])
+            self._quarantine.merge_reports([entry.value.request])
--- a/hopstep/services/quarantine/quarantine.py
+++ b/hopstep/services/quarantine/quarantine.py
@@ -103,7 +103,7 @@
         """Tell a listener of what this node sees, so that it can tell others."""
         self._listeners.append(listener)
 
-    def follow_ends(self, listener: EndListener) -> None:
+    def subscribe_terminations(self, listener: EndListener) -> None:
         """Tell a listener of instances that have ended under requests, whoever saw it."""
         self._end_listeners.append(listener)
 
@@ -164,11 +164,11 @@
         """Return when the last end under a request became known; minus infinity for none."""
         return self._ledger.last_end_at(fingerprint)
 
-    def told(self, fingerprint: bytes) -> RequestCrashes:
+    def known_crashes(self, fingerprint: bytes) -> RequestCrashes:
         """Return all that is known of a request."""
         return self._ledger.told(fingerprint)
 
-    def ends(self, fingerprint: bytes) -> int:
+    def terminations(self, fingerprint: bytes) -> int:
         """Return how many instances have ended under a request, as far as it counts."""
         return self._ledger.ends(fingerprint)
 
@@ -185,7 +185,7 @@
         """Return the requests under which more than one instance has ended."""
         return self._ledger.repeated()
 
-    def note_broken(self, request: RequestName, life: str, look: Look | None = None) -> None:
+    def note_interrupted(self, request: RequestName, life: str, look: Look | None = None) -> None:
         """Note a request whose answer broke off, or that was left before it was answered.
 
         Args:
@@ -205,18 +205,18 @@
         elif look is not None and life not in self._looking:
             self._begin_look(life, look)
 
-    def note_left(self, request: RequestName, life: str, look: Look) -> None:
+    def note_abandoned(self, request: RequestName, life: str, look: Look) -> None:
         """Note a request that was left before it was answered whole; see ``note_broken``.
 
         The instance is looked at for the verdict on a try only: clients leave often.
         """
-        self.note_broken(request, life, look if request.fingerprint in self._tried else None)
+        self.note_interrupted(request, life, look if request.fingerprint in self._tried else None)
 
     def note_answer(self, life: str, sent_at: float) -> None:
         """Note an instance's answer to a request that was sent at a time."""
         self._ledger.note_answer(life, sent_at)
 
-    def note_whole_answer(self, fingerprint: bytes) -> None:
+    def note_complete_response(self, fingerprint: bytes) -> None:
         """Take back an end that counts for a request, or excuse one: it was answered whole."""
         if self._tried.pop(fingerprint, None) is not None:
             self._verdicts.forget(fingerprint)
@@ -225,7 +225,7 @@
             self._note_changed(fingerprint, seen_here=True)
             self._review(fingerprint, ANSWERED)
 
-    def note_ended(self, life: str, evidence: EndEvidence) -> None:
+    def note_terminated(self, life: str, evidence: EndEvidence) -> None:
         """Note that an instance has ended.
 
         Args:
@@ -246,7 +246,7 @@
         for end in counted:
             self._note_counted(end)
 
-    def take(self, told: Iterable[RequestCrashes]) -> None:
+    def merge_reports(self, told: Iterable[RequestCrashes]) -> None:
         """Take what other nodes tell, or what is in the store."""
         for request in told:
             before = self._ledger.told(request.fingerprint)
@@ -313,7 +313,7 @@
                     await trio.sleep(LOOK_SPACING_SECONDS)
                 sign = await look()
                 if sign is InstanceSign.ENDED:
-                    self.note_ended(life, EndEvidence.REFUSED)
+                    self.note_terminated(life, EndEvidence.REFUSED)
                 if sign is not InstanceSign.NO_ANSWER:
                     return
         finally:
--- a/hopstep/services/quarantine/reader.py
+++ b/hopstep/services/quarantine/reader.py
@@ -64,7 +64,7 @@
         found = {value.key: value.version for value in listing.values}
         for value in listing.values:
             if self._versions.get(value.key) != value.version:
-                self._records.take(value.key, value.value, value.version)
+                self._records.apply_stored(value.key, value.value, value.version)
         for key in self._versions.keys() - found.keys():
-            self._records.take(key, b"", ABSENT)
+            self._records.apply_stored(key, b"", ABSENT)
         self._versions = found
--- a/hopstep/services/quarantine/records.py
+++ b/hopstep/services/quarantine/records.py
@@ -166,7 +166,7 @@
             reason=reason,
         )
 
-    def take(self, key: str, value: bytes, version: StorePlace) -> None:
+    def apply_stored(self, key: str, value: bytes, version: StorePlace) -> None:
         """Take a key as the store holds it.
 
         Args:
@@ -195,7 +195,7 @@
         if stored.lifted:
             self._quarantine.lift(fingerprint)
         else:
-            self._quarantine.take([told])
+            self._quarantine.merge_reports([told])
 
     async def run(self) -> None:
         """Write what the store lacks, until cancelled."""
@@ -238,9 +238,9 @@
         it: a lease may end early, together with an outage. Others would keep it up for good.
         """
         stored = self._stored.get(fingerprint)
-        known = self._quarantine.told(fingerprint)
+        known = self._quarantine.known_crashes(fingerprint)
         in_store = stored.crashes if stored is not None else RequestCrashes(fingerprint)
-        if stored is None and self._quarantine.ends(fingerprint) < ENDS_TO_KEEP:
+        if stored is None and self._quarantine.terminations(fingerprint) < ENDS_TO_KEEP:
             return None
         lacking = set(known.crashes) - set(in_store.crashes)
         cleared = set(known.cleared) - set(in_store.cleared)
@@ -261,7 +261,7 @@
         """
         key = QUARANTINE_PREFIX + fingerprint.hex()
         stored = self._stored.get(fingerprint)
-        known = self._quarantine.told(fingerprint)
+        known = self._quarantine.known_crashes(fingerprint)
         name = self._quarantine.name(fingerprint)
         trials += stored.trials if stored is not None else 0
         value = StoredRequest(name.caller, name.route, known.crashes, known.cleared, trials=trials)
@@ -276,7 +276,7 @@
             if found is None:
                 self._note_lapsed(fingerprint)
             else:
-                self.take(key, found.value, found.version)
+                self.apply_stored(key, found.value, found.version)
             raise
         self._note_stored(fingerprint, _Stored(version, known, trials))
 
--- a/hopstep/services/requests/engine_ends.py
+++ b/hopstep/services/requests/engine_ends.py
@@ -50,7 +50,7 @@
             raise _quarantined(seconds)
         if self._refused_seconds(request):
             self._trials.add(request.request_id)
-        return self._quarantine.ends(fingerprint)
+        return self._quarantine.terminations(fingerprint)
 
     def note_finished(self, request: InferenceRequest) -> None:
         """Have a run judged that a refused request was allowed, if this was it."""
@@ -69,7 +69,7 @@
             ServiceError: ``REQUEST_QUARANTINED``.
         """
         seconds = self._refused_seconds(request)
-        if seconds and self._quarantine.ends(request.name().fingerprint) > ends:
+        if seconds and self._quarantine.terminations(request.name().fingerprint) > ends:
             raise _quarantined(seconds)
 
     def is_refused(self, request: InferenceRequest) -> bool:
@@ -79,13 +79,13 @@
     def note_broken(self, request: InferenceRequest, attempt: Attempt) -> None:
         """Note an attempt that may have run and gave no whole answer."""
         if attempt.incarnation and attempt.state is not AttemptState.NOT_RUN:
-            self._quarantine.note_broken(request.name(), _life(attempt))
+            self._quarantine.note_interrupted(request.name(), _life(attempt))
 
     def look_again(self, request: InferenceRequest, attempt: Attempt) -> None:
         """Have an engine looked at that has broken an attempt off and doesn't answer."""
         if attempt.incarnation and attempt.state is not AttemptState.NOT_RUN:
             look = functools.partial(self._look, attempt.address, attempt.incarnation)
-            self._quarantine.note_broken(request.name(), _life(attempt), look)
+            self._quarantine.note_interrupted(request.name(), _life(attempt), look)
 
     def note_answer(self, attempt: Attempt) -> None:
         """Note the first answer to an attempt."""
@@ -93,7 +93,7 @@
 
     def note_whole_answer(self, request: InferenceRequest) -> None:
         """Note a request that has run to a whole answer."""
-        self._quarantine.note_whole_answer(request.name().fingerprint)
+        self._quarantine.note_complete_response(request.name().fingerprint)
 
     async def settle(self, request: InferenceRequest, attempt: Attempt) -> None:
         """Wait for the look at an attempt's engine if one more end would have it refused."""
@@ -115,7 +115,7 @@
 
     def _note_restart(self, address: str, incarnation: str) -> None:
         """Note that an incarnation of an engine is over."""
-        self._quarantine.note_ended(f"{address}@{incarnation}", EndEvidence.RESTARTED)
+        self._quarantine.note_terminated(f"{address}@{incarnation}", EndEvidence.RESTARTED)
 
 
 def _life(attempt: Attempt) -> str:
--- a/tests/services/exchanges/test_crash_news.py
+++ b/tests/services/exchanges/test_crash_news.py
@@ -30,7 +30,7 @@
 
     def test_each_end_is_told_three_times(self):
         async def script(quarantine, box):
-            quarantine.note_broken(RequestName(b"fatal"), "i1", has_ended)
+            quarantine.note_interrupted(RequestName(b"fatal"), "i1", has_ended)
             times = []
             with trio.move_on_after(10.0):
                 while True:
@@ -45,7 +45,7 @@
     def test_an_end_under_many_requests_is_told_in_several_messages(self):
         async def script(quarantine, box):
             for number in range(3 * MAX_REQUESTS):
-                quarantine.note_broken(RequestName(bytes([number])), f"i{number}", has_ended)
+                quarantine.note_interrupted(RequestName(bytes([number])), f"i{number}", has_ended)
             await trio.sleep(0.1)
             messages = []
             while box.filled.is_set():
@@ -59,7 +59,7 @@
         async def script(quarantine, box):
             for number in range(3 * MAX_REPEATS):
                 name = RequestName(number.to_bytes(4, "big"))
-                quarantine.note_broken(name, f"i{number}", has_ended)
+                quarantine.note_interrupted(name, f"i{number}", has_ended)
                 if number % 100 == 0:
                     await trio.sleep(0.001)
             await trio.sleep(0.2)
--- a/tests/services/quarantine/test_quarantine.py
+++ b/tests/services/quarantine/test_quarantine.py
@@ -59,7 +59,7 @@
     def test_the_beginning_of_a_refusal_is_logged_once(self):
         async def script(quarantine):
             for number in range(6):
-                quarantine.take([told(FATAL, f"i{number}")])
+                quarantine.merge_reports([told(FATAL, f"i{number}")])
 
         self.assertEqual(self.run_script(script), [("HS3106", FATAL, "")])
 
@@ -67,13 +67,13 @@
         async def script(quarantine):
             for reason in ("answered", "lifted", "told"):
                 lives = [f"{reason}{number}" for number in range(3)]
-                quarantine.take([told(FATAL, *lives)])
+                quarantine.merge_reports([told(FATAL, *lives)])
                 if reason == "answered":
-                    quarantine.note_whole_answer(FATAL)
+                    quarantine.note_complete_response(FATAL)
                 elif reason == "lifted":
                     quarantine.lift(FATAL)
                 else:
-                    quarantine.take([told(FATAL, cleared=lives)])
+                    quarantine.merge_reports([told(FATAL, cleared=lives)])
 
         lines = self.run_script(script)
         self.assertEqual(
@@ -83,8 +83,8 @@
 
     def test_a_request_is_released_when_another_one_explains_its_ends(self):
         async def script(quarantine):
-            quarantine.take([told(OTHER, "j1", "j2", "i4")])
-            quarantine.take([told(FATAL, "i1", "i2", "i3", "i4")])
+            quarantine.merge_reports([told(OTHER, "j1", "j2", "i4")])
+            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", "i4")])
             self.assertEqual(quarantine.refused_seconds(OTHER), 0.0)
 
         self.assertEqual(
@@ -94,7 +94,7 @@
 
     def test_a_refusal_that_runs_out_is_logged(self):
         async def script(quarantine):
-            quarantine.take([told(FATAL, "i1", "i2", "i3")])
+            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3")])
             await trio.sleep(MEMORY_SECONDS + 2 * EXPIRY_SECONDS)
 
         self.assertEqual(
@@ -129,11 +129,11 @@
     async def tell_all(store, quarantines, records, seen_by="n2"):
         """Refuse a request at all nodes, and let them write and read the store."""
         for quarantine in quarantines:
-            quarantine.take([told(FATAL, "i1", "i2", "i3", seen_by=seen_by)])
+            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", seen_by=seen_by)])
         await trio.sleep(2 * STAND_BACK_SECONDS)
         stored = await store.get(QUARANTINE_PREFIX + FATAL.hex())
         for part in records:
-            part.take(stored.key, stored.value, stored.version)
+            part.apply_stored(stored.key, stored.value, stored.version)
 
     def test_one_node_may_try_a_refused_request_once(self):
         async def script(store, quarantines, records):
@@ -151,7 +151,7 @@
             await self.tell_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
-            quarantines[0].note_whole_answer(FATAL)
+            quarantines[0].note_complete_response(FATAL)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
 
         self.run_script(script)
@@ -168,7 +168,7 @@
         for _ in range(2):
             stored = await store.get(QUARANTINE_PREFIX + FATAL.hex())
             for part in records:
-                part.take(stored.key, stored.value, stored.version)
+                part.apply_stored(stored.key, stored.value, stored.version)
             for quarantine in quarantines:
                 admitted += await quarantine.admit(FATAL) == 0.0
         return admitted
@@ -184,16 +184,16 @@
                     copy = empty if lost_whole else store._shared.model.copy()
                     await trio.sleep(TRIAL_AFTER_SECONDS)
                     self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
-                    quarantines[0].note_broken(RequestName(FATAL), "i9")
-                    quarantines[0].note_ended("i9", EndEvidence.REFUSED)
+                    quarantines[0].note_interrupted(RequestName(FATAL), "i9")
+                    quarantines[0].note_terminated("i9", EndEvidence.REFUSED)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS)
                     for part in records:
-                        part.take(*await self.read(store))
+                        part.apply_stored(*await self.read(store))
                     store._shared.restore(copy)
                     for _ in range(3):
                         for part in records:
-                            part.take(*await self.read(store))
+                            part.apply_stored(*await self.read(store))
                         for quarantine in quarantines:
                             self.assertGreater(await quarantine.admit(FATAL), 0.0)
                         await trio.sleep(TRIAL_AFTER_SECONDS)
@@ -214,7 +214,7 @@
     def test_a_try_whose_client_leaves_is_followed_by_another_one(self):
         async def script(store, quarantines, records):
             await self.try_once(store, quarantines, records)
-            quarantines[0].note_broken(RequestName(FATAL), "i9")
+            quarantines[0].note_interrupted(RequestName(FATAL), "i9")
             quarantines[0].end_trial(FATAL)
             self.assertEqual(await self.count_admitted(store, quarantines, records), 0)
             await trio.sleep(VERDICT_SECONDS + 2 * VERDICT_CHECK_SECONDS)
@@ -237,13 +237,13 @@
 
                 async def script(store, quarantines, records, ends_first=ends_first):
                     await self.try_once(store, quarantines, records)
-                    quarantines[0].note_broken(RequestName(FATAL), "i9")
+                    quarantines[0].note_interrupted(RequestName(FATAL), "i9")
                     if ends_first:
-                        quarantines[0].note_ended("i9", EndEvidence.REFUSED)
+                        quarantines[0].note_terminated("i9", EndEvidence.REFUSED)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS / 2)
                     if not ends_first:
-                        quarantines[0].note_ended("i9", EndEvidence.UNLISTED)
+                        quarantines[0].note_terminated("i9", EndEvidence.UNLISTED)
                     await trio.sleep(2 * VERDICT_SECONDS)
                     self.assertEqual(await self.count_admitted(store, quarantines, records), 0)
 
@@ -263,7 +263,7 @@
 
                 async def script(store, quarantines, records, look=look, admitted=admitted):
                     await self.try_once(store, quarantines, records)
-                    quarantines[0].note_left(RequestName(FATAL), "i9", look)
+                    quarantines[0].note_abandoned(RequestName(FATAL), "i9", look)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS + 2 * VERDICT_CHECK_SECONDS)
                     found = await self.count_admitted(store, quarantines, records)
@@ -283,16 +283,16 @@
         async def script(store, quarantines, records):
             lives = [f"i{number}" for number in range(7)]
             for quarantine in quarantines:
-                quarantine.take([told(FATAL, *lives)])
+                quarantine.merge_reports([told(FATAL, *lives)])
             await self.tell_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
-            quarantines[0].note_whole_answer(FATAL)
-            quarantines[1].take([quarantines[0].told(FATAL)])
+            quarantines[0].note_complete_response(FATAL)
+            quarantines[1].merge_reports([quarantines[0].known_crashes(FATAL)])
             for quarantine in quarantines:
                 self.assertEqual(quarantine.refused_seconds(FATAL), 0.0)
-                quarantine.take([told(FATAL, "j1")])
-                quarantine.take([told(FATAL, "j2")])
+                quarantine.merge_reports([told(FATAL, "j1")])
+                quarantine.merge_reports([told(FATAL, "j2")])
                 self.assertGreater(quarantine.refused_seconds(FATAL), 0.0)
 
         self.run_script(script)
@@ -307,9 +307,9 @@
             await self.tell_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
-            quarantines[0].note_broken(RequestName(FATAL), "i4")
-            quarantines[0].note_ended("i4", EndEvidence.REFUSED)
-            self.assertEqual(quarantines[0].ends(FATAL), ENDS_TO_REFUSE)
+            quarantines[0].note_interrupted(RequestName(FATAL), "i4")
+            quarantines[0].note_terminated("i4", EndEvidence.REFUSED)
+            self.assertEqual(quarantines[0].terminations(FATAL), ENDS_TO_REFUSE)
             self.assertGreater(await quarantines[0].admit(FATAL), 0.0)
 
         self.run_script(script)
@@ -328,11 +328,11 @@
     def test_an_end_that_others_excuse_a_moment_later_refuses_nothing(self):
         async def script(store, quarantines, records):
             quarantine = quarantines[0]
-            quarantine.take([told(FATAL, "i1", "i2", "i3")])
+            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3")])
 
             async def excuse():
                 await trio.sleep(HEARING_SECONDS / 2)
-                quarantine.take([told(FATAL, "i1", "i2", "i3", cleared=("i3",))])
+                quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", cleared=("i3",))])
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(excuse)
@@ -343,7 +343,7 @@
 
     def test_the_word_of_others_is_awaited_once_and_for_half_a_second(self):
         async def script(store, quarantines, records):
-            quarantines[0].take([told(FATAL, "i1", "i2", "i3")])
+            quarantines[0].merge_reports([told(FATAL, "i1", "i2", "i3")])
             began_at = trio.current_time()
             for _ in range(2):
                 await quarantines[0].settle(FATAL, "i3")
