--- a/hopstep/services/__init__.py
+++ b/hopstep/services/__init__.py
@@ -1,1 +1,1 @@
-"""What a router does: services that join domain decisions and ports."""
+"""Services of a router: they connect the domain's decisions with the ports."""
--- a/hopstep/services/claim_sweeper.py
+++ b/hopstep/services/claim_sweeper.py
@@ -1,4 +1,4 @@
-"""Forgets claims on idempotency keys that are older than their retention."""
+"""Deletes claims on idempotency keys that are older than their retention."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
 from hopstep.services.claims import decode_claim, fence_claim
 
 DEFAULT_RETENTION_SECONDS = 24 * 3600.0
-"""How long idempotency keys are remembered at least."""
+"""Shortest time for which claims on idempotency keys are kept."""
 
 DEFAULT_INTERVAL_SECONDS = 60.0
-"""Mean time between two pages that one router sweeps."""
+"""Mean time between two pages of claims that one router sweeps."""
 
 PAGE_SIZE = 100
-"""Claims read at once."""
+"""Claims read in one call to the store."""
 
 
 class ClaimSweeper:
-    """Deletes old claims page by page, from a random place on.
+    """Deletes old claims page by page, each page beginning at a random key.
 
     Any number of routers may sweep: a claim is deleted by compare-and-swap and only after its
-    engine promised that its nonce never starts. When the store is down a sweep does nothing.
+    engine has fenced its nonce, so that the attempt never starts. A sweep does nothing while the
+    store is down.
 
     Args:
         store: Key-value store.
-        engines: Engines that claims may name.
-        rng: Chooses where sweeps begin and when.
+        engines: Calls to the engines that claims name.
+        rng: Chooses the keys and the times at which sweeps begin.
         wall_clock: Returns seconds since the epoch.
-        retention_seconds: How long keys are remembered at least.
+        retention_seconds: Shortest time for which claims are kept.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self._retention_seconds = retention_seconds
 
     async def run(self, interval_seconds: float = DEFAULT_INTERVAL_SECONDS) -> None:
-        """Sweep a page from time to time until cancelled."""
+        """Sweep pages at random intervals until cancelled."""
         while True:
             await trio.sleep(interval_seconds * self._rng.uniform(0.5, 1.5))
             first_hash_digits = f"{self._rng.randrange(2**16):04x}"
@@ -65,27 +66,27 @@
                 emit(log_events.CLAIM_SWEEP_FAILED, reason=error.code.value)
 
     async def sweep_page(self, after_key: str = "") -> int:
-        """Forget what is old on the page after a key; return the number of deleted claims.
+        """Delete the old claims on the page after a key; return the number of deleted claims.
 
         Raises:
-            StoreError: When the store is down; what was deleted stays deleted.
+            StoreError: When the store is down; claims deleted before that stay deleted.
         """
         page = await self._store.list(CLAIM_PREFIX, after_key, PAGE_SIZE)
         deleted = 0
         for value in page:
-            deleted += await self._forget(value)
+            deleted += await self._delete_if_old(value)
         if deleted:
             emit(log_events.CLAIMS_SWEPT, deleted=deleted, kept=len(page) - deleted)
         return deleted
 
-    async def _forget(self, value: StoredValue) -> bool:
+    async def _delete_if_old(self, value: StoredValue) -> bool:
         """Delete one claim if it is old and can't start; return whether it was deleted."""
         try:
             held = decode_claim(value)
         except ServiceError:
             return False
         if not self._is_old(held):
-            # Young claims are not fenced: their attempts may be on the way to the engine.
+            # Recent claims aren't fenced: their attempts may still be in transit to the engine.
             return False
         earlier = await fence_claim(self._engines, held.claim)
         if not may_forget(held.claim, earlier, self._wall_clock(), self._retention_seconds):
@@ -94,5 +95,5 @@
         return True
 
     def _is_old(self, held: HeldClaim) -> bool:
-        """Return whether a claim is beyond its retention."""
+        """Return whether a claim is older than the retention."""
         return self._wall_clock() - held.claim.created_at >= self._retention_seconds
--- a/hopstep/services/claims.py
+++ b/hopstep/services/claims.py
@@ -2,7 +2,7 @@
 
 A router claims a key before it dispatches the attempt, and dispatches only under the claimed
 nonce, engine and incarnation (``GenerateRequest.incarnation`` must be set). Requests without
-an idempotency key need no claim: one router knows them and dispatches them once.
+an idempotency key need no claim: only one router has them, and it dispatches them once.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 from hopstep.ports.key_value_store import KeyValueStorePort, StoredValue
 
 DEFAULT_TIMEOUT_SECONDS = 3.0
-"""Longest time for a claim, all calls to the store and the engine together."""
+"""Longest time for a claim, including all calls to the store and the engine."""
 
 FENCE_TIMEOUT_SECONDS = 1.0
-"""Longest wait for an engine that an earlier claim names."""
+"""Longest wait for the engine of an earlier claim to fence its attempt."""
 
 UNAVAILABLE_RETRY_SECONDS = 2.0
-"""When a caller should come back after the store refused or failed."""
+"""``Retry-After`` for a caller whose claim failed because of the store."""
 
 CLAIMED_RETRY_SECONDS = 5.0
-"""When a caller should come back to a key whose attempt may be running."""
+"""``Retry-After`` for a caller whose key has an earlier attempt that may be running."""
 
 EARLIER_OF_STATUS = {
     AttemptStatus.NOT_SEEN: EarlierAttempt.NEVER_STARTS,
@@ -61,12 +61,12 @@
     """Claims idempotency keys for one router.
 
     When the store is down every claim is refused at once as ``CLAIMS_UNAVAILABLE`` and not
-    run; requests without an idempotency key are not concerned.
+    run; requests without an idempotency key are not affected.
 
     Args:
         store: Key-value store.
-        engines: Engines that earlier claims may name.
-        router_name: Name of this router, for people who read claims.
+        engines: Calls to the engines that earlier claims name.
+        router_name: Name of this router, written into claims for operators.
         wall_clock: Returns seconds since the epoch; only ages of claims depend on it.
         timeout_seconds: Longest time for a claim.
     """
@@ -97,16 +97,16 @@
         """Claim a key for one attempt; on return, and only then, it may be dispatched.
 
         Args:
-            tenant_name: Whose key it is.
+            tenant_name: Tenant that the key belongs to.
             idempotency_key: Key as the caller sent it; not empty.
-            nonce: Attempt to dispatch, used for no other claim.
+            nonce: Nonce of the attempt to dispatch, used for no other claim.
             engine_address: Engine that the attempt will be sent to.
             engine_incarnation: Incarnation that the attempt will require; not empty.
-            replaces: Claim of an earlier attempt of this very request, which is proved not
+            replaces: Claim of an earlier attempt of the same request, which is proved not
                 to have run and which this router never sends again.
 
         Raises:
-            ServiceError: ``CLAIMS_UNAVAILABLE`` and not run when the store can't tell;
+            ServiceError: ``CLAIMS_UNAVAILABLE`` and not run when the store gives no usable answer;
                 ``ALREADY_CLAIMED`` with execution unknown when an earlier attempt of the key
                 may have run.
         """
@@ -124,10 +124,10 @@
             raise _unavailable("the store of idempotency claims gave no answer") from error
 
     async def release(self, held: HeldClaim) -> None:
-        """Forget a claim whose attempt is proved not run and is never sent again.
+        """Delete a claim whose attempt is proved not run and is never sent again.
 
-        Best effort: when the store is down the claim stays, and a repeat of the key asks the
-        engine instead.
+        Best effort: when the store is down the claim stays, and the next request with the key
+        has the engine fence the attempt instead.
         """
         try:
             with trio.move_on_after(self._timeout_seconds):
@@ -136,13 +136,13 @@
             emit(log_events.CLAIM_NOT_RELEASED, reason=error.code.value)
 
     async def _claim(self, key: str, own: Claim, expected_version: StorePlace) -> HeldClaim:
-        """Write the claim at the expected version, or take over what is there."""
+        """Write the claim at the expected version, or take over the claim found in its place."""
         held = await self._swap(key, expected_version, own)
         if held is not None:
             return held
         found = await self._read(key)
         if found is None:
-            # A stale answer, or a claim that was released just now: nothing is proved.
+            # A stale answer, or a claim that was released in between: neither proves anything.
             raise _unavailable("the claim on this idempotency key changed meanwhile")
         earlier = EarlierAttempt.UNKNOWN
         if found.claim.nonce != own.nonce:
@@ -156,7 +156,7 @@
                 raise _already_claimed(earlier)
 
     async def _take_over(self, found: HeldClaim, own: Claim) -> HeldClaim:
-        """Replace a claim whose nonce is fenced, unless another router was faster."""
+        """Replace a claim whose nonce is fenced, unless another router replaced it first."""
         held = await self._swap(found.key, found.version, own)
         if held is None:
             raise _already_claimed(EarlierAttempt.UNKNOWN)
@@ -164,7 +164,7 @@
         return held
 
     async def _swap(self, key: str, expected_version: StorePlace, own: Claim) -> HeldClaim | None:
-        """Write the claim; return None when the key is at another version."""
+        """Write the claim; return None when the key has another version."""
         try:
             version = await self._store.compare_and_swap(
                 key, expected_version, msgspec.json.encode(own)
@@ -176,11 +176,11 @@
         return HeldClaim(key, version, own)
 
     async def _read_back(self, key: str, own: Claim) -> HeldClaim:
-        """Return our claim after a lost answer.
+        """Return the router's own claim after the answer to its write was lost.
 
-        Reading our own nonce proves that the write took effect, even when the answer is
-        stale: whoever replaced the claim since has fenced our nonce first. Reading anything
-        else proves nothing, for the write may still arrive; it does no harm then, since its
+        Reading the own nonce proves that the write took effect, even when the answer is
+        stale: a router that has replaced the claim since has fenced the nonce first. Any other
+        value proves nothing, as the write may still arrive; it does no harm then, since its
         nonce is never sent.
         """
         found = await self._read(key)
@@ -198,7 +198,7 @@
     """Return a claim as stored.
 
     Raises:
-        ServiceError: ``ALREADY_CLAIMED`` when it can't be read: somebody claimed the key.
+        ServiceError: ``ALREADY_CLAIMED`` when it can't be decoded: the key is claimed all the same.
     """
     try:
         claim = msgspec.json.decode(value.value, type=Claim)
@@ -209,7 +209,7 @@
 
 
 async def fence_claim(engines: EnginePort, claim: Claim) -> EarlierAttempt:
-    """Ask the engine to keep a claim's attempt from starting; return what that proves."""
+    """Ask the engine to keep a claim's attempt from starting; return what its answer proves."""
     status = None
     try:
         with trio.move_on_after(FENCE_TIMEOUT_SECONDS):
--- a/hopstep/services/cluster.py
+++ b/hopstep/services/cluster.py
@@ -1,7 +1,7 @@
-"""This router among the others: what it shares with them, and which control work is its own.
+"""The values that this router shares with the others, and its part of the control work.
 
 Control work is divided among the live routers by rendezvous hashing over membership, with
-replicas; it moves when membership moves. With the store down all of this goes on.
+replicas; it moves when membership changes. Nothing here depends on the store.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 """Routers that probe an engine and read its cache events."""
 
 READER_REPLICAS = 3
-"""Routers that read the configuration from the store, and as many the machine list."""
+"""Routers that read the configuration from the store; as many others read the machine list."""
 
 QUARANTINE_READER_REPLICAS = 2
-"""Routers that read the kept requests which end engines, for what operators have allowed."""
+"""Routers that read the stored records of requests that crash engines: operators may lift them."""
 
 READERS_KEY = "configuration-readers"
 QUARANTINE_READERS_KEY = "quarantine-readers"
@@ -32,17 +32,17 @@
 
 
 class Cluster:
-    """Divides control work, and carries shared values between membership and services."""
+    """Divides control work, and passes shared values between membership and services."""
 
     def __init__(self, membership: MembershipService, holder: ConfigurationHolder) -> None:
-        """Prepare; ``attach`` follows.
+        """Connect membership and configuration; ``attach`` adds the other services.
 
         Args:
-            membership: Who is alive, and shared entries.
-            holder: Configuration in force; its revision is told to peers.
+            membership: Live routers and shared entries.
+            holder: Configuration in force; its revision is announced to peers.
         """
         self._membership = membership
-        holder.subscribe(self._tell_revision)
+        holder.subscribe(self._announce_revision)
 
     def attach(
         self,
@@ -50,18 +50,18 @@
         leaving: LeavingWatch,
         synchronization: ConfigurationSync,
     ) -> None:
-        """Join the services that share values.
+        """Connect the services that share values.
 
         Args:
-            watch: Takes engines' facts of other routers.
-            leaving: Takes what other routers have read of leaving machines.
-            synchronization: Takes hints of configuration revisions.
+            watch: Takes the engines' facts that other routers publish.
+            leaving: Takes the leaving machines that other routers report.
+            synchronization: Takes the configuration revisions that other routers announce.
         """
         self._watch = watch
         self._leaving = leaving
         self._synchronization = synchronization
         self._membership.follow_confirmations(synchronization.seconds_since_confirmed)
-        self._membership.subscribe(self._take)
+        self._membership.subscribe(self._handle)
 
     def watches_engine(self, address: str) -> bool:
         """Return whether this router probes an engine."""
@@ -72,7 +72,7 @@
         return self._membership.owns(READERS_KEY, READER_REPLICAS)
 
     def reads_quarantine(self) -> bool:
-        """Return whether this router reads the kept requests that end engines for the others."""
+        """Return whether this router reads the records of engine crashes for the others."""
         return self._membership.owns(QUARANTINE_READERS_KEY, QUARANTINE_READER_REPLICAS)
 
     def reads_machine_list(self) -> bool:
@@ -80,7 +80,7 @@
         return self._membership.owns(MACHINE_LIST_KEY, READER_REPLICAS)
 
     def leads_rollout(self) -> bool:
-        """Return whether this router orders weights; fences settle it if two believe so."""
+        """Return whether this router orders weights; fences resolve it if two routers do."""
         return self._membership.owns(ROLLOUT_KEY)
 
     def live_routers(self) -> frozenset[str]:
@@ -105,24 +105,24 @@
         self._membership.publish(EntryKind.ENGINE_FACTS, address, value)
 
     def publish_leaving(self, address: str, leaving: bool) -> None:
-        """Share that a machine is leaving, or take it back."""
+        """Share that a machine is leaving, or withdraw that."""
         value = LeavingBackEnd(address) if leaving else None
         self._membership.publish(EntryKind.LEAVING_BACK_END, address, value)
 
     def leaving_by_peers(self) -> dict[str, frozenset[str]]:
-        """Return the other routers that tell of a leaving machine, by its address."""
-        told: dict[str, frozenset[str]] = {}
+        """Return the other routers that report a machine as leaving, by its address."""
+        reported: dict[str, frozenset[str]] = {}
         for entry in self._membership.entries(EntryKind.LEAVING_BACK_END):
             if entry.owner != self._membership.own.name and entry.value is not None:
-                told[entry.subject] = told.get(entry.subject, frozenset()) | {entry.owner}
-        return told
+                reported[entry.subject] = reported.get(entry.subject, frozenset()) | {entry.owner}
+        return reported
 
-    def _tell_revision(self, accepted: AcceptedConfiguration) -> None:
-        """Tell peers which configuration is in force here."""
+    def _announce_revision(self, accepted: AcceptedConfiguration) -> None:
+        """Announce to peers which configuration is in force here."""
         self._membership.set_revision(accepted.revision)
 
-    def _take(self, action: Action) -> None:
-        """Pass on what another router shared."""
+    def _handle(self, action: Action) -> None:
+        """Pass a value that another router shared to the service that uses it."""
         if isinstance(action, RevisionHeard):
             self._synchronization.latest_revision_hint(
                 action.revision, action.member.name, action.confirmed_age_seconds
--- a/hopstep/services/engine_calls.py
+++ b/hopstep/services/engine_calls.py
@@ -1,4 +1,4 @@
-"""Short calls to engines beside the streams: cancel, probe; each bounded in time."""
+"""Short calls to engines apart from the streams: cancel, fence, probe; each bounded in time."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from hopstep.ports.engine import AttemptStatus, CancelOutcome, EnginePort
 
 CANCEL_TIMEOUT_SECONDS = 2.0
-"""Longest time for a cancel; it goes on for that long after its caller has left."""
+"""Longest time for a cancel, also after its caller has left."""
 
 FENCE_TIMEOUT_SECONDS = 2.0
-"""Longest time for asking what became of an attempt."""
+"""Longest time for fencing an attempt and learning its status."""
 
 PROBE_TIMEOUT_SECONDS = 1.0
-"""Time within which a live engine answers a probe."""
+"""Longest wait for an engine's answer to a probe."""
 
 
 async def cancel_attempt(
@@ -26,7 +26,7 @@
     """Cancel an attempt, also when the caller's task is being cancelled.
 
     Returns:
-        What the engine says; None when it said nothing in time, which proves nothing.
+        The engine's answer; None when none came in time, which proves nothing.
     """
     with trio.CancelScope(shield=True, deadline=trio.current_time() + CANCEL_TIMEOUT_SECONDS):
         try:
@@ -44,7 +44,7 @@
     """Keep an attempt from starting if it never arrived, and return its status.
 
     Returns:
-        None when the engine said nothing in time or is another incarnation, which proves
+        None when the engine didn't answer in time or is another incarnation, which proves
         nothing.
     """
     with trio.move_on_after(FENCE_TIMEOUT_SECONDS):
--- a/hopstep/services/engine_watch.py
+++ b/hopstep/services/engine_watch.py
@@ -1,7 +1,7 @@
-"""Keeps the routing table's facts of engines fresh, and follows their cache events.
+"""Keeps the routing table's facts of engines up to date, and reads their cache events.
 
-Each router probes the engines that it owns, and tells the others through ``publish``. What it
-hears of engines that it doesn't own comes in by ``take_published``. Nothing here waits for the
+Each router probes the engines that it owns, and shares their facts through ``publish``. The facts
+of engines that it doesn't own come in by ``take_published``. Nothing here waits for the
 configuration store: the engines of the configuration in force are watched while it is down.
 """
 
@@ -25,8 +25,8 @@
 """Shortest time between two probes of an engine."""
 
 MAX_PROBES_PER_SECOND = 12.0
-"""Probes of all engines together: a probe costs 1 to 2 ms of processor time, and a node has
-26 ms a second for all control."""
+"""Limit on the probes of all engines together: a probe costs 1 to 2 ms of processor time, and a node
+has 26 ms a second for all control work."""
 
 PROBE_TIMEOUT_SECONDS = 2.0
 """Longest wait for a probe or for cache events."""
@@ -35,8 +35,9 @@
 """Shortest time between two publications of an engine's facts that haven't changed."""
 
 MAX_PUBLICATIONS_PER_SECOND = 2.5
-"""Publications of unchanged facts for all engines together, by one of the owners of each: every
-router receives them, and a node has 3 KB a second for all control. Changes are told at once."""
+"""Limit on the publications of unchanged facts of all engines, by one owner of each engine: every
+router receives them, and a node has 3 KB a second for all control work. Changes are published at
+once."""
 
 Publish = Callable[[str, EngineFacts], None]
 
@@ -71,11 +72,11 @@
         publish: Publish,
         event_bytes_per_second: float,
     ) -> None:
-        """Prepare; ``run`` does the work.
+        """Prepare the watch; ``run`` does the work.
 
         Args:
             engine_port: Calls to engines.
-            routing_table: Learns what is seen.
+            routing_table: Takes the engines' facts, failures and cache events.
             configuration_holder: Names the engines.
             owns: Whether this router probes the engine with the given address.
             publish: Called with an owned engine's address and facts, for the other routers:
@@ -99,7 +100,7 @@
         await self._probe_engines()
 
     def take_published(self, address: str, facts: EngineFacts) -> None:
-        """Take facts that another router published; an owned engine's own word goes first."""
+        """Take facts that another router published; own probes of an owned engine go first."""
         if self._owns(address) and self._table.facts(address) is not None:
             return
         self._table.update_facts(address, facts, trio.current_time())
@@ -116,7 +117,7 @@
             self._record_failure(address, error)
 
     async def _probe_engines(self) -> None:
-        """Probe the owned engines side by side, each in its own loop."""
+        """Probe the owned engines concurrently, each in its own loop."""
         watched: dict[str, trio.CancelScope] = {}
         async with trio.open_nursery() as nursery:
             while True:
@@ -128,11 +129,11 @@
                     self._forget(address)
                 for address in sorted(wanted - set(watched)):
                     watched[address] = trio.CancelScope()
-                    nursery.start_soon(self._probe_forever, address, watched[address])
+                    nursery.start_soon(self._probe_repeatedly, address, watched[address])
                 self._watched = len(watched)
                 await trio.sleep(PROBE_SECONDS)
 
-    async def _probe_forever(self, address: str, scope: trio.CancelScope) -> None:
+    async def _probe_repeatedly(self, address: str, scope: trio.CancelScope) -> None:
         """Probe one engine until its scope is cancelled."""
         with scope:
             while True:
@@ -148,20 +149,20 @@
         return [item for item in back_ends if item.kind is BackEndKind.ENGINE]
 
     def _forget(self, address: str) -> None:
-        """Drop what is kept of an engine that this router no longer watches."""
+        """Drop the state of an engine that this router no longer watches."""
         self._published_at.pop(address, None)
         self._event_sequences.pop(address, None)
         self._unreachable.discard(address)
 
     def _take_facts(self, address: str, before: EngineFacts | None, facts: EngineFacts) -> None:
-        """Give facts to the table and, when they are news, to the other routers."""
+        """Pass facts to the table and, when they changed or are due, to the other routers."""
         now = trio.current_time()
         self._table.update_facts(address, facts, now)
         if address in self._unreachable:
             self._unreachable.discard(address)
             emit(log_events.ENGINE_REACHABLE, engine=address)
         if before is None or before.incarnation != facts.incarnation:
-            # Reading starts at the present: older events speak of blocks no longer counted on.
+            # Reading starts at the present: older events concern blocks that aren't counted on.
             self._event_sequences[address] = facts.event_sequence
             emit(
                 log_events.ENGINE_INCARNATION_SEEN,
@@ -172,7 +173,7 @@
         if facts.leaving and (before is None or not before.leaving):
             emit(log_events.ENGINE_LEAVING, engine=address)
         published_at = self._published_at.get(address, float("-inf"))
-        if _differ(before, facts) or now - published_at >= publish_interval(self._configured):
+        if _has_changed(before, facts) or now - published_at >= publish_interval(self._configured):
             self._published_at[address] = now
             self._publish(address, facts)
 
@@ -182,7 +183,7 @@
         if facts.event_sequence <= after:
             return
         if not self._event_budget.allows(trio.current_time()):
-            # Answers teach the picture too, so that skipped events cost little.
+            # Answers update the cache index too, so that skipped events cost little.
             self._event_sequences[address] = facts.event_sequence
             return
         batch = await self._engine_port.cache_events(address, facts.incarnation, after)
@@ -196,7 +197,7 @@
         self._table.record_events(address, batch)
 
     def _record_failure(self, address: str, error: Exception) -> None:
-        """Note that an engine didn't answer."""
+        """Record that an engine didn't answer, and log the first such failure."""
         self._table.record_failure(address, trio.current_time())
         if address in self._unreachable:
             return
@@ -204,7 +205,7 @@
         emit(log_events.ENGINE_UNREACHABLE, engine=address, reason=type(error).__name__)
 
 
-def _differ(before: EngineFacts | None, facts: EngineFacts) -> bool:
+def _has_changed(before: EngineFacts | None, facts: EngineFacts) -> bool:
     """Return whether facts other than load and counters changed."""
     if before is None:
         return True
--- a/hopstep/services/lifecycle.py
+++ b/hopstep/services/lifecycle.py
@@ -1,7 +1,8 @@
 """Planned stop of a node: stop taking requests, let the active ones end, then exit.
 
-A second stop changes nothing. Stopping is not ready at once, so that load balancers turn
-away, and every request that comes meanwhile is refused as not run with ``Retry-After``.
+A second stop changes nothing. A stopping node reports at once that it isn't ready, so that load
+balancers use other nodes. Requests that it no longer accepts are refused as not run with
+``Retry-After``.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 MIN_REFUSING_SECONDS = 0.3
 """Shortest time for which a stopping node goes on answering refusals.
 
-Requests that were on their way on kept-alive connections when the stop came get an answer
-instead of a closed connection.
+Requests that were in transit on kept-alive connections when the stop began get an answer instead
+of a closed connection.
 """
 
 
 class ConfigurationSource(Protocol):
-    """Whatever holds the configuration in force."""
+    """Holder of the configuration in force."""
 
     @property
     def current(self) -> object | None:
@@ -35,18 +36,18 @@
 
 
 class Lifecycle:
-    """Counts active requests and carries a node through its planned stop."""
+    """Counts active requests and controls the planned stop of a node."""
 
     def __init__(
         self, holder: ConfigurationSource, drain_seconds: float, accept_seconds: float = 0.0
     ) -> None:
-        """Start in service.
+        """Start without active requests and without a stop.
 
         Args:
             holder: A node is ready as soon as it has a configuration.
             drain_seconds: Longest wait for active requests.
-            accept_seconds: Time for which a stopping node still serves requests, which come on
-                kept connections and from load balancers that haven't noticed yet.
+            accept_seconds: Time for which a stopping node still serves requests, which arrive on
+                kept-alive connections and from load balancers that haven't noticed the stop.
         """
         self._holder = holder
         self._drain_seconds = drain_seconds
@@ -60,12 +61,12 @@
 
     @property
     def active_requests(self) -> int:
-        """Requests whose answers aren't whole yet."""
+        """Number of requests without a complete response."""
         return self._active
 
     @property
     def stopping(self) -> bool:
-        """Whether a stop was asked for."""
+        """Whether a stop was requested."""
         return self._stopping.is_set()
 
     @property
@@ -74,10 +75,11 @@
         return self._holder.current is not None and not self.stopping
 
     def check_serving(self, longest_seconds: float = float("inf")) -> None:
-        """Raise ``STOPPING`` once a stop was asked for and the time to accept is over.
+        """Raise ``STOPPING`` once a stop was requested and the time to accept is over.
 
         Args:
-            longest_seconds: Requests that end sooner than the drain are still served.
+            longest_seconds: Longest duration of the request; one that ends before the drain does is
+                still served.
         """
         now = trio.current_time()
         if now >= self._refuse_at and now + longest_seconds > self._drain_until:
@@ -89,7 +91,7 @@
 
     @contextlib.contextmanager
     def active(self) -> Iterator[None]:
-        """Count one request, or one piece of its clean-up, as active."""
+        """Count one request, or one task of its clean-up, as active."""
         self._active += 1
         if self._active == 1:
             self._idle = trio.Event()
@@ -101,7 +103,7 @@
                 self._idle.set()
 
     def stop(self) -> None:
-        """Ask for the planned stop; further calls change nothing."""
+        """Request the planned stop; further calls change nothing."""
         if self.stopping:
             return
         emit(log_events.PROCESS_STOPPING, active_requests=self._active)
@@ -110,7 +112,7 @@
         self._stopping.set()
 
     async def wait_stopping(self) -> None:
-        """Wait until a stop is asked for."""
+        """Wait until a stop is requested."""
         await self._stopping.wait()
 
     async def drain(self) -> bool:
--- a/hopstep/services/limit_leases.py
+++ b/hopstep/services/limit_leases.py
@@ -1,4 +1,4 @@
-"""Shares tenants' limits with the other routers: reports demand to owners, and answers as one."""
+"""Shares tenants' limits between routers: reports demand to owners, and grants as an owner."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from hopstep.services.requests.tenant_limits import TenantLimitService
 
 REPORT_SECONDS = 1.0
-"""Time between two looks at which demands are to be reported."""
+"""Time between two checks of which demands are due to be reported."""
 
 
 class LimitLeaseService:
-    """Joins the sharing of limits with membership and the clock."""
+    """Connects the sharing of limits with membership and the clock."""
 
     def __init__(self, membership: MembershipService, holder: ConfigurationHolder) -> None:
-        """Prepare; ``run`` follows.
+        """Prepare the sharing; ``run`` does the work.
 
         Args:
-            membership: Who is alive, and the messages to them.
+            membership: Live routers, and messages to them.
             holder: Configuration in force; says which routers may serve a tenant.
         """
         self._membership = membership
         self._sharing = LimitSharing(membership.own.name, trio.current_time())
         self._holder = holder
         self._placement: tuple[list[BackEnd], dict[str, LabelSelector]] = ([], {})
-        membership.subscribe(self._take)
+        membership.subscribe(self._handle)
         holder.subscribe(self._follow_configuration)
 
     def part(self, tenant: str) -> int:
@@ -42,7 +42,7 @@
         """Report demand until cancelled.
 
         Args:
-            limits: Where requests are held to the limits.
+            limits: Applies the limits to requests.
         """
         while True:
             self._report(limits)
@@ -50,20 +50,20 @@
 
     def _report(self, limits: TenantLimitService) -> None:
         now = trio.current_time()
-        self._follow(now)
+        self._update_routers(now)
         wanted = limits.take_wanted(REPORT_SECONDS, self._sharing.smoothing_seconds)
         for addressed in self._sharing.reports(now, wanted):
             if not self._membership.send_limits(addressed.owner, addressed.report):
-                # The byte budget is used up: what is left is due at the next look.
+                # The byte budget is used up: the remaining reports are due at the next check.
                 return
 
-    def _follow(self, now: float) -> None:
-        """Take in which routers there are."""
+    def _update_routers(self, now: float) -> None:
+        """Pass the live routers and the number of members to the sharing."""
         live = [record.name for record in self._membership.alive_routers()]
         self._sharing.follow(now, live, len(self._membership.members()))
 
     def _follow_configuration(self, accepted: AcceptedConfiguration) -> None:
-        """Take in which routers may serve each tenant, if that has changed."""
+        """Pass on which routers may serve each tenant, if that has changed."""
         configuration = accepted.configuration
         routers = [item for item in configuration.back_ends if item.kind is BackEndKind.ROUTER]
         selectors = {tenant.name: tenant.selector for tenant in configuration.tenants}
@@ -75,21 +75,21 @@
             tenant.name: index.tenant_back_ends(tenant, BackEndKind.ROUTER)
             for tenant in configuration.tenants
         }
-        # The index gives one tuple for one selector; so do the names, or they would fill memory.
+        # The index returns one tuple per selector. Its names are shared likewise, to bound memory.
         names = {
             id(routers): frozenset(router.name for router in routers) for routers in placed.values()
         }
         admitted = {tenant: names[id(routers)] for tenant, routers in placed.items()}
         self._sharing.set_admitted(trio.current_time(), admitted)
 
-    def _take(self, action: Action) -> None:
+    def _handle(self, action: Action) -> None:
         if not isinstance(action, LimitMessage):
             return
         if not isinstance(action.body, LimitReport):
             self._sharing.take(action.body)
             return
         now = trio.current_time()
-        self._follow(now)
+        self._update_routers(now)
         answer = self._sharing.answer(now, action.sender, action.incarnation, action.body)
         if answer is not None:
             self._membership.send_limits(action.sender, answer)
--- a/hopstep/services/membership.py
+++ b/hopstep/services/membership.py
@@ -1,7 +1,7 @@
 """Membership of this router, running on trio.
 
-With the platform's store down everything here goes on: members meet over the seeds and their
-own gossip alone.
+Nothing here depends on the platform's store: members find each other through the seeds and by
+gossip alone.
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
 Listener = Callable[[Action], None]
 
 MAX_TICK_SECONDS = 0.25
-"""Longest time between two looks at what is due."""
+"""Longest time between two ticks of the protocol."""
 
 OUTGOING_MESSAGES = 1_000
-"""Messages waiting for the socket; further ones are lost, as on the network."""
+"""Bound on the messages that wait for the socket; further ones are lost, as on the network."""
 
 REJECTION_LOG_SECONDS = 10.0
 """Time between two log lines about rejected datagrams."""
 
 
 class MembershipService:
-    """Joins the pure protocol with a transport, the clock, logs and metrics."""
+    """Connects the pure protocol with a transport, the clock, logs and metrics."""
 
     def __init__(
         self,
@@ -62,14 +62,14 @@
         metrics: MembershipMetrics,
         http_address: str = "",
     ) -> None:
-        """Prepare to join; ``run`` does.
+        """Prepare the own record; ``run`` joins the other routers.
 
         Args:
             settings: Own name, addresses, zone, labels and times.
             transport: Opened transport.
             incarnation: Unix time of the start in milliseconds.
             generator: Source of random choices.
-            metrics: Metrics to keep.
+            metrics: Metrics to update.
             http_address: Address of the callers' listener when its port was chosen by the
                 system; empty for the one in the settings.
         """
@@ -117,11 +117,11 @@
         return self._membership.own
 
     def members(self) -> list[MemberRecord]:
-        """Return all known members, this and dead ones included."""
+        """Return all known members, including this one and dead ones."""
         return self._membership.members()
 
     def alive_routers(self) -> list[MemberRecord]:
-        """Return the routers that take new work, this one included unless it leaves."""
+        """Return the routers that take new work, including this one unless it is shutting down."""
         return self._membership.alive()
 
     def owners(self, key: str, replicas: int = 1) -> tuple[str, ...]:
@@ -162,11 +162,11 @@
         self._listeners.append(listener)
 
     def set_revision(self, revision: int) -> None:
-        """Tell peers which configuration revision is in force here."""
+        """Announce to peers which configuration revision is in force here."""
         self._dispatch(self._membership.set_revision(revision, trio.current_time()))
 
     def follow_confirmations(self, age: Callable[[], float]) -> None:
-        """Tell peers how old the proof is that the revision in force is the latest.
+        """Announce to peers how old the proof is that the revision in force is the latest.
 
         Args:
             age: Returns seconds, infinite without a proof.
@@ -174,10 +174,10 @@
         self._confirmed_age = age
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether contact is lost with most routers of the recent past.
+        """Return whether contact is lost with most of the routers that were recently alive.
 
-        Routers that left on a plan don't count. With every other router down as well the
-        answer is true: the two cases can't be told apart from here.
+        Routers after a planned stop don't count. With every other router down the result is
+        true as well: the two cases can't be distinguished from here.
         """
         return self._membership.is_isolated(now)
 
@@ -186,7 +186,7 @@
         self._dispatch(self._membership.leave(trio.current_time()))
 
     async def stop(self) -> None:
-        """Say goodbye as the last message before the process ends."""
+        """Send the final message of this member before the process ends."""
         for action in self._membership.stop(trio.current_time()):
             if isinstance(action, Send):
                 await self._transmit(action)
@@ -196,7 +196,7 @@
             try:
                 received = await self._transport.receive()
             except PeerMessageError as error:
-                self._note_rejection(error)
+                self._record_rejection(error)
                 continue
             self._metrics.messages_received.inc()
             self._dispatch(
@@ -216,7 +216,7 @@
             now = trio.current_time()
             self._membership.confirm_revision(now - self._confirmed_age())
             self._dispatch(self._membership.tick(now))
-            self._observe(now)
+            self._update_metrics(now)
             latest = now + MAX_TICK_SECONDS
             await trio.sleep_until(min(self._membership.next_wakeup(), latest))
 
@@ -253,7 +253,7 @@
                 version=action.record.version,
             )
 
-    def _observe(self, now: float) -> None:
+    def _update_metrics(self, now: float) -> None:
         self._metrics.live_members.set(len(self.alive_routers()))
         self._metrics.messages_withheld.set(self._membership.withheld)
         isolated = self._membership.is_isolated(now)
@@ -262,7 +262,7 @@
             self._was_isolated = isolated
             emit(log_events.ISOLATION_CHANGED, isolated=isolated)
 
-    def _note_rejection(self, error: PeerMessageError) -> None:
+    def _record_rejection(self, error: PeerMessageError) -> None:
         self._metrics.messages_rejected.inc()
         self._rejected += 1
         now = trio.current_time()
--- a/hopstep/services/membership_metrics.py
+++ b/hopstep/services/membership_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of membership."""
+"""Prometheus metrics of membership."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
         """Register the metrics.
 
         Args:
-            registry: Where they are registered.
+            registry: Registry that takes the metrics.
         """
         self.bytes_sent = Counter(
             "hopstep_peer_bytes_sent", "Bytes sent to peers, headers included", registry=registry
--- a/hopstep/services/rollout.py
+++ b/hopstep/services/rollout.py
@@ -1,8 +1,8 @@
-"""Gives engines their fenced orders to load weights; only the rollout leader does.
+"""Sends engines fenced orders to load weights; only the rollout leader does so.
 
 Two leaders at once do no harm: orders of one revision are equal, engines refuse a lower fence,
-and taking the same order again changes nothing. Without a configuration nothing is ordered;
-while the store is down, the configuration in force is still carried out.
+and repeating an order changes nothing. Without a configuration nothing is ordered; while the
+store is down, the rollout of the configuration in force goes on.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from hopstep.services.configuration.holder import ConfigurationHolder
 
 ROUND_SECONDS = 0.25
-"""Time between looks at the engines' weights."""
+"""Time between two checks of the engines' weights."""
 
 ORDER_TIMEOUT_SECONDS = 2.0
-"""Longest wait for an engine to take an order."""
+"""Longest wait for an engine to accept an order."""
 
 
 class Rollout:
@@ -38,13 +38,13 @@
         configuration_holder: ConfigurationHolder,
         is_leader: Callable[[], bool],
     ) -> None:
-        """Prepare; ``run`` does the work.
+        """Prepare the rollout; ``run`` does the work.
 
         Args:
             engine_port: Calls to engines.
-            routing_table: Holds the engines' facts, and learns the newer ones.
+            routing_table: Holds the engines' facts, and takes those in the answers to orders.
             configuration_holder: Configuration in force.
-            is_leader: Whether this router is the one that gives orders.
+            is_leader: Whether this router is the one that sends orders.
         """
         self._engine_port = engine_port
         self._routing_table = routing_table
@@ -52,19 +52,19 @@
         self._is_leader = is_leader
 
     async def run(self) -> None:
-        """Give orders until cancelled."""
+        """Send orders until cancelled."""
         while True:
             await self.run_once()
             await trio.sleep(ROUND_SECONDS)
 
     async def run_once(self) -> None:
-        """Give the orders that are due now."""
+        """Send the orders that are due now."""
         accepted = self._holder.current
         if accepted is None or not self._is_leader():
             return
         async with trio.open_nursery() as nursery:
             for order in plan(accepted, self._facts(accepted)):
-                nursery.start_soon(self._give, order)
+                nursery.start_soon(self._send, order)
 
     def _facts(self, accepted: AcceptedConfiguration) -> dict[str, EngineFacts]:
         """Return the known facts of the configured engines, by address."""
@@ -75,8 +75,8 @@
                 known[back_end.address] = facts
         return known
 
-    async def _give(self, order: WeightsOrder) -> None:
-        """Give one order; a failure leaves it to the next round."""
+    async def _send(self, order: WeightsOrder) -> None:
+        """Send one order; after a failure the next round sends it again."""
         message = EngineOrder(fence=order.fence, weights=order.weights)
         try:
             with trio.fail_after(ORDER_TIMEOUT_SECONDS):
--- a/hopstep/services/router.py
+++ b/hopstep/services/router.py
@@ -1,7 +1,7 @@
-"""All services of one router, joined over ports that are given from outside.
+"""All services of one router, composed over ports that are passed in.
 
-The process and the simulation share this composition: the process gives adapters, the
-simulation gives emulated ports on a virtual clock.
+The process and the simulation share this composition: the process passes adapters, the
+simulation passes emulated ports on a virtual clock.
 """
 
 from __future__ import annotations
@@ -47,12 +47,12 @@
 
 
 class RouterPorts(msgspec.Struct, frozen=True):
-    """Everything outside the process.
+    """Ports to everything outside the process.
 
     Attributes:
-        engines: Engines.
+        engines: Calls to engines.
         store: Platform's key-value service.
-        machine_list: Platform's machine list; None for none.
+        machine_list: Platform's machine list; None to run without it.
         peer_transport: Datagrams between routers.
         peer_configuration: Transfers of configuration revisions between routers.
         generator: Source of random choices.
@@ -81,13 +81,13 @@
         incarnation: int,
         registry: CollectorRegistry,
     ) -> None:
-        """Join the services. Must be called inside the event loop.
+        """Compose the services. Must be called inside the event loop.
 
         Args:
             settings: Settings of the router.
-            ports: Everything outside.
+            ports: Ports to everything outside the process.
             incarnation: Unix time of the start in milliseconds.
-            registry: Takes the metrics.
+            registry: Registry that takes the metrics.
         """
         self._settings = settings
         self._ports = ports
@@ -133,15 +133,15 @@
             task_status.started()
 
     async def wait_drained(self) -> None:
-        """Wait for a planned stop, tell peers of it, and return when no request is active."""
+        """Wait for a planned stop, announce it to peers, and return when no request is active."""
         await self.lifecycle.wait_stopping()
         self.membership.leave()
         await self.lifecycle.drain()
 
     def is_isolated(self) -> bool:
-        """Return whether neither the store nor a majority was heard for too long.
+        """Return whether contact with the store and with a majority is lost for too long.
 
-        Then the configuration may have tightened without this router's knowledge.
+        The configuration may have become stricter since, without reaching this router.
         """
         limit = self._settings.isolation_seconds
         if limit == 0 or self.synchronization.seconds_since_confirmed() <= limit:
@@ -175,7 +175,7 @@
         )
 
     def _make_quarantine_records(self) -> tuple[QuarantineRecords, QuarantineReader]:
-        """Return what keeps the requests that end engines in the store, and what reads them."""
+        """Return writer and reader of the stored records of requests that crash engines."""
         store = self._ports.store
         generator = random.Random(hash_name(self._settings.name))  # noqa: S311 - spreads calls only
         records = QuarantineRecords(self.quarantine, store, generator)
@@ -183,7 +183,7 @@
         return records, QuarantineReader(records, store, reads, generator)
 
     def _make_synchronization(self) -> ConfigurationSync:
-        """Return the service that keeps the configuration."""
+        """Return the service that synchronizes the configuration."""
         return ConfigurationSync(
             self.holder,
             ConfigurationStore(self._ports.store, self._ports.generator),
@@ -194,7 +194,7 @@
         )
 
     def _make_engine_watch(self) -> EngineWatch:
-        """Return the service that keeps the engines' facts."""
+        """Return the service that keeps the engines' facts up to date."""
         return EngineWatch(
             self._ports.engines,
             self.table,
@@ -205,7 +205,7 @@
         )
 
     def _make_leaving_watch(self) -> LeavingWatch:
-        """Return the service that keeps leaving back ends without new work."""
+        """Return the service that gives no new work to back ends that are shutting down."""
         return LeavingWatch(
             self._ports.machine_list,
             self.table,
