--- a/hopstep/services/engine_watch.py
+++ b/hopstep/services/engine_watch.py
@@ -25,8 +25,8 @@
 """Shortest time between two probes of an engine."""
 
 MAX_PROBES_PER_SECOND = 12.0
-"""Limit on the probes of all engines together: a probe costs 1 to 2 ms of processor time, and a node
-has 26 ms a second for all control work."""
+"""Limit on the probes of all engines together: a probe costs 1 to 2 ms of processor time, and a
+node has 26 ms a second for all control work."""
 
 PROBE_TIMEOUT_SECONDS = 2.0
 """Longest wait for a probe or for cache events."""
--- a/hopstep/services/quarantine/__init__.py
+++ b/hopstep/services/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps requests that end instances from them; both request paths use it."""
+"""Refuses requests that crash instances; both request paths use this package."""
--- a/hopstep/services/quarantine/quarantine.py
+++ b/hopstep/services/quarantine/quarantine.py
@@ -1,8 +1,8 @@
-"""Finds the requests that end instances, and says which are refused because of that.
+"""Finds the requests that crash instances, and decides which are refused because of that.
 
-An answer that breaks off may have many reasons. So the instance is looked at: only one that no
-longer listens, has started anew or is no longer listed has ended. Such an end is counted for every
-request whose answer broke off there; see ``domain.quarantine.crash_ledger`` for what follows.
+An answer may be interrupted for many reasons. So the instance is probed: it has terminated only if
+it no longer listens, has restarted or is no longer listed. Such a termination is counted for every
+request whose answer was interrupted there; ``domain.quarantine.crash_ledger`` has the rules.
 """
 
 from __future__ import annotations
@@ -23,65 +23,67 @@
     RequestName,
 )
 from hopstep.logs import emit
-from hopstep.services.quarantine.trial_verdicts import Look, TrialVerdicts
+from hopstep.services.quarantine.trial_verdicts import ProbeInstance, TrialVerdicts
 
-LOOKS = 4
-LOOK_SPACING_SECONDS = 0.4
-"""A look without an answer is repeated: its first packets may be lost, and all nodes should know of
-an end within the three seconds that the operators' bound leaves.
+MAX_PROBES = 4
+PROBE_SPACING_SECONDS = 0.4
+"""Time between two probes. A probe without an answer is repeated: its first packets may be lost,
+and all nodes should know of a termination within the three seconds that the operators' bound
+leaves.
 """
 
-MAX_WAITING_LOOKS = 256
-SETTLING_SECONDS = 0.4
-"""Longest wait for a look before a request goes to another instance."""
+MAX_WAITING_PROBES = 256
+PROBE_WAIT_SECONDS = 0.4
+"""Longest wait for a probe before a request goes to another instance."""
 
-HEARING_SECONDS = 0.5
-"""After an end that has a request refused midway: for other nodes to tell that they have answered
-it. Without this ordinary requests would be given up before their word comes."""
+PEER_REPORT_SECONDS = 0.5
+"""Wait after a termination that has a request refused midway, for other nodes to report that they
+have answered it. Otherwise ordinary requests are given up before these reports arrive."""
 
 TRIAL_MEMORY_SECONDS = 60.0
-"""Longer than any run of a request."""
+"""Time for which a trial is remembered: longer than any run of a request."""
 
 EXPIRY_SECONDS = 5.0
-"""Between two looks for what is too old."""
+"""Time between two checks for expired records."""
 
-LOGGED_FROM_ENDS = 2
-"""One end says nothing about a request: most of those that it broke off just were there."""
+MIN_LOGGED_TERMINATIONS = 2
+"""A single termination says little about a request: most requests that it interrupts didn't cause
+it."""
 
 ABRUPT = frozenset({EndEvidence.REFUSED, EndEvidence.RESTARTED})
-"""Evidence of an end at once, with which all answers under way at the instance broke off."""
+"""Evidence of an abrupt termination, which interrupts all answers in progress at the instance."""
 
 EXPIRED = "expired"
 ANSWERED = "answered"
 LIFTED = "lifted"
 EXPLAINED = "explained"
-"""Another request has ended these instances."""
+"""Reason of a release: another request has crashed these instances."""
 
-EndListener = Callable[[str], None]
-"""Told a life of an instance that this node, or another one, has seen end."""
+TerminationListener = Callable[[str], None]
+"""Takes an instance's incarnation that this node, or another one, has seen terminate."""
 
-SeenListener = Callable[[bytes], None]
-"""Told a request of which this node itself has seen something new."""
+ObservationListener = Callable[[bytes], None]
+"""Takes the fingerprint of a request for which this node itself has observed something new."""
 
 
 class Trials(Protocol):
-    """Single runs that refused requests are allowed, so that none is refused without cause."""
+    """Trials: single runs of refused requests, so that none stays refused without cause."""
 
     def wait_seconds(self, fingerprint: bytes) -> float:
-        """Return for how long none may be claimed; infinite when none is left."""
+        """Return the seconds until a trial may be claimed; infinite when none is left."""
 
     async def claim(self, fingerprint: bytes) -> bool:
-        """Return whether this node, and no other, may run a request once."""
+        """Claim a trial; return whether this node, and no other, may run the request once."""
 
-    async def give_back(self, fingerprint: bytes) -> None:
-        """Allow a request one run more: the last one has shown nothing."""
+    async def release(self, fingerprint: bytes) -> None:
+        """Allow a request another trial: the last one was inconclusive."""
 
 
 class Quarantine:
-    """What this node knows of requests that end instances."""
+    """Requests that crash instances, as far as this node has observed or received."""
 
     def __init__(self, node: str) -> None:
-        """Know nothing. Must be called inside the event loop.
+        """Start without any termination. Must be called inside the event loop.
 
         Args:
             node: Name of this node.
@@ -91,47 +93,49 @@
         self._ledger = CrashLedger(node)
         self._names: OrderedDict[bytes, RequestName] = OrderedDict()
         self._refused: set[bytes] = set()
-        self._listeners: list[SeenListener] = []
-        self._end_listeners: list[EndListener] = []
-        self._looking: dict[str, trio.Event] = {}
+        self._listeners: list[ObservationListener] = []
+        self._termination_listeners: list[TerminationListener] = []
+        self._probing: dict[str, trio.Event] = {}
         self._trials: Trials | None = None
         self._verdicts = TrialVerdicts()
         self._tried: dict[bytes, float] = {}
-        self._looks, self._due = trio.open_memory_channel[tuple[str, Look]](MAX_WAITING_LOOKS)
+        self._probes, self._due = trio.open_memory_channel[tuple[str, ProbeInstance]](
+            MAX_WAITING_PROBES
+        )
 
-    def subscribe(self, listener: SeenListener) -> None:
-        """Tell a listener of what this node sees, so that it can tell others."""
+    def subscribe(self, listener: ObservationListener) -> None:
+        """Call a listener with each request for which this node observes something new."""
         self._listeners.append(listener)
 
-    def subscribe_terminations(self, listener: EndListener) -> None:
-        """Tell a listener of instances that have ended under requests, whoever saw it."""
-        self._end_listeners.append(listener)
+    def subscribe_terminations(self, listener: TerminationListener) -> None:
+        """Call a listener with terminated instances, whichever node has seen the termination."""
+        self._termination_listeners.append(listener)
 
-    def offer_trials(self, trials: Trials) -> None:
-        """Allow refused requests single runs."""
+    def set_trials(self, trials: Trials) -> None:
+        """Set the source of trials; without one, refused requests get none."""
         self._trials = trials
-        self._verdicts.offer(trials.give_back)
+        self._verdicts.set_release(trials.release)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing counts against any request, so that none needs to be looked up."""
+        """Whether no termination is recorded for any request, so that lookups are needless."""
         return self._ledger.is_empty
 
     @property
     def refused_requests(self) -> int:
-        """How many requests are refused now."""
+        """Number of requests that are refused now."""
         now = trio.current_time()
         repeated = self._ledger.repeated()
         return sum(self._ledger.refused_seconds(fingerprint, now) > 0 for fingerprint in repeated)
 
     def refused_seconds(self, fingerprint: bytes) -> float:
-        """Return for how much longer a request is refused; 0 when it isn't."""
+        """Return the seconds for which a request is still refused; 0 when it isn't."""
         return self._ledger.refused_seconds(fingerprint, trio.current_time())
 
     async def admit(self, fingerprint: bytes) -> float:
-        """Return for how much longer a request is refused; 0 when it may be sent to an instance.
+        """Return the seconds for which a request is still refused; 0 when it may be sent.
 
-        Some time after the last end one node may try a refused request once.
+        Some time after the last termination, one node may run a refused request once as a trial.
         """
         seconds = self.refused_seconds(fingerprint)
         if not seconds or self._trials is None:
@@ -150,141 +154,156 @@
         return seconds
 
     def end_trial(self, fingerprint: bytes) -> None:
-        """Note that a request has ended that may have been this node's try of it."""
+        """Record the end of a request that may have been this node's trial of it."""
         self._verdicts.end(fingerprint, trio.current_time())
 
-    async def _hear_others(self, fingerprint: bytes) -> None:
-        """Wait while a request is refused for an end that others may excuse any moment."""
-        until = self._ledger.last_end_at(fingerprint) + HEARING_SECONDS
+    async def _await_peer_reports(self, fingerprint: bytes) -> None:
+        """Wait while a request is refused for a termination that reports may have disregarded."""
+        until = self._ledger.last_end_at(fingerprint) + PEER_REPORT_SECONDS
         while self.refused_seconds(fingerprint) and trio.current_time() < until:
             with trio.move_on_at(until):
                 await self.changed.wait()
 
     def last_end_at(self, fingerprint: bytes) -> float:
-        """Return when the last end under a request became known; minus infinity for none."""
+        """Return when a request's last termination became known; minus infinity for none."""
         return self._ledger.last_end_at(fingerprint)
 
     def known_crashes(self, fingerprint: bytes) -> RequestCrashes:
-        """Return all that is known of a request."""
+        """Return all that this node has recorded for a request."""
         return self._ledger.told(fingerprint)
 
     def terminations(self, fingerprint: bytes) -> int:
-        """Return how many instances have ended under a request, as far as it counts."""
+        """Return the number of terminations that count for a request."""
         return self._ledger.ends(fingerprint)
 
-    def wake(self) -> None:
-        """Have those look again that keep or tell what is known."""
+    def notify_changed(self) -> None:
+        """Wake the tasks that store or publish the records."""
         self.changed.set()
         self.changed = trio.Event()
 
     def name(self, fingerprint: bytes) -> RequestName:
-        """Return how a request is named in the log, as far as this node has met it."""
+        """Return the request's caller and route for the log, empty if this node hasn't seen it."""
         return self._names.get(fingerprint, RequestName(fingerprint))
 
     def repeated(self) -> list[bytes]:
-        """Return the requests under which more than one instance has ended."""
+        """Return the requests under which more than one instance has terminated."""
         return self._ledger.repeated()
 
-    def note_interrupted(self, request: RequestName, life: str, look: Look | None = None) -> None:
-        """Note a request whose answer broke off, or that was left before it was answered.
+    def note_interrupted(
+        self, request: RequestName, instance_incarnation: str, probe: ProbeInstance | None = None
+    ) -> None:
+        """Record a request whose answer was interrupted, or that its client abandoned.
 
         Args:
             request: The request.
-            life: The instance.
-            look: Looks whether the instance has ended; None when nothing says so.
+            instance_incarnation: Incarnation of the instance.
+            probe: Probes whether the instance has terminated; None when nothing suggests it.
         """
         if request.fingerprint in self._tried:
-            # It is refused already. One more end would make it the worse one of those that shared
-            # instances with it, and release these.
-            self._verdicts.note_reached(request.fingerprint, life, look)
+            # It is refused already. Another termination would give it the most among the requests
+            # that shared instances with it, and release the others.
+            self._verdicts.note_reached(request.fingerprint, instance_incarnation, probe)
             return
         self._remember(request)
-        counted = self._ledger.note_broken(request.fingerprint, life, trio.current_time())
+        counted = self._ledger.note_broken(
+            request.fingerprint, instance_incarnation, trio.current_time()
+        )
         if counted is not None:
-            self._note_counted(counted)
-        elif look is not None and life not in self._looking:
-            self._begin_look(life, look)
+            self._record_counted(counted)
+        elif probe is not None and instance_incarnation not in self._probing:
+            self._begin_probe(instance_incarnation, probe)
 
-    def note_abandoned(self, request: RequestName, life: str, look: Look) -> None:
-        """Note a request that was left before it was answered whole; see ``note_broken``.
+    def note_abandoned(
+        self, request: RequestName, instance_incarnation: str, probe: ProbeInstance
+    ) -> None:
+        """Record a request that was abandoned by its client; see ``note_interrupted``.
 
-        The instance is looked at for the verdict on a try only: clients leave often.
+        The instance is probed only for the verdict on a trial: clients leave often.
         """
-        self.note_interrupted(request, life, look if request.fingerprint in self._tried else None)
+        self.note_interrupted(
+            request, instance_incarnation, probe if request.fingerprint in self._tried else None
+        )
 
-    def note_answer(self, life: str, sent_at: float) -> None:
-        """Note an instance's answer to a request that was sent at a time."""
-        self._ledger.note_answer(life, sent_at)
+    def note_answer(self, instance_incarnation: str, sent_at: float) -> None:
+        """Record that an instance answered a request.
+
+        Args:
+            instance_incarnation: Incarnation of the instance.
+            sent_at: Time at which the request was sent.
+        """
+        self._ledger.note_answer(instance_incarnation, sent_at)
 
     def note_complete_response(self, fingerprint: bytes) -> None:
-        """Take back an end that counts for a request, or excuse one: it was answered whole."""
+        """Discount a termination, seen or to come, of a request that got a complete response."""
         if self._tried.pop(fingerprint, None) is not None:
             self._verdicts.forget(fingerprint)
             self._ledger.release(fingerprint)
         if self._ledger.note_whole_answer(fingerprint):
-            self._note_changed(fingerprint, seen_here=True)
+            self._record_change(fingerprint, seen_here=True)
             self._review(fingerprint, ANSWERED)
 
-    def note_terminated(self, life: str, evidence: EndEvidence) -> None:
-        """Note that an instance has ended.
+    def note_terminated(self, instance_incarnation: str, evidence: EndEvidence) -> None:
+        """Record that an instance has terminated.
 
         Args:
-            life: The instance.
-            evidence: What shows it.
+            instance_incarnation: Incarnation of the instance.
+            evidence: Observation that proves it.
         """
-        self._verdicts.note_ended(life)
+        self._verdicts.note_terminated(instance_incarnation)
         abruptly = evidence in ABRUPT
-        counted = self._ledger.note_ended(life, trio.current_time(), abruptly=abruptly)
+        counted = self._ledger.note_ended(
+            instance_incarnation, trio.current_time(), abruptly=abruptly
+        )
         if not counted:
             return
         emit(
             log_events.INSTANCE_ENDED,
-            instance=life,
+            instance=instance_incarnation,
             evidence=evidence.value,
             requests=len(counted),
         )
         for end in counted:
-            self._note_counted(end)
+            self._record_counted(end)
 
-    def merge_reports(self, told: Iterable[RequestCrashes]) -> None:
-        """Take what other nodes tell, or what is in the store."""
-        for request in told:
+    def merge_reports(self, reports: Iterable[RequestCrashes]) -> None:
+        """Merge the reports of other nodes, or the records of the store."""
+        for request in reports:
             before = self._ledger.told(request.fingerprint)
             ends = self._ledger.merge(request, trio.current_time())
             for end in ends:
                 self._announce(end)
             if self._ledger.told(request.fingerprint) != before:
-                excused_here = any(end.excused for end in ends)
-                self._note_changed(request.fingerprint, seen_here=excused_here)
+                discounted_here = any(end.excused for end in ends)
+                self._record_change(request.fingerprint, seen_here=discounted_here)
                 self._review(request.fingerprint, ANSWERED)
 
     def lift(self, fingerprint: bytes) -> None:
-        """Let a request run again: operators say so."""
+        """Let a request run again, by an operator's command."""
         if self._ledger.clear(fingerprint):
-            self._note_changed(fingerprint, seen_here=True)
+            self._record_change(fingerprint, seen_here=True)
             self._review(fingerprint, LIFTED)
 
-    async def settle(self, fingerprint: bytes, life: str) -> None:
-        """Wait for the look at an instance if one more end would have the request refused.
+    async def settle(self, fingerprint: bytes, instance_incarnation: str) -> None:
+        """Wait for the probe of an instance if its termination would have the request refused.
 
-        If one more has it refused, wait for the other nodes' word as well.
+        If the request is refused then, wait for the other nodes' reports as well.
         """
-        looking = self._looking.get(life)
-        if looking is not None and self._ledger.ends(fingerprint) >= ENDS_TO_REFUSE - 1:
-            with trio.move_on_after(SETTLING_SECONDS):
-                await looking.wait()
-        await self._hear_others(fingerprint)
+        probed = self._probing.get(instance_incarnation)
+        if probed is not None and self._ledger.ends(fingerprint) >= ENDS_TO_REFUSE - 1:
+            with trio.move_on_after(PROBE_WAIT_SECONDS):
+                await probed.wait()
+        await self._await_peer_reports(fingerprint)
 
     async def run(self) -> None:
-        """Look at instances, and forget what is too old, until cancelled."""
+        """Probe instances and drop expired records until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._expire)
             nursery.start_soon(self._verdicts.run)
-            async for life, look in self._due:
-                nursery.start_soon(self._look, life, look)
+            async for instance_incarnation, probe in self._due:
+                nursery.start_soon(self._probe, instance_incarnation, probe)
 
     async def _expire(self) -> None:
-        """Forget what is too old from time to time."""
+        """Drop expired records at intervals."""
         while True:
             await trio.sleep(EXPIRY_SECONDS)
             now = trio.current_time()
@@ -297,27 +316,27 @@
             for fingerprint in self._refused.union(self._ledger.repeated()):
                 self._review(fingerprint, EXPIRED)
 
-    def _begin_look(self, life: str, look: Look) -> None:
-        """Have an instance looked at; beyond the bound the end of its entry has to show it."""
+    def _begin_probe(self, instance_incarnation: str, probe: ProbeInstance) -> None:
+        """Have an instance probed; beyond the bound, only its unlisting shows a termination."""
         try:
-            self._looks.send_nowait((life, look))
+            self._probes.send_nowait((instance_incarnation, probe))
         except trio.WouldBlock:
             return
-        self._looking[life] = trio.Event()
+        self._probing[instance_incarnation] = trio.Event()
 
-    async def _look(self, life: str, look: Look) -> None:
-        """Look at an instance until it answers or has ended."""
+    async def _probe(self, instance_incarnation: str, probe: ProbeInstance) -> None:
+        """Probe an instance until it answers, has terminated or the probes are used up."""
         try:
-            for number in range(LOOKS):
+            for number in range(MAX_PROBES):
                 if number:
-                    await trio.sleep(LOOK_SPACING_SECONDS)
-                sign = await look()
+                    await trio.sleep(PROBE_SPACING_SECONDS)
+                sign = await probe()
                 if sign is InstanceSign.ENDED:
-                    self.note_terminated(life, EndEvidence.REFUSED)
+                    self.note_terminated(instance_incarnation, EndEvidence.REFUSED)
                 if sign is not InstanceSign.NO_ANSWER:
                     return
         finally:
-            self._looking.pop(life).set()
+            self._probing.pop(instance_incarnation).set()
 
     def _remember(self, request: RequestName) -> None:
         """Keep how a request is named in the log."""
@@ -326,24 +345,24 @@
         while len(self._names) > MAX_REQUESTS:
             self._names.popitem(last=False)
 
-    def _note_counted(self, end: CountedEnd) -> None:
-        """Log an end that this node has seen, and have it told to the others."""
+    def _record_counted(self, end: CountedEnd) -> None:
+        """Announce a termination that this node has seen, and have it published to the others."""
         self._announce(end)
-        self._note_changed(end.fingerprint, seen_here=True)
+        self._record_change(end.fingerprint, seen_here=True)
 
-    def _note_changed(self, fingerprint: bytes, *, seen_here: bool) -> None:
-        """Wake up those who keep or tell what is known."""
+    def _record_change(self, fingerprint: bytes, *, seen_here: bool) -> None:
+        """Notify the listeners and tasks that store or publish the records."""
         if seen_here:
             for listener in self._listeners:
                 listener(fingerprint)
-        self.wake()
+        self.notify_changed()
 
     def _announce(self, end: CountedEnd) -> None:
-        """Tell of an end that counts for a request, and of what follows for it and others."""
-        for listener in self._end_listeners:
+        """Notify listeners of a counted termination, log it, and review the requests it affects."""
+        for listener in self._termination_listeners:
             listener(end.crash.life)
         name = self.name(end.fingerprint)
-        if end.ends >= LOGGED_FROM_ENDS:
+        if end.ends >= MIN_LOGGED_TERMINATIONS:
             emit(
                 log_events.INSTANCE_ENDED_UNDER_REQUEST,
                 fingerprint=end.fingerprint.hex(),
@@ -361,8 +380,8 @@
         """Log when a request begins to be refused, or no longer is.
 
         Args:
-            fingerprint: Of the request.
-            reason: What may have released it.
+            fingerprint: Fingerprint of the request.
+            reason: Reason to log for a release.
         """
         refused = self.refused_seconds(fingerprint) > 0
         if refused and fingerprint not in self._refused:
--- a/hopstep/services/quarantine/reader.py
+++ b/hopstep/services/quarantine/reader.py
@@ -1,7 +1,7 @@
-"""Reads the kept requests that end engines from the store, where no directory is followed.
+"""Reads the records of requests that crash engines from the store, for routers without a directory.
 
-Every router reads them once when it starts, and as soon as the store answers. Later two routers
-read them for all, since operators may have allowed one; the others hear of that by gossip.
+Every router reads them once after its start, as soon as the store answers. After that two routers
+read them for all, since operators may have lifted one; the others receive that by gossip.
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 
 RETRY_SECONDS = 1.0
 POLL_SECONDS = 15.0
-"""Between two readings by each of two routers: one call in seven seconds of any cluster."""
+"""Mean time between two readings by each of two routers: a call in seven seconds for a cluster."""
 
 
 class QuarantineReader:
-    """Reads the keys."""
+    """Reads the keys of the records at intervals."""
 
     def __init__(
         self,
         records: QuarantineRecords,
         store: KeyValueStorePort,
-        reads: Callable[[], bool],
+        is_reader: Callable[[], bool],
         generator: random.Random,
     ) -> None:
-        """Join the parts.
+        """Prepare the reader; ``run`` does the work.
 
         Args:
-            records: Takes the keys.
-            store: The store.
-            reads: Whether this router reads for the others.
-            generator: Spreads calls.
+            records: Takes the keys and values.
+            store: Key-value store.
+            is_reader: Whether this router reads for the others.
+            generator: Spreads the calls of many routers.
         """
         self._records = records
         self._store = store
-        self._reads = reads
+        self._is_reader = is_reader
         self._generator = generator
         self._versions: dict[str, StorePlace] = {}
         self._has_read = False
@@ -50,7 +50,7 @@
         """Read until cancelled."""
         while True:
             wait = POLL_SECONDS
-            if self._reads() or not self._has_read:
+            if self._is_reader() or not self._has_read:
                 try:
                     await self._read()
                 except StoreError:
@@ -58,7 +58,7 @@
             await trio.sleep(wait * (0.5 + self._generator.random()))
 
     async def _read(self) -> None:
-        """Take the keys that have changed since the last reading, and those that are gone."""
+        """Pass on the keys that have changed or vanished since the last reading."""
         listing = await self._store.listing(QUARANTINE_PREFIX)
         self._has_read = True
         found = {value.key: value.version for value in listing.values}
--- a/hopstep/services/quarantine/records.py
+++ b/hopstep/services/quarantine/records.py
@@ -1,8 +1,8 @@
-"""What nodes know of requests that end instances, kept in the store for all nodes.
+"""Records of requests that crash instances, kept in the store for all nodes.
 
-A key for each request under which more than one instance has ended. So the knowledge outlasts any
-node that has it, also all of them at once, and nodes that start later read it with the rest. The
-keys are bound to a lease: nothing is left for good of a request that comes no more.
+There is a key for each request under which more than one instance has terminated. So the records
+outlast every node, even if all stop at once, and nodes that start later read them with the other
+keys. The keys are bound to a lease: the record of a request that isn't sent again expires.
 """
 
 from __future__ import annotations
@@ -24,52 +24,56 @@
 from hopstep.services.quarantine.quarantine import Quarantine
 
 QUARANTINE_PREFIX = "hopstep/quarantine/"
-"""A key for each request: this prefix and its fingerprint in hexadecimal digits."""
+"""Prefix of a request's key, followed by its fingerprint in hexadecimal digits."""
 
 LEASE_SECONDS = 600.0
-"""The platform's longest. Keys last for half of it at least."""
+"""Lease duration: the platform's longest. Keys last for at least half of it."""
 
 LEASE_USE_SECONDS = 300.0
-"""A lease that is older isn't used for another key."""
+"""Age above which a lease isn't used for further keys."""
 
-ENDS_TO_KEEP = 2
-"""One end says nothing about a request: most of those that it broke off just were there."""
+MIN_STORED_TERMINATIONS = 2
+"""A single termination says little about a request: most requests that it interrupts didn't cause
+it."""
 
 MAX_TRIALS = 1
-"""Runs that a refused request is allowed, over all nodes. Operators allow three after the third
-end: one may go to an end that another request explains, and one may be under way.
+"""Trials of a refused request, over all nodes. Operators allow three runs after the third
+termination: one may end in a termination that another request explains, and one may be in
+progress.
 """
 
 TRIAL_AFTER_SECONDS = 8.0
-"""After the last end under a request: longer than instances take to be back. An ordinary request
-that was under way when all instances of a service ended three times was refused for ten minutes.
+"""Wait after the last termination under a request: longer than instances take to restart. Otherwise
+an ordinary request that is in progress while all instances of a service terminate three times is
+refused for ten minutes.
 """
 
 CLAIM_SECONDS = 0.5
 """Longest wait for the store's answer to a claim, while the request waits."""
 
-GIVE_BACK_TRIES = 3
-"""Writes of others may come between."""
+MAX_RELEASE_ATTEMPTS = 3
+"""Attempts to release a trial: writes of other nodes may conflict."""
 
-GIVEN_BACK = "given_back"
-"""Reason of a run that its client left, or that reached no instance."""
+TRIAL_RELEASED = "given_back"
+"""Logged reason of a trial that its client abandoned, or that reached no instance."""
 
 RETRY_SECONDS = 0.3
 RECHECK_SECONDS = 1.0
-STAND_BACK_SECONDS = 2.0
-"""So long a node leaves it to the one that saw an end to write it; that one may be gone by then."""
+OBSERVER_WRITE_SECONDS = 2.0
+"""Time that the node which saw a termination has to write it; after that, others write it, as the
+observer may be gone."""
 
 
 class StoredRequest(msgspec.Struct, frozen=True):
-    """Value of a request's key; readable, since operators look here for the request.
+    """Value of a request's key; readable, as operators look requests up here.
 
     Attributes:
-        tenant: Its caller.
-        route: Its route.
-        crashes: Ends of instances under it.
-        cleared: Lives whose ends no longer count.
-        lifted: Written by operators: nothing that is known so far counts any longer.
-        trials: Runs that it was allowed although it is refused.
+        tenant: Caller of the request.
+        route: Route of the request.
+        crashes: Terminations of instances under it.
+        cleared: Incarnations whose terminations no longer count.
+        lifted: Set by operators: no termination recorded so far counts any longer.
+        trials: Trials that the request has used.
     """
 
     tenant: str = ""
@@ -81,7 +85,7 @@
 
 
 class _Stored(msgspec.Struct, frozen=True):
-    """What the store holds of a request; version ``ABSENT`` once the key has lapsed."""
+    """Record of a request in the store; version ``ABSENT`` once the key has expired."""
 
     version: StorePlace
     crashes: RequestCrashes
@@ -89,17 +93,17 @@
 
 
 class QuarantineRecords:
-    """Writes and reads the keys."""
+    """Writes and reads the records in the store."""
 
     def __init__(
         self, quarantine: Quarantine, store: KeyValueStorePort, generator: random.Random
     ) -> None:
-        """Join the parts.
+        """Connect the quarantine with the store; ``run`` writes the records.
 
         Args:
-            quarantine: What this node knows.
-            store: The store.
-            generator: Spreads retries.
+            quarantine: Terminations known to this node, by request.
+            store: Key-value store.
+            generator: Spreads the retries of many nodes.
         """
         self._quarantine = quarantine
         self._store = store
@@ -109,10 +113,10 @@
         self._lease: StoreLease | None = None
         self._lease_until = -float("inf")
         self._claiming: set[bytes] = set()
-        quarantine.offer_trials(self)
+        quarantine.set_trials(self)
 
     def wait_seconds(self, fingerprint: bytes) -> float:
-        """Return for how long no run may be claimed; infinite when none is left."""
+        """Return the seconds until a trial may be claimed; infinite when none is left."""
         stored = self._stored.get(fingerprint)
         if stored is None or stored.version == ABSENT or stored.trials >= MAX_TRIALS:
             return float("inf")
@@ -120,10 +124,10 @@
         return max(0.0, due_at - trio.current_time())
 
     async def claim(self, fingerprint: bytes) -> bool:
-        """Return whether this node, and no other, may run a refused request once.
+        """Claim a trial; return whether this node, and no other, may run a refused request once.
 
-        The claim counts when the store has acknowledged it. Without an answer it may be used up
-        for nothing; the request stays refused then, as it was.
+        The claim counts once the store has acknowledged it. Without an answer the trial may be
+        used up without a run; the request stays refused then.
         """
         if self.wait_seconds(fingerprint) > 0 or fingerprint in self._claiming:
             return False
@@ -138,12 +142,12 @@
             self._claiming.discard(fingerprint)
         return False
 
-    async def give_back(self, fingerprint: bytes) -> None:
-        """Allow a request one run more: the last one has shown nothing.
+    async def release(self, fingerprint: bytes) -> None:
+        """Allow a request another trial: the last one was inconclusive.
 
-        Without the store's answer the request stays refused, as it was.
+        Without the store's answer the request stays refused.
         """
-        for _ in range(GIVE_BACK_TRIES):
+        for _ in range(MAX_RELEASE_ATTEMPTS):
             stored = self._stored.get(fingerprint)
             if stored is None or stored.version == ABSENT or not stored.trials:
                 return
@@ -154,12 +158,12 @@
             except StoreError as error:
                 self._log_not_tried(fingerprint, error.code.value)
                 return
-            self._log_not_tried(fingerprint, GIVEN_BACK)
+            self._log_not_tried(fingerprint, TRIAL_RELEASED)
             return
 
     @staticmethod
     def _log_not_tried(fingerprint: bytes, reason: str) -> None:
-        """Log that a run that a refused request was allowed hasn't shown anything."""
+        """Log that a refused request's trial didn't run or was inconclusive."""
         emit(
             log_events.QUARANTINED_REQUEST_NOT_TRIED,
             fingerprint=fingerprint.hex(),
@@ -167,12 +171,12 @@
         )
 
     def apply_stored(self, key: str, value: bytes, version: StorePlace) -> None:
-        """Take a key as the store holds it.
+        """Apply the record of a key in the store.
 
         Args:
             key: The key, under ``QUARANTINE_PREFIX``.
-            value: Its value; empty when it is gone.
-            version: Place of the change.
+            value: Its value; empty when the key is gone.
+            version: Store position of the change.
         """
         try:
             fingerprint = bytes.fromhex(key.removeprefix(QUARANTINE_PREFIX))
@@ -188,17 +192,17 @@
             )
             return
         if stored is None:
-            self._note_lapsed(fingerprint)
+            self._record_expiry(fingerprint)
             return
-        told = RequestCrashes(fingerprint, stored.crashes, stored.cleared)
-        self._note_stored(fingerprint, _Stored(version, told, stored.trials))
+        recorded = RequestCrashes(fingerprint, stored.crashes, stored.cleared)
+        self._record_stored(fingerprint, _Stored(version, recorded, stored.trials))
         if stored.lifted:
             self._quarantine.lift(fingerprint)
         else:
-            self._quarantine.merge_reports([told])
+            self._quarantine.merge_reports([recorded])
 
     async def run(self) -> None:
-        """Write what the store lacks, until cancelled."""
+        """Write the records that the store lacks, until cancelled."""
         while True:
             changed = self._quarantine.changed
             try:
@@ -215,7 +219,7 @@
                 await changed.wait()
 
     def _due(self) -> list[bytes]:
-        """Return the requests that this node should write now."""
+        """Return the requests whose records this node should write now."""
         now = trio.current_time()
         missing = {
             fingerprint: missing_here
@@ -228,19 +232,20 @@
         return [
             fingerprint
             for fingerprint, seen_here in missing.items()
-            if seen_here or now - self._missing_since[fingerprint] >= STAND_BACK_SECONDS
+            if seen_here or now - self._missing_since[fingerprint] >= OBSERVER_WRITE_SECONDS
         ]
 
     def _missing(self, fingerprint: bytes) -> bool | None:
-        """Return whether this node saw what the store lacks of a request; None for nothing.
+        """Return whether this node saw what a request's record lacks; None if it lacks nothing.
 
-        What has lapsed in the store is written again by those that saw it, as long as they know of
-        it: a lease may end early, together with an outage. Others would keep it up for good.
+        A record that expired in the store is written again by the nodes that saw its terminations,
+        as long as they remember them: a lease may end early, during an outage. If the other nodes
+        wrote it too, it would never expire.
         """
         stored = self._stored.get(fingerprint)
         known = self._quarantine.known_crashes(fingerprint)
         in_store = stored.crashes if stored is not None else RequestCrashes(fingerprint)
-        if stored is None and self._quarantine.terminations(fingerprint) < ENDS_TO_KEEP:
+        if stored is None and self._quarantine.terminations(fingerprint) < MIN_STORED_TERMINATIONS:
             return None
         lacking = set(known.crashes) - set(in_store.crashes)
         cleared = set(known.cleared) - set(in_store.cleared)
@@ -253,11 +258,11 @@
         return own
 
     async def _write(self, fingerprint: bytes, trials: int = 0) -> None:
-        """Write all that is known of a request; what others wrote meanwhile is taken first.
+        """Write a request's record; on a conflict, apply the other node's record and raise.
 
         Args:
-            fingerprint: The request.
-            trials: Runs that it is allowed from now on, beside those of before.
+            fingerprint: Fingerprint of the request.
+            trials: Change of the number of used trials.
         """
         key = QUARANTINE_PREFIX + fingerprint.hex()
         stored = self._stored.get(fingerprint)
@@ -274,22 +279,22 @@
         except StoreConflictError:
             found = await self._store.get(key)
             if found is None:
-                self._note_lapsed(fingerprint)
+                self._record_expiry(fingerprint)
             else:
                 self.apply_stored(key, found.value, found.version)
             raise
-        self._note_stored(fingerprint, _Stored(version, known, trials))
+        self._record_stored(fingerprint, _Stored(version, known, trials))
 
     async def _current_lease(self) -> StoreLease:
-        """Return a lease that is young enough for one more key."""
+        """Return a lease that is recent enough for another key."""
         now = trio.current_time()
         if self._lease is None or now >= self._lease_until:
             self._lease = await self._store.grant_lease(LEASE_SECONDS)
             self._lease_until = now + LEASE_USE_SECONDS
         return self._lease
 
-    def _note_stored(self, fingerprint: bytes, stored: _Stored) -> None:
-        """Note what the store holds, unless something newer is known."""
+    def _record_stored(self, fingerprint: bytes, stored: _Stored) -> None:
+        """Remember a stored record, unless a newer one is known."""
         known = self._stored.get(fingerprint)
         if known is not None and known.version > stored.version:
             return
@@ -300,19 +305,19 @@
         while len(self._stored) > MAX_REQUESTS:
             self._stored.popitem(last=False)
 
-    def _note_lapsed(self, fingerprint: bytes) -> None:
-        """Note that the store no longer holds a request."""
+    def _record_expiry(self, fingerprint: bytes) -> None:
+        """Remember that the store no longer holds a request's record."""
         known = self._stored.get(fingerprint)
         if known is not None:
-            lapsed = _Stored(ABSENT, RequestCrashes(fingerprint), known.trials)
-            self._stored[fingerprint] = lapsed
-            self._quarantine.wake()
+            expired = _Stored(ABSENT, RequestCrashes(fingerprint), known.trials)
+            self._stored[fingerprint] = expired
+            self._quarantine.notify_changed()
 
 
 def _restored(known: _Stored, stored: _Stored) -> _Stored:
-    """Return what a store that was restored holds: runs that were used up stay used up.
+    """Return a record of a store that was restored from a backup, with all trials used so far.
 
-    Where it shows fewer of them it counts as lacking the rest too, so that it is written again.
+    A record that shows fewer trials counts as without terminations, so that it is written again.
     """
     if stored.trials >= known.trials:
         return stored
--- a/hopstep/services/quarantine/trial_verdicts.py
+++ b/hopstep/services/quarantine/trial_verdicts.py
@@ -1,8 +1,8 @@
-"""Whether the single run that a refused request was allowed has shown anything.
+"""Decides whether the trial of a refused request, a single run, was conclusive.
 
-It has when it was answered whole, or when an instance that it reached has ended. A run that its
-client left, or that reached no instance, shows nothing: it is given back, so that an ordinary
-request isn't refused for ten minutes because one client had no patience.
+It was if the request got a complete response, or if an instance that it reached has terminated. A
+trial that its client abandoned, or that reached no instance, is inconclusive: it is released, so
+that an ordinary request isn't refused for ten minutes because one client didn't wait.
 """
 
 from __future__ import annotations
@@ -15,72 +15,75 @@
 from hopstep.domain.quarantine.crashes import InstanceSign
 
 VERDICT_SECONDS = 8.0
-"""After a run without an answer, for the end of an instance that it reached to be seen: its port is
-closed within 0.2 s, its entry lapses after 3.6 s, and both may take twice as long."""
+"""Time after a trial without a response until it is judged, for the termination of an instance that
+it reached to be seen: its port is closed within 0.2 s, its entry expires after 3.6 s, and both may
+take twice as long."""
 
 VERDICT_CHECK_SECONDS = 1.0
-"""Between two looks for runs that are due."""
+"""Time between two checks for trials that are due."""
 
-Look = Callable[[], Awaitable[InstanceSign]]
-"""Looks at an instance once."""
+ProbeInstance = Callable[[], Awaitable[InstanceSign]]
+"""Probes an instance once."""
 
-GiveBack = Callable[[bytes], Awaitable[None]]
-"""Allows a request one run more."""
+ReleaseTrial = Callable[[bytes], Awaitable[None]]
+"""Allows a request another trial."""
 
 
 class _Trial(msgspec.Struct):
-    """One run: the lives of instances that it reached, and when it is judged if it has ended."""
+    """One trial: probes of the instances that it reached, and when it is judged after its end."""
 
-    lives: dict[str, Look | None] = {}
+    reached: dict[str, ProbeInstance | None] = {}
     due_at: float = float("inf")
 
 
 class TrialVerdicts:
-    """Follows this node's trials to their verdicts."""
+    """Follows this node's trials until their verdicts."""
 
     def __init__(self) -> None:
-        """Follow none."""
+        """Start without trials."""
         self._trials: dict[bytes, _Trial] = {}
-        self._give_back: GiveBack | None = None
+        self._release: ReleaseTrial | None = None
 
-    def offer(self, give_back: GiveBack) -> None:
-        """Set what allows another run."""
-        self._give_back = give_back
+    def set_release(self, release: ReleaseTrial) -> None:
+        """Set the function that allows a request another trial."""
+        self._release = release
 
     def begin(self, fingerprint: bytes) -> None:
         """Follow a trial that was just claimed."""
         self._trials[fingerprint] = _Trial()
 
-    def note_reached(self, fingerprint: bytes, life: str, look: Look | None) -> None:
-        """Note that a trial may have run at an instance, and gave no whole answer there.
+    def note_reached(
+        self, fingerprint: bytes, instance_incarnation: str, probe: ProbeInstance | None
+    ) -> None:
+        """Record that a trial may have run at an instance, without a complete response.
 
         Args:
-            fingerprint: The request.
-            life: The instance.
-            look: Looks whether it has ended; None when nothing but the directory says so.
+            fingerprint: Fingerprint of the request.
+            instance_incarnation: Incarnation of the instance.
+            probe: Probes whether it has terminated; None when only the directory shows that.
         """
         trial = self._trials.get(fingerprint)
         if trial is not None:
-            trial.lives[life] = look or trial.lives.get(life)
+            trial.reached[instance_incarnation] = probe or trial.reached.get(instance_incarnation)
 
     def end(self, fingerprint: bytes, now: float) -> None:
-        """Note that a trial is over."""
+        """Record the end of a trial's run."""
         trial = self._trials.get(fingerprint)
         if trial is not None:
             trial.due_at = now + VERDICT_SECONDS
 
     def forget(self, fingerprint: bytes) -> None:
-        """Follow a trial no longer: it has shown something."""
+        """Stop following a trial: it was conclusive."""
         self._trials.pop(fingerprint, None)
 
-    def note_ended(self, life: str) -> None:
-        """Note the end of an instance: trials that reached it have shown something."""
+    def note_terminated(self, instance_incarnation: str) -> None:
+        """Record the termination of an instance: trials that reached it were conclusive."""
         for fingerprint, trial in list(self._trials.items()):
-            if life in trial.lives:
+            if instance_incarnation in trial.reached:
                 self.forget(fingerprint)
 
     async def run(self) -> None:
-        """Give back runs that have shown nothing, until cancelled."""
+        """Release inconclusive trials until cancelled."""
         while True:
             await trio.sleep(VERDICT_CHECK_SECONDS)
             now = trio.current_time()
@@ -89,10 +92,10 @@
                 await self._judge(fingerprint)
 
     async def _judge(self, fingerprint: bytes) -> None:
-        """Give a run back, unless an instance that it reached may have ended under it."""
+        """Release a trial, unless an instance that it reached may have terminated."""
         trial = self._trials.pop(fingerprint)
-        for look in trial.lives.values():
-            if look is not None and await look() is not InstanceSign.ANSWERS:
+        for probe in trial.reached.values():
+            if probe is not None and await probe() is not InstanceSign.ANSWERS:
                 return
-        if self._give_back is not None:
-            await self._give_back(fingerprint)
+        if self._release is not None:
+            await self._release(fingerprint)
--- a/tests/services/quarantine/test_quarantine.py
+++ b/tests/services/quarantine/test_quarantine.py
@@ -20,10 +20,10 @@
     RequestName,
 )
 from hopstep.domain.store_place import StorePlace
-from hopstep.services.quarantine.quarantine import EXPIRY_SECONDS, HEARING_SECONDS, Quarantine
+from hopstep.services.quarantine.quarantine import EXPIRY_SECONDS, PEER_REPORT_SECONDS, Quarantine
 from hopstep.services.quarantine.records import (
     QUARANTINE_PREFIX,
-    STAND_BACK_SECONDS,
+    OBSERVER_WRITE_SECONDS,
     TRIAL_AFTER_SECONDS,
     QuarantineRecords,
 )
@@ -130,7 +130,7 @@
         """Refuse a request at all nodes, and let them write and read the store."""
         for quarantine in quarantines:
             quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", seen_by=seen_by)])
-        await trio.sleep(2 * STAND_BACK_SECONDS)
+        await trio.sleep(2 * OBSERVER_WRITE_SECONDS)
         stored = await store.get(QUARANTINE_PREFIX + FATAL.hex())
         for part in records:
             part.apply_stored(stored.key, stored.value, stored.version)
@@ -331,7 +331,7 @@
             quarantine.merge_reports([told(FATAL, "i1", "i2", "i3")])
 
             async def excuse():
-                await trio.sleep(HEARING_SECONDS / 2)
+                await trio.sleep(PEER_REPORT_SECONDS / 2)
                 quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", cleared=("i3",))])
 
             async with trio.open_nursery() as nursery:
@@ -347,7 +347,7 @@
             began_at = trio.current_time()
             for _ in range(2):
                 await quarantines[0].settle(FATAL, "i3")
-                self.assertEqual(trio.current_time() - began_at, HEARING_SECONDS)
+                self.assertEqual(trio.current_time() - began_at, PEER_REPORT_SECONDS)
             self.assertGreater(await quarantines[0].admit(FATAL), 0.0)
 
         self.run_script(script)
