--- a/hopstep/services/configuration/__init__.py
+++ b/hopstep/services/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps the configuration in force, and submits changes to it."""
+"""Holds the configuration in force, synchronizes it, and submits changes to it."""
--- a/hopstep/services/configuration/holder.py
+++ b/hopstep/services/configuration/holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this node: only ever replaced by a higher revision."""
+"""Holder of the configuration in force at this node; only a higher revision replaces it."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         return True
 
     def subscribe(self, listener: Listener) -> None:
-        """Call ``listener`` on every new revision, and at once with the current one."""
+        """Call ``listener`` with every new revision, and at once with the current one."""
         self._listeners.append(listener)
         if self._in_force is not None:
             listener(self._in_force.accepted)
--- a/hopstep/services/configuration/rate_limit_retry.py
+++ b/hopstep/services/configuration/rate_limit_retry.py
@@ -1,7 +1,7 @@
-"""A key-value store whose rate limit is waited out.
+"""A key-value store wrapper that repeats rate-limited calls.
 
-A rate-limited call has had no effect, so that any call may be repeated. Without this, a sequence
-of calls would start over at each refusal and might never come to its end.
+A rate-limited call has had no effect, so that any call may be repeated. Otherwise a sequence of
+calls starts over at each refusal and may never finish.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 MIN_WAIT_SECONDS = 0.1
 MAX_WAIT_SECONDS = 1.5
 MAX_TOTAL_SECONDS = 8.0
+"""Longest time for the repeats of one call."""
 
 Result = TypeVar("Result")
 
 
 class RateLimitRetryStore(KeyValueStorePort):
-    """Repeats rate-limited calls for some seconds; every other error is passed on at once."""
+    """Repeats rate-limited calls for some seconds; every other error is raised at once."""
 
     def __init__(self, store: KeyValueStorePort, rng: random.Random) -> None:
-        """Work on ``store``; ``rng`` spreads the repeats of many clients."""
+        """Wrap ``store``; ``rng`` spreads the repeats of many clients."""
         self._store = store
         self._rng = rng
 
@@ -56,7 +57,7 @@
         await self._retry(lambda: self._store.delete(key, expected_version))
 
     async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
-        """Return changes after a place; see the port."""
+        """Return changes after a store position; see the port."""
         return await self._retry(lambda: self._store.watch(prefix, after, wait_seconds))
 
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
--- a/hopstep/services/configuration/restoration.py
+++ b/hopstep/services/configuration/restoration.py
@@ -1,7 +1,7 @@
-"""Brings a restored store and the configuration in force at this router together.
+"""Reconciles a store that was restored from a backup with this router's configuration in force.
 
-Routers restore side by side: places are created only where they are free, and changes that make up
-for the restore have the same identity wherever they are made.
+Routers reconcile concurrently: they append only at free revisions, and the changes that make up
+for the restore have the same identity whichever router creates them.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from hopstep.services.configuration.store import ConfigurationHistory, ConfigurationStore
 
 MAX_ROUNDS = 8
-"""Readings of the store by one restoration: others may write the same at the same time."""
+"""Most readings of the store by one restoration: others may write the same at the same time."""
 
 
 class ConfigurationRestoration:
-    """Compares, writes again, and tells what can't be.
+    """Compares the sequences, writes lost changes again, and logs those that can't be written.
 
     Attributes:
-        displaced: Accepted changes that are lost since others have their places.
+        displaced: Accepted changes that are lost, as other changes have their revisions.
     """
 
     def __init__(self, holder: ConfigurationHolder, store: ConfigurationStore) -> None:
-        """Join the parts.
+        """Connect the holder and the store; ``run`` does the work.
 
         Args:
-            holder: What is in force here.
+            holder: Configuration in force at this router.
             store: Accepted sequence.
         """
         self.displaced: tuple[DisplacedChange, ...] = ()
@@ -40,13 +40,13 @@
         self._era: int | None = None
 
     def is_due(self) -> bool:
-        """Return whether the store has entered an era in which it wasn't compared yet."""
+        """Return whether the store is in an era for which it wasn't compared yet."""
         if self._era is None:
             self._era = self._store.era
         return self._store.era > self._era and self._holder.current is not None
 
     async def is_due_after_failure(self) -> bool:
-        """Return the same after a reading that failed: a copy may be too old to be read on.
+        """Return the same after a failed reading: a backup may be older than the revision in force.
 
         Raises:
             StoreError: When the store is down.
@@ -55,10 +55,10 @@
         return self.is_due()
 
     async def run(self, held: Sequence[AcceptedChange]) -> ConfigurationHistory | None:
-        """Restore, and return the store's sequence if the router must go on from it.
+        """Reconcile, and return the store's sequence if the router must adopt it.
 
         Args:
-            held: The last changes that led to what is in force.
+            held: The last changes before the configuration in force.
 
         Raises:
             StoreError: When the store is down, or others write at the same time for too long.
@@ -69,13 +69,13 @@
             own = self._holder.require()
             plan = plan_restoration(own, held, history.changes, history.latest, era)
             if await self._append(plan.rewrite):
-                self._tell(plan.displaced, era)
+                self._record_displaced(plan.displaced, era)
                 self._era = era
                 return await self._store.read_history() if plan.displaced else None
         return None
 
     async def _append(self, changes: Sequence[AcceptedChange]) -> bool:
-        """Append changes; return False when others have written meanwhile."""
+        """Append changes; return False when others have written in between."""
         for item in changes:
             try:
                 await self._store.append(item.change)
@@ -90,8 +90,8 @@
             )
         return True
 
-    def _tell(self, displaced: Sequence[DisplacedChange], era: int) -> None:
-        """Log what is lost, and keep it for operators who ask."""
+    def _record_displaced(self, displaced: Sequence[DisplacedChange], era: int) -> None:
+        """Log the lost changes, and keep them for operators' queries."""
         for item in displaced:
             emit(
                 CONFIGURATION_CHANGE_DISPLACED,
--- a/hopstep/services/configuration/snapshots.py
+++ b/hopstep/services/configuration/snapshots.py
@@ -1,8 +1,8 @@
 """Snapshots of the configuration in the key-value store.
 
-A snapshot's manifest is written after all of its chunks, so a manifest that can be read names a
-whole snapshot. Chunk keys hold the digest of the content: writers that race, even of different
-releases, never mix their chunks.
+A snapshot's manifest is written after all of its chunks, so a readable manifest belongs to a
+complete snapshot. Chunk keys contain the digest of the content: concurrent writers, even of
+different releases, never mix their chunks.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 CHUNKS_PREFIX = "configuration/snapshot_chunks/"
 CHUNK_BYTES = 512 * 1024
 SNAPSHOT_INTERVAL = 256
-"""Changes between two snapshots."""
+"""Number of changes between two snapshots."""
 
 KEPT_SNAPSHOTS = 2
 REVISION_DIGITS = 12
@@ -31,10 +31,10 @@
 
 
 class SnapshotManifest(msgspec.Struct, frozen=True):
-    """Where a snapshot is.
+    """Description of a stored snapshot.
 
     Attributes:
-        revision: Its revision.
+        revision: Revision of the configuration.
         chunks: Number of chunks.
         digest: Hex BLAKE2b of the content.
     """
@@ -45,7 +45,7 @@
 
 
 def revision_text(revision: int) -> str:
-    """Return a revision so that texts sort as numbers."""
+    """Return a revision as text of fixed width, so that texts sort as numbers."""
     return f"{revision:0{REVISION_DIGITS}d}"
 
 
@@ -53,7 +53,7 @@
     """Reads and writes snapshots; every method raises ``StoreError`` when the store is down."""
 
     def __init__(self, store: KeyValueStorePort, interval: int = SNAPSHOT_INTERVAL) -> None:
-        """Work on ``store``, with a snapshot every ``interval`` changes."""
+        """Use ``store``, with a snapshot every ``interval`` changes."""
         self._store = store
         self.interval = interval
 
@@ -66,16 +66,16 @@
         """Return a snapshot.
 
         Raises:
-            StoreError: When the store is down, or chunks are gone or don't fit the manifest.
+            StoreError: When the store is down, or chunks are missing or don't match the manifest.
         """
         content = bytearray()
         for index in range(manifest.chunks):
             chunk = await self._store.get(_chunk_key(manifest, index))
             if chunk is None:
-                raise _broken(manifest)
+                raise _incomplete(manifest)
             content += chunk.value
         if _digest(bytes(content)) != manifest.digest:
-            raise _broken(manifest)
+            raise _incomplete(manifest)
         return decode_snapshot(bytes(content))
 
     async def write_if_due(self, accepted: AcceptedConfiguration) -> int | None:
@@ -108,7 +108,7 @@
         return manifest
 
     async def _create(self, key: str, value: bytes) -> None:
-        """Create a key; one that another writer created is as good."""
+        """Create a key; one that another writer created has the same content."""
         try:
             await self._store.compare_and_swap(key, ABSENT, value)
         except StoreConflictError:
@@ -124,7 +124,7 @@
                 await self._delete_value(value)
 
     async def _delete_value(self, value: StoredValue) -> None:
-        """Delete a value; one that another writer deleted is as good."""
+        """Delete a value, unless another writer has deleted or replaced it."""
         try:
             await self._store.delete(value.key, value.version)
         except StoreConflictError:
@@ -142,7 +142,7 @@
 
 
 def _decode_manifest(value: StoredValue) -> SnapshotManifest:
-    """Return the manifest of a value."""
+    """Return the manifest decoded from a stored value."""
     return convert_document(cbor2.loads(value.value), SnapshotManifest)
 
 
@@ -151,8 +151,8 @@
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _broken(manifest: SnapshotManifest) -> StoreError:
-    """Return the error for a snapshot that can't be read whole."""
+def _incomplete(manifest: SnapshotManifest) -> StoreError:
+    """Return the error for a snapshot that can't be read completely."""
     return StoreError(
         ErrorCode.STORE_UNAVAILABLE, f"snapshot {manifest.revision} can't be read whole"
     )
--- a/hopstep/services/configuration/store.py
+++ b/hopstep/services/configuration/store.py
@@ -1,8 +1,8 @@
-"""The accepted sequence in the key-value store.
+"""The sequence of accepted changes in the key-value store.
 
-Revision n is accepted exactly when the key of change n is created; no other key has to agree.
-Trimmed changes leave an empty value behind and never vanish: a writer that was paused for long
-could otherwise create an old place a second time and believe its change accepted.
+Revision n is accepted exactly when the key of change n is created; no other key matters. The keys
+of trimmed changes stay, with an empty value: otherwise a writer that was paused for long could
+create the key of an old revision a second time and take its change for accepted.
 """
 
 from __future__ import annotations
@@ -32,8 +32,10 @@
 
 CHANGES_PREFIX = "configuration/changes/"
 LIST_LIMIT = 200
+"""Changes read in one call to the store."""
+
 TRIMMED = b""
-"""Value that a trimmed change leaves behind."""
+"""Value of a trimmed change's key."""
 
 
 class ConfigurationHistory(msgspec.Struct, frozen=True):
@@ -50,7 +52,7 @@
     changes: tuple[AcceptedChange, ...]
 
     def find(self, change_id: str) -> AcceptedChange | None:
-        """Return the retained change of that identity, or None."""
+        """Return the retained change with that identity, or None."""
         return next((item for item in self.changes if item.change.change_id == change_id), None)
 
     def after(self, revision: int) -> tuple[AcceptedChange, ...]:
@@ -66,10 +68,10 @@
 
 
 class ConfigurationStore:
-    """Reads and appends the accepted sequence; raises ``StoreError`` with the store down.
+    """Reads and appends accepted changes; raises ``StoreError`` when the store is down.
 
     Attributes:
-        era: How often the store had been restored from a copy, by the newest listing.
+        era: How often the store had been restored from a backup, by the newest listing.
     """
 
     def __init__(
@@ -78,7 +80,7 @@
         rng: random.Random,
         snapshot_interval: int = SNAPSHOT_INTERVAL,
     ) -> None:
-        """Work on ``store``.
+        """Use ``store``.
 
         Args:
             store: Key-value service.
@@ -91,11 +93,11 @@
         self.snapshots = ConfigurationSnapshots(self._store, snapshot_interval)
 
     async def read_latest(self, after: int = 0) -> ConfigurationTransfer:
-        """Return what leads from revision ``after`` to the latest one.
+        """Return the changes or snapshot that lead from revision ``after`` to the latest one.
 
         Raises:
-            StoreError: When the store is down or rate-limits, or when its answer is older than
-                revision ``after``, which it must know.
+            StoreError: When the store is down or rate-limits, or when its answer is stale: older
+                than revision ``after``.
             ValidationError: When a stored change or snapshot can't be decoded.
         """
         if after > 0:
@@ -114,7 +116,7 @@
         return ConfigurationTransfer(snapshot, changes)
 
     async def read_era(self) -> None:
-        """Learn the era of the store's answers, from the first change.
+        """Update ``era`` from the first change in the store.
 
         Raises:
             StoreError: When the store is down.
@@ -126,7 +128,7 @@
         """Return the latest revision and every retained change.
 
         Raises:
-            StoreError: When the store is down, or its answers don't fit together.
+            StoreError: When the store is down, or its answers are inconsistent.
         """
         for manifest in await self.snapshots.manifests():
             values = await self._list_changes(manifest.revision)
@@ -141,7 +143,7 @@
             The accepted revision.
 
         Raises:
-            StoreConflictError: When another change has that place.
+            StoreConflictError: When another change has that revision.
             StoreOutcomeUnknownError: When the answer was lost.
             StoreError: When the store is down; nothing was written.
         """
@@ -150,7 +152,7 @@
         return revision
 
     async def wait_for_change(self, wait_seconds: float) -> None:
-        """Wait until a change may have come, or ``wait_seconds``.
+        """Wait until there may be a new change, at most ``wait_seconds``.
 
         Raises:
             StoreError: When the store is down.
@@ -159,10 +161,13 @@
         self._watched = max(batch.place, self._watched)
 
     async def maintain(self, accepted: AcceptedConfiguration) -> bool:
-        """Write a snapshot when one is due, and trim below an older one; return if written.
+        """Write a snapshot when one is due, and trim changes below an older one.
+
+        Returns:
+            Whether a snapshot was written.
 
         Raises:
-            StoreError: When the store is down; what was written so far does no harm.
+            StoreError: When the store is down; the writes made before that do no harm.
         """
         floor = await self.snapshots.write_if_due(accepted)
         if floor is None:
@@ -203,7 +208,7 @@
 
 
 def _contiguous(values: list[StoredValue], after: int) -> tuple[AcceptedChange, ...]:
-    """Return the changes that follow ``after`` without a gap; trimmed ones are gaps."""
+    """Return the changes that follow ``after`` without a gap; a trimmed change is a gap."""
     changes: list[AcceptedChange] = []
     for expected, value in enumerate(values, start=after + 1):
         if _revision_of(value) != expected or value.value == TRIMMED:
--- a/hopstep/services/configuration/submission.py
+++ b/hopstep/services/configuration/submission.py
@@ -1,8 +1,8 @@
-"""Submission of changes: accepted, rejected or unknown, said truthfully.
+"""Submission of changes, with a proved outcome: accepted, rejected or unknown.
 
-A change moves on to the next place of the sequence only after its former place was seen held by
-another change. So it can't be accepted twice: not when an answer is lost, not when a request
-arrives late, and not when the same ``change_id`` is submitted by two processes at once.
+A change is sent at the next revision only after another change was seen at its former revision. So
+it can't be accepted twice: not when an answer is lost, not when a request arrives late, and not
+when the same ``change_id`` is submitted by two processes at once.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class SubmitStatus(enum.StrEnum):
-    """What is known of a submitted change."""
+    """Outcome of a submitted change."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -39,15 +39,15 @@
 
 
 class SubmitOutcome(msgspec.Struct, frozen=True):
-    """The truth about a submitted change.
+    """The proved outcome of a submitted change.
 
     Attributes:
         status: Accepted; rejected, which means that it is not in the sequence and this call
             will not add it; or unknown.
-        revision: Revision that it made, when accepted.
+        revision: Revision of the change, when accepted.
         conflicts: Items that other accepted changes edited differently.
-        problems: Rules that the document would break.
-        message: One sentence for a person.
+        problems: Validation rules that the document would violate.
+        message: Explanation for the operator.
     """
 
     status: SubmitStatus
@@ -60,18 +60,18 @@
 async def submit_change(
     store: ConfigurationStore, change: Change, timeout_seconds: float = SUBMIT_TIMEOUT_SECONDS
 ) -> SubmitOutcome:
-    """Append a change, rebased if others came first, and tell the truth about it.
+    """Append a change, rebased if others came first, and return its proved outcome.
 
-    With the store down the call waits for it, up to the timeout. Submitting the same
-    ``change_id`` with the same base again finds out what became of it.
+    While the store is down the call waits, up to the timeout. Submitting the same ``change_id``
+    with the same base again determines the outcome of the first call.
 
     Args:
         store: Accepted sequence.
         change: Change with at most one edit for each item.
-        timeout_seconds: Longest time for settling.
+        timeout_seconds: Longest time for reaching an outcome.
 
     Raises:
-        StoreError: When nothing could be settled in time and this call had no effect.
+        StoreError: When no outcome was reached in time and this call had no effect.
     """
     submission = _Submission(store, change)
     with trio.move_on_after(timeout_seconds):
@@ -89,7 +89,7 @@
     """One run of ``submit_change``.
 
     Attributes:
-        pending: The change as it was sent, while its place isn't known to be held by another.
+        pending: The change as it was sent, until another change is seen at its revision.
     """
 
     def __init__(self, store: ConfigurationStore, change: Change) -> None:
@@ -98,7 +98,7 @@
         self.pending: Change | None = None
 
     async def run(self) -> SubmitOutcome:
-        """Try until the outcome is known."""
+        """Repeat until the outcome is known."""
         delay = RETRY_SECONDS
         while True:
             outcome = await self._try_once()
@@ -108,7 +108,7 @@
             delay = min(delay * 2, MAX_RETRY_SECONDS)
 
     async def _try_once(self) -> SubmitOutcome | None:
-        """Read, then settle, reject or append; None to try again."""
+        """Read the sequence, then accept, reject or append; None to try again."""
         try:
             history = await self._store.read_history()
         except StoreError:
@@ -117,14 +117,14 @@
             return await self._append(self.pending)
         found = history.find(self._change.change_id)
         if found is not None:
-            return self._settle(found)
+            return self._outcome_of(found)
         oldest_base = min(item.base_revision for item in (self._change, self.pending) if item)
         if oldest_base < history.base.revision:
             return _too_old(history)
         if self._change.base_revision > history.latest.revision:
-            # The answer is older than the one that the base was taken from.
+            # Stale answer: older than the one that the base was taken from.
             return None
-        # Every place after the base is held by another change: what was sent has failed.
+        # Other changes have all revisions after the base: the pending change has failed.
         self.pending = None
         rejection = self._reject(history)
         if rejection is not None:
@@ -132,21 +132,21 @@
         return await self._append(rebase(self._change, history.latest.revision))
 
     async def _append(self, change: Change) -> SubmitOutcome | None:
-        """Send the change; None when its place is taken or the answer isn't known."""
+        """Send the change; None when its revision is taken or the answer was lost."""
         pending_before = self.pending
-        # Set first: a timeout may cancel the call after the store has taken it.
+        # Set first: a timeout may cancel the call after the store has accepted the change.
         self.pending = change
         try:
             revision = await self._store.append(change)
         except StoreOutcomeUnknownError:
             return None
         except StoreError:
-            # This request had no effect, but an earlier one at the same place may have had.
+            # This request had no effect, but an earlier one at the same revision may have had.
             self.pending = pending_before
             return None
         return SubmitOutcome(SubmitStatus.ACCEPTED, revision)
 
-    def _settle(self, found: AcceptedChange) -> SubmitOutcome:
+    def _outcome_of(self, found: AcceptedChange) -> SubmitOutcome:
         """Return the outcome of a change whose identity is in the sequence."""
         if found.change.edits == self._change.edits:
             return SubmitOutcome(SubmitStatus.ACCEPTED, found.revision)
@@ -179,7 +179,7 @@
 
 
 def _too_old(history: ConfigurationHistory) -> SubmitOutcome:
-    """Return the outcome of a change whose fate may lie before the retained sequence."""
+    """Return the outcome of a change that may have been accepted before the retained sequence."""
     return SubmitOutcome(
         SubmitStatus.UNKNOWN,
         message=(
--- a/hopstep/services/configuration/sync.py
+++ b/hopstep/services/configuration/sync.py
@@ -1,14 +1,14 @@
 """Keeps the configuration of this router at the highest accepted revision.
 
-A few routers read the store; all take revisions from peers that show a higher one. Nothing ever
-goes back: a stale answer of the store or of a peer leaves the revision in force as it is.
+A few routers read the store; all take revisions from peers that announce a higher one. The revision
+never decreases: a stale answer of the store or of a peer leaves the revision in force as it is.
 
-Readers may be alive and yet have lost the store. So routers don't go by who should read it: one
-whose revision nobody has confirmed for some seconds reads the store itself, a few of them a second.
+Readers may be alive and yet unable to reach the store. So other routers read it too: one whose
+revision hasn't been confirmed for some seconds reads the store itself, a few routers a second.
 
-With the store down the configuration in force stays, revisions that any live router holds still
+While the store is down the configuration in force stays, revisions that any live router holds still
 spread among peers, and a starting router takes its first configuration from them. A router that
-starts while no peer has a configuration stays not ready until the store answers.
+starts while no peer has a configuration isn't ready until the store answers.
 """
 
 from __future__ import annotations
@@ -52,10 +52,10 @@
     Attributes:
         poll_seconds: Longest time between two reads of the store by a reader.
         reader_check_seconds: Time between two checks of whether this node should read.
-        unconfirmed_seconds: A node that isn't a reader reads too when its revision was confirmed
-            by nobody for so long: more than a reader's poll and the spread of its news take, and
-            little enough for a change to be in force everywhere within 14 s.
-        other_reads_per_second: Reads by all such nodes together.
+        unconfirmed_seconds: Time without a confirmation of its revision after which a node that
+            isn't a reader reads too: more than a reader's poll and the spread of its updates
+            take, and little enough for a change to be in force everywhere within 14 s.
+        other_reads_per_second: Limit on the reads by all nodes that aren't readers.
         min_backoff_seconds: First wait after a failure.
         max_backoff_seconds: Longest wait after failures.
         peer_timeout_seconds: Longest wait for a peer's answer.
@@ -92,7 +92,7 @@
         rng: random.Random,
         config: SyncConfig = DEFAULT_SYNC_CONFIG,
     ) -> None:
-        """Create the service; ``run`` does the work.
+        """Prepare the service; ``run`` does the work.
 
         Args:
             holder: Receives every new revision.
@@ -100,8 +100,8 @@
             peer_configuration: Calls to peers.
             is_reader: Whether this node reads the store now; a node without a configuration
                 reads in any case.
-            live_peers: Names of live peers.
-            rng: Jitter and choice of peers.
+            live_peers: Returns the names of live peers.
+            rng: Source of jitter and of the choice of peers.
             config: Times and sizes.
         """
         self._holder = holder
@@ -120,7 +120,7 @@
 
     @property
     def displaced(self) -> tuple[DisplacedChange, ...]:
-        """Accepted changes that a restore of the store has taken away for good."""
+        """Accepted changes that are permanently lost by a restore of the store."""
         return self._restoration.displaced
 
     async def run(self) -> None:
@@ -134,7 +134,7 @@
     def latest_revision_hint(
         self, revision: int, peer: str, confirmed_age_seconds: float = float("inf")
     ) -> None:
-        """Take note of the revision that a peer shows; returns at once.
+        """Record the revision that a peer announces; returns at once.
 
         Args:
             revision: Revision in force at the peer.
@@ -152,14 +152,14 @@
     def seconds_since_confirmed(self) -> float:
         """Return the age of the latest proof that the revision in force was the latest one.
 
-        Infinite before the first proof. A proof is a read of the store, here or at a peer that
-        told of it. It grows while the store is down, everywhere: the caller combines it with
-        the membership's majority before it refuses anything.
+        Infinite before the first proof. A proof is a read of the store, here or by a peer that
+        announced it. While the store is down the age grows at all routers: the caller combines it
+        with the membership's majority before it refuses anything.
         """
         return trio.current_time() - self._confirmed_at
 
     def transfer(self, after_revision: int) -> ConfigurationTransfer:
-        """Return what leads a peer from ``after_revision`` to the revision in force here."""
+        """Return the changes or snapshot from ``after_revision`` to the revision in force here."""
         current = self._holder.current
         if current is None or after_revision >= current.revision:
             return ConfigurationTransfer()
@@ -169,7 +169,7 @@
         return ConfigurationTransfer(snapshot=current)
 
     async def _read_store(self) -> None:
-        """Read the store while this node is a reader, or while nobody else confirms anything."""
+        """Read the store while this node is a reader, or while no peer confirms the revision."""
         backoff = self._config.min_backoff_seconds
         while True:
             follows = self._follows_store()
@@ -186,15 +186,15 @@
                 backoff = min(backoff * 2, self._config.max_backoff_seconds)
             else:
                 backoff = self._config.min_backoff_seconds
-                # A watch that returns at once, again and again, must not become a busy loop.
+                # A watch that repeatedly returns at once must not become a busy loop.
                 await trio.sleep(self._config.min_backoff_seconds)
 
     def _follows_store(self) -> bool:
-        """Return whether to follow the store now."""
+        """Return whether to read and watch the store now."""
         return self._holder.current is None or self._is_reader()
 
     def _should_read_once(self) -> bool:
-        """Return whether to read although others are the readers: they may have lost the store."""
+        """Return whether to read as a non-reader: the readers may have lost the store."""
         if self.seconds_since_confirmed() < self._config.unconfirmed_seconds:
             return False
         nodes = len(self._live_peers()) + 1
@@ -202,7 +202,7 @@
         return self._rng.random() < reads_per_check / nodes
 
     async def _read_once(self) -> None:
-        """List again from the revision in force, whatever a watch has told."""
+        """Read the changes from the revision in force on, whatever a watch returned."""
         asked_at = trio.current_time()
         try:
             transfer = await self._store.read_latest(self._holder.revision)
@@ -210,18 +210,18 @@
             if not await self._restoration.is_due_after_failure():
                 raise
         if self._restoration.is_due():
-            await self._restore()
+            await self._reconcile()
             return
-        if self._take(transfer, STORE_SOURCE):
+        if self._apply(transfer, STORE_SOURCE):
             self._confirmed_at = max(self._confirmed_at, asked_at)
         if self._store_failing:
             self._store_failing = False
             emit(CONFIGURATION_STORE_RECOVERED, revision=self._holder.revision)
 
-    async def _restore(self) -> None:
-        """Compare with a store that was restored, and go on from its sequence if that differs.
+    async def _reconcile(self) -> None:
+        """Compare with a store that was restored, and adopt its sequence if that differs.
 
-        What is held of the other sequence goes: peers are told the whole configuration then.
+        The changes held of the former sequence are dropped: peers then receive a snapshot.
         """
         history = await self._restoration.run(tuple(self._tail))
         if history is not None and self._holder.apply(history.latest):
@@ -229,13 +229,13 @@
             emit(CONFIGURATION_APPLIED, revision=history.latest.revision, source=STORE_SOURCE)
 
     def _note_store_failure(self, error: HopstepError) -> None:
-        """Log the first of a row of failures."""
+        """Log the first of consecutive failures."""
         if not self._store_failing:
             self._store_failing = True
             emit(CONFIGURATION_STORE_FAILED, code=error.code.value, error=error.message)
 
     async def _pull_from_peers(self) -> None:
-        """Pull from peers that showed a higher revision."""
+        """Pull from peers that announced a higher revision."""
         while True:
             await self._hinted.wait()
             self._hinted = trio.Event()
@@ -244,9 +244,9 @@
                 await self._pull(peer)
 
     def _best_hint(self) -> str | None:
-        """Return the peer that showed the highest revision above ours, or None."""
+        """Return the peer that announced the highest revision above the own one, or None."""
         revision = self._holder.revision
-        self._hints = {peer: shown for peer, shown in self._hints.items() if shown > revision}
+        self._hints = {peer: hint for peer, hint in self._hints.items() if hint > revision}
         return max(self._hints, key=self._hints.__getitem__, default=None)
 
     async def _ask_for_first(self) -> None:
@@ -259,17 +259,17 @@
                 await trio.sleep(self._config.cold_start_seconds * self._rng.uniform(0.5, 1.5))
 
     async def _pull(self, peer: str) -> None:
-        """Take what a peer has beyond the revision in force."""
+        """Fetch and apply a peer's revisions above the one in force."""
         try:
             with trio.fail_after(self._config.peer_timeout_seconds):
                 transfer = await self._peer_configuration.fetch(peer, self._holder.revision)
         except (HopstepError, trio.TooSlowError) as error:
             emit(CONFIGURATION_PEER_FAILED, peer=peer, error=type(error).__name__)
             return
-        self._take(transfer, peer)
+        self._apply(transfer, peer)
 
-    def _take(self, transfer: ConfigurationTransfer, source: str) -> bool:
-        """Put a transfer in force as far as it leads higher; return whether it was sound."""
+    def _apply(self, transfer: ConfigurationTransfer, source: str) -> bool:
+        """Put a transfer in force if its revision is higher; return whether it was valid."""
         current = self._holder.current or empty_configuration()
         try:
             latest = apply_transfer(current, transfer)
@@ -283,7 +283,7 @@
         return True
 
     def _remember(self, transfer: ConfigurationTransfer, latest: AcceptedConfiguration) -> None:
-        """Keep the changes that led to ``latest`` for peers."""
+        """Keep the changes that led to ``latest``, to send them to peers."""
         if transfer.snapshot is not None:
             self._tail.clear()
         for accepted_change in transfer.changes:
--- a/hopstep/services/quarantine/quarantine.py
+++ b/hopstep/services/quarantine/quarantine.py
@@ -75,7 +75,7 @@
     async def claim(self, fingerprint: bytes) -> bool:
         """Claim a trial; return whether this node, and no other, may run the request once."""
 
-    async def release(self, fingerprint: bytes) -> None:
+    async def release_trial(self, fingerprint: bytes) -> None:
         """Allow a request another trial: the last one was inconclusive."""
 
 
@@ -114,7 +114,7 @@
     def set_trials(self, trials: Trials) -> None:
         """Set the source of trials; without one, refused requests get none."""
         self._trials = trials
-        self._verdicts.set_release(trials.release)
+        self._verdicts.set_release(trials.release_trial)
 
     @property
     def is_idle(self) -> bool:
--- a/hopstep/services/quarantine/records.py
+++ b/hopstep/services/quarantine/records.py
@@ -142,7 +142,7 @@
             self._claiming.discard(fingerprint)
         return False
 
-    async def release(self, fingerprint: bytes) -> None:
+    async def release_trial(self, fingerprint: bytes) -> None:
         """Allow a request another trial: the last one was inconclusive.
 
         Without the store's answer the request stays refused.
