--- a/hopstep/services/requests/__init__.py
+++ b/hopstep/services/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a request: limits, admission, attempts, answer."""
+"""Request handling: limits, admission, attempts and the answer."""
--- a/hopstep/services/requests/admission.py
+++ b/hopstep/services/requests/admission.py
@@ -1,10 +1,10 @@
-"""Admission: what the engines can still take, and a bounded fair queue for the rest.
+"""Admission of requests to engines with free capacity, and a bounded fair queue for the others.
 
-A request gets a slot at once when an engine that it may use has room and nobody waits before
-it. Otherwise it queues, bounded by its tenant's queue length and by its class's longest wait.
-One whose expected wait is too long is refused at once, with the time to come back; one whose
-caller leaves or whose wait runs out is dropped at once. Placement is worked out anew, against
-the configuration in force, each time that a queued request is looked at.
+A request gets a slot at once when an engine that it may use has free capacity and no request waits
+before it. Otherwise it queues, bounded by its tenant's queue length and by its class's longest
+wait. One whose expected wait is too long is refused at once, with a time to retry after; one whose
+caller disconnects or whose wait times out is dropped at once. Placement is evaluated again, against
+the configuration in force, each time that a queued request is checked.
 """
 
 from __future__ import annotations
@@ -27,26 +27,26 @@
 from hopstep.services.requests.engine_slots import EngineSlot, EngineSlots
 
 RECHECK_SECONDS = 0.1
-"""Time after which a queued request looks again, for changes that wake nobody."""
+"""Interval at which queued requests are checked, for changes that trigger no check."""
 
 HOLD_TIME_SMOOTHING = 0.1
 """Weight of the latest request in the mean time for which a slot is held."""
 
 WAIT_SPREAD = 1.25
-"""Factor on the expected wait: waits vary, and one that runs out is refused late."""
+"""Factor on the expected wait: waits vary, and a request that times out is refused late."""
 
 MIN_RETRY_AFTER_SECONDS = 0.5
 MAX_RETRY_AFTER_SECONDS = 60.0
 
 STARTED_PRIORITY = -1_000_000
-"""Priority of further attempts: requests that have begun go before those that haven't."""
+"""Priority of further attempts: requests that have started go before those that haven't."""
 
 ExpectedRequests = Callable[[str], int]
-"""Returns the requests expected at an engine address, those of other routers included."""
+"""Returns the requests expected at an engine address, including those of other routers."""
 
 
 class _Group(msgspec.Struct, frozen=True):
-    """Queued requests that the same engines can take: when one can't go, none can."""
+    """Queued requests that the same engines can take: when one can't be admitted, none can."""
 
     placement: PlacementKey
     excluded: frozenset[str]
@@ -64,13 +64,13 @@
 
 
 class AdmissionService:
-    """Gives each request room at one engine, in fair order.
+    """Gives each request a slot at one engine, in fair order.
 
     Args:
         holder: Configuration in force.
-        table: Chooses among the engines with room.
-        expected_requests: What the router believes that an engine has; None counts this
-            router's own requests only.
+        table: Chooses among the engines with free capacity.
+        expected_requests: Requests expected at an engine; None counts this router's own requests
+            only.
     """
 
     def __init__(
@@ -87,15 +87,15 @@
         self._pace = QueuePace()
         self._waiting: dict[str, _Waiting] = {}
         self._mean_hold_seconds = 0.0
-        self._found: Choice | None = None
-        self._stuck: set[_Group] = set()
+        self._eligible_choice: Choice | None = None
+        self._blocked: set[_Group] = set()
         self._checked_at = float("-inf")
         self._checked_revision = 0
         self._next_entry = 0
 
     @property
     def queued(self) -> int:
-        """Requests that wait for an engine."""
+        """Number of requests that wait for an engine."""
         return len(self._queue)
 
     async def acquire(
@@ -104,12 +104,12 @@
         excluded: frozenset[str] = frozenset(),
         further: bool = False,
     ) -> EngineSlot:
-        """Wait for room at an engine and take it.
+        """Wait for free capacity at an engine and take a slot.
 
         Args:
             request: The request.
             excluded: Names of engines to avoid while there are others.
-            further: Whether this is a further attempt of a request that was let in before.
+            further: Whether this is a further attempt of a request that was admitted before.
 
         Raises:
             ServiceError: ``NO_ADMISSIBLE_BACK_END`` when placement rules every engine out;
@@ -118,9 +118,9 @@
         request = self._placement.in_force(request)
         engines = self._placement.engines(request)
         waiting = self._new_waiting(request, excluded, further)
-        self._refuse_resting(request, engines)
+        self._refuse_backing_off(request, engines)
         if not further:
-            self._shed(waiting.entry, request, engines)
+            self._refuse_long_wait(waiting.entry, request, engines)
         self._queue.push(waiting.entry)
         self._pace.begin(waiting.entry.tenant, waiting.entry.priority, trio.current_time())
         self._waiting[waiting.entry.entry_id] = waiting
@@ -134,7 +134,7 @@
         return waiting.slot
 
     def try_acquire(self, request: InferenceRequest, excluded: frozenset[str]) -> EngineSlot | None:
-        """Take room at an engine that isn't excluded, if there is some and nobody waits."""
+        """Take a slot at an engine that isn't excluded, if one is free and no request waits."""
         if self._waiting:
             return None
         choice = self._choose(request, excluded, excluded_as_last_resort=False)
@@ -151,25 +151,25 @@
         return max(by_order, self._expected_wait_by_pace(entry))
 
     def _expected_wait_by_pace(self, entry: QueueEntry) -> float:
-        """Return the expected wait by what was let in of the entry's own tenant."""
-        beside = self._queue.count_beside(entry)
-        if not beside:
+        """Return the expected wait by the rate at which the entry's own tenant was admitted."""
+        queued_alongside = self._queue.count_beside(entry)
+        if not queued_alongside:
             return 0.0
         now = trio.current_time()
-        return self._pace.expected_wait(entry.tenant, entry.priority, beside, now)
+        return self._pace.expected_wait(entry.tenant, entry.priority, queued_alongside, now)
 
     def _must_wait(self, engines: tuple[BackEnd, ...]) -> bool:
         """Return whether a new entry for one of ``engines`` would have to queue."""
-        return bool(self._queue) or not any(self._has_room(engine) for engine in engines)
+        return bool(self._queue) or not any(self._has_capacity(engine) for engine in engines)
 
     def recheck(self) -> None:
-        """Look at the queue again, after the configuration or an engine's load changed."""
+        """Check the queue again, after the configuration or an engine's load changed."""
         self._drain()
 
     def _new_waiting(
         self, request: InferenceRequest, excluded: frozenset[str], further: bool
     ) -> _Waiting:
-        """Return the queue's record of a request."""
+        """Return the waiting entry of a request."""
         self._next_entry += 1
         entry = QueueEntry(
             entry_id=str(self._next_entry),
@@ -180,28 +180,28 @@
         )
         return _Waiting(entry, request, excluded, trio.Event())
 
-    def _shed(
+    def _refuse_long_wait(
         self, entry: QueueEntry, request: InferenceRequest, engines: tuple[BackEnd, ...]
     ) -> None:
         """Refuse a request that would wait too long."""
         wait = self.expected_wait(entry, engines)
         limit = request.tenant.limits.max_queued_requests
-        # Not by the expected wait: it is 0 until a first request has given its slot back.
+        # Not by the expected wait: it is 0 until a first request has released its slot.
         if self._must_wait(engines) and self._queue.count_of(entry.tenant) >= limit:
             raise self._overloaded("the tenant's queue is full", wait)
-        patience = request.deadline - trio.current_time()
-        if wait * WAIT_SPREAD > min(request.request_class.max_queue_seconds, patience):
+        remaining = request.deadline - trio.current_time()
+        if wait * WAIT_SPREAD > min(request.request_class.max_queue_seconds, remaining):
             raise self._overloaded("the expected wait for an engine is too long", wait)
 
-    def _refuse_resting(self, request: InferenceRequest, engines: tuple[BackEnd, ...]) -> None:
-        """Refuse a request at once when all engines want rest for longer than it may wait."""
-        rest = min((self._opens_in(engine) for engine in engines), default=0.0)
-        patience = request.deadline - trio.current_time()
-        if rest > min(request.request_class.max_queue_seconds, patience):
-            raise self._overloaded("all engines want rest", rest)
+    def _refuse_backing_off(self, request: InferenceRequest, engines: tuple[BackEnd, ...]) -> None:
+        """Refuse a request at once when all engines are backing off for longer than it may wait."""
+        backoff = min((self._backoff_seconds(engine) for engine in engines), default=0.0)
+        remaining = request.deadline - trio.current_time()
+        if backoff > min(request.request_class.max_queue_seconds, remaining):
+            raise self._overloaded("all engines want rest", backoff)
 
     async def _wait(self, waiting: _Waiting) -> None:
-        """Wait until a slot is granted; raise when the wait runs out."""
+        """Wait until a slot is granted; raise when the wait times out."""
         now = trio.current_time()
         limit = waiting.request.request_class.max_queue_seconds
         give_up_at = min(now + limit, waiting.request.deadline)
@@ -217,7 +217,7 @@
             raise waiting.error
 
     def _abandon(self, waiting: _Waiting) -> None:
-        """Forget a request that no longer waits, with the slot that it may just have got."""
+        """Remove a request that no longer waits, and release a slot that it was just granted."""
         self._queue.remove(waiting.entry.entry_id)
         self._waiting.pop(waiting.entry.entry_id, None)
         self._forget_pace(waiting.entry)
@@ -225,34 +225,34 @@
             waiting.slot.release()
 
     def _forget_pace(self, entry: QueueEntry) -> None:
-        """Forget how fast a tenant was let in once nothing of it waits."""
+        """Drop a tenant's admission rate once none of its requests waits."""
         if not self._queue.count_beside(entry):
             self._pace.forget(entry.tenant, entry.priority)
 
     def _recheck_if_due(self) -> None:
-        """Look at the queue again, unless another waiting request just has."""
+        """Check the queue again, unless another waiting request has just done so."""
         if trio.current_time() - self._checked_at >= RECHECK_SECONDS:
             self._drain()
 
     def _drain(self) -> None:
-        """Grant slots in fair order while engines have room."""
+        """Grant slots in fair order while engines have free capacity."""
         self._checked_at = trio.current_time()
         self._fail_unplaced()
-        self._stuck.clear()
+        self._blocked.clear()
         while self._queue:
             entry = self._queue.pop(self._is_eligible)
             if entry is None:
                 return
             waiting = self._waiting.pop(entry.entry_id)
-            assert self._found is not None  # noqa: S101 - set by _is_eligible
+            assert self._eligible_choice is not None  # noqa: S101 - set by _is_eligible
             yields = self._queue.has_much_waiting(entry.tenant)
-            waiting.slot = self._take(self._found, yields)
+            waiting.slot = self._take(self._eligible_choice, yields)
             self._pace.record_entry(entry.tenant, entry.priority, trio.current_time())
             self._forget_pace(entry)
             waiting.granted.set()
 
     def _fail_unplaced(self) -> None:
-        """Refuse queued requests that a new configuration leaves without any engine."""
+        """Refuse queued requests that no engine may serve under a new configuration."""
         if self._placement.revision == self._checked_revision:
             return
         self._checked_revision = self._placement.revision
@@ -267,25 +267,27 @@
                 waiting.granted.set()
 
     def _is_eligible(self, entry: QueueEntry) -> bool:
-        """Return whether an engine can take a queued request now, and remember which."""
+        """Return whether an engine can take a queued request now, and remember the choice."""
         waiting = self._waiting[entry.entry_id]
         group = _Group(placement_key(waiting.request), waiting.excluded)
-        if group in self._stuck:
+        if group in self._blocked:
             return False
-        self._found = self._choose(waiting.request, waiting.excluded, excluded_as_last_resort=True)
-        if self._found is None:
-            self._stuck.add(group)
-        return self._found is not None
+        self._eligible_choice = self._choose(
+            waiting.request, waiting.excluded, excluded_as_last_resort=True
+        )
+        if self._eligible_choice is None:
+            self._blocked.add(group)
+        return self._eligible_choice is not None
 
     def _choose(
         self, request: InferenceRequest, excluded: frozenset[str], *, excluded_as_last_resort: bool
     ) -> Choice | None:
-        """Return the best engine with room, or None."""
+        """Return the best engine with free capacity, or None."""
         placed = self._placement.engines(request)
         preferred = tuple(engine for engine in placed if engine.name not in excluded)
         if not preferred and excluded_as_last_resort:
             preferred = placed
-        free = tuple(engine for engine in preferred if self._has_room(engine))
+        free = tuple(engine for engine in preferred if self._has_capacity(engine))
         if not free:
             return None
         try:
@@ -294,16 +296,16 @@
         except DomainError:
             return None
 
-    def _has_room(self, engine: BackEnd) -> bool:
+    def _has_capacity(self, engine: BackEnd) -> bool:
         """Return whether an engine can take one more request."""
-        if not self.slots.is_free(engine) or self._opens_in(engine) > 0:
+        if not self.slots.is_free(engine) or self._backoff_seconds(engine) > 0:
             return False
         if self._expected_requests is None:
             return True
         return self._expected_requests(engine.address) < engine.max_concurrent_requests
 
-    def _opens_in(self, engine: BackEnd) -> float:
-        """Return for how much longer an engine gets nothing more by its own word."""
+    def _backoff_seconds(self, engine: BackEnd) -> float:
+        """Return the seconds for which an engine gets no requests, by its own notice."""
         now = trio.current_time()
         active = self.slots.in_flight(engine.address)
         answer = self._table.admission(engine.address, active, now)
@@ -315,22 +317,22 @@
         return any(engine.name in names for engine in placed)
 
     def _take(self, choice: Choice, yields: bool = False) -> EngineSlot:
-        """Count a request in at an engine."""
+        """Take a slot at an engine."""
         self.slots.take(choice.back_end.address)
-        return EngineSlot(choice, trio.current_time(), self._give_back, yields)
+        return EngineSlot(choice, trio.current_time(), self._release_slot, yields)
 
-    def _give_back(self, slot: EngineSlot) -> None:
-        """Count a request out, learn how long it took, and let the next ones in."""
+    def _release_slot(self, slot: EngineSlot) -> None:
+        """Release a slot, update the mean hold time, and grant slots to waiting requests."""
         held = trio.current_time() - slot.taken_at
         if self._mean_hold_seconds == 0.0:
             self._mean_hold_seconds = held
         else:
             self._mean_hold_seconds += HOLD_TIME_SMOOTHING * (held - self._mean_hold_seconds)
-        self.slots.give_back(slot.choice.back_end)
+        self.slots.release(slot.choice.back_end)
         self._drain()
 
     @staticmethod
     def _overloaded(message: str, wait: float) -> ServiceError:
-        """Return a refusal that says when to come back."""
+        """Return a refusal with a bounded ``Retry-After``."""
         bounded = min(max(wait, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
         return ServiceError(ErrorCode.OVERLOADED, message, retry_after_seconds=bounded)
--- a/hopstep/services/requests/answer_progress.py
+++ b/hopstep/services/requests/answer_progress.py
@@ -1,4 +1,4 @@
-"""How much of an answer its caller has, over all attempts."""
+"""Progress of an answer over all attempts: the tokens that its caller has received."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class AnswerProgress:
-    """Tokens of one answer that were delivered, and its usage.
+    """Delivered tokens of one answer, and its token usage.
 
     Args:
         request: The request.
-        stream: Takes the parts.
+        stream: Takes the parts of the answer.
     """
 
     def __init__(self, request: InferenceRequest, stream: AnswerStream) -> None:
@@ -31,18 +31,18 @@
 
     @property
     def tokens(self) -> tuple[str, ...]:
-        """Tokens delivered, for an attempt that goes on after them."""
+        """Tokens delivered, for an attempt that continues after them."""
         return tuple(self._tokens)
 
     def note_first_frame(self, frame: TokenFrame) -> int:
-        """Take the cached tokens of the first attempt that answers; return the frame's own."""
+        """Record the cached tokens of the first answering attempt; return those of this frame."""
         cached = frame.usage.cached_tokens if frame.usage else 0
         if self._cached_tokens is None:
             self._cached_tokens = cached
         return cached
 
     async def deliver(self, engine: str, frame: TokenFrame, tokens: tuple[str, ...]) -> None:
-        """Hand new tokens to the caller, with the finish of the answer; a cancel is none."""
+        """Pass new tokens and the finish to the caller; a cancelled stream has no finish."""
         finish = _FINISHES.get(frame.finish_reason) if frame.finish_reason else None
         if not tokens and finish is None:
             return
@@ -51,8 +51,8 @@
         usage = self._usage() if finish is not None else None
         await self._stream.put(AnswerPart(sequence, tokens, engine, finish, usage))
 
-    def finish_if_whole(self, engine: str) -> bool:
-        """End an answer whose every token was delivered though its last frame was lost."""
+    def finish_if_complete(self, engine: str) -> bool:
+        """Finish an answer if all its tokens were delivered and only its last frame was lost."""
         if self.delivered_tokens < self._request.max_tokens:
             return False
         usage = self._usage()
@@ -62,7 +62,7 @@
         return True
 
     def _usage(self) -> AnswerUsage:
-        """Return the token counts of the whole answer."""
+        """Return the token counts of the complete answer."""
         prompt_tokens = count_tokens(self._request.prompt)
         cached = min(self._cached_tokens or 0, prompt_tokens)
         return AnswerUsage(prompt_tokens, cached, self.delivered_tokens)
--- a/hopstep/services/requests/answer_stream.py
+++ b/hopstep/services/requests/answer_stream.py
@@ -1,4 +1,4 @@
-"""The parts of one answer on their way from the attempts to the caller."""
+"""Buffer that passes the parts of one answer from the attempts to the caller."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from hopstep.exceptions import ErrorCode, Execution, ServiceError
 
 MAX_BUFFERED_TOKENS = 1024
-"""Tokens held for a caller that reads slowly; then the engine's stream waits."""
+"""Tokens buffered for a slow caller; beyond that the engine's stream waits."""
 
 
 class AnswerStream:
     """A bounded buffer of parts; an async iterator that ends after the last part or raises.
 
-    Parts that have gathered are joined, so that a burst of tokens costs the caller one step.
+    Buffered parts are joined, so that a burst of tokens costs the caller one step.
     """
 
     def __init__(self) -> None:
@@ -27,14 +27,14 @@
         self._emptied = trio.Event()
 
     async def put(self, part: AnswerPart) -> None:
-        """Add a part; wait while the caller is behind."""
+        """Add a part; wait while the buffer is full."""
         while self._buffered_tokens >= MAX_BUFFERED_TOKENS:
             self._emptied = trio.Event()
             await self._emptied.wait()
         self.put_now(part)
 
     def put_now(self, part: AnswerPart) -> None:
-        """Add a part without waiting, however far behind the caller is."""
+        """Add a part without waiting, even if the buffer is full."""
         self._parts.append(part)
         self._buffered_tokens += len(part.tokens)
         self._filled.set()
@@ -43,7 +43,7 @@
         """End the answer with an error, raised after the parts before it.
 
         Args:
-            error: A ``ServiceError``, or a fault of the router's own as it was raised.
+            error: A ``ServiceError``, or an internal error of the router as it was raised.
         """
         self._error = error
         self._filled.set()
@@ -53,7 +53,7 @@
         return self
 
     async def __anext__(self) -> AnswerPart:
-        """Return the parts that have come, joined.
+        """Return the buffered parts of one engine, joined.
 
         Raises:
             ServiceError: When the answer can't be completed.
@@ -64,7 +64,7 @@
             self._filled = trio.Event()
             await self._filled.wait()
         if not self._parts:
-            raise self._error or _lost()
+            raise self._error or _ended_early()
         part = self._take()
         self._finished = part.finish is not None
         return part
@@ -92,6 +92,6 @@
     return AnswerPart(parts[0].sequence, tokens, last.engine, last.finish, last.usage)
 
 
-def _lost() -> ServiceError:
+def _ended_early() -> ServiceError:
     """Return the error of an answer that ended for no known reason."""
     return ServiceError(ErrorCode.INTERNAL, "the answer ended early", execution=Execution.UNKNOWN)
--- a/hopstep/services/requests/attempt.py
+++ b/hopstep/services/requests/attempt.py
@@ -9,11 +9,11 @@
 
 
 class Attempt:
-    """An attempt and what is proved of it.
+    """An attempt and its proved state.
 
     Args:
-        request: What the engine is asked.
-        slot: Room at the engine.
+        request: Request to the engine.
+        slot: Slot at the engine.
         incarnation: Incarnation expected there; empty if unknown.
         next_sequence: Index of the first token that the caller doesn't have.
         dispatched_at: Time of the dispatch.
@@ -62,12 +62,12 @@
 
     @property
     def incarnation(self) -> str:
-        """Incarnation that runs it: the one that answered, else the one it was sent to."""
+        """Incarnation that runs it: the one that answered, otherwise the expected one."""
         return self.checker.incarnation or self.expected_incarnation
 
     @property
     def resumable(self) -> bool:
-        """Whether the engine may still have its stream."""
+        """Whether the engine may still hold its stream."""
         return bool(self.incarnation) and not self.stream_lost
 
     @property
@@ -76,7 +76,7 @@
         return self.checker.next_sequence > self._first_sequence
 
     def record_error(self, error: EngineError) -> None:
-        """Note what a failed dispatch or a broken stream proves.
+        """Record the state that a failed dispatch or a broken stream proves.
 
         A refusal as not run counts only for an attempt that hasn't answered.
         """
@@ -86,7 +86,7 @@
         self.state = AttemptState.NOT_RUN if proved else AttemptState.UNKNOWN
 
     def record_resume_error(self, error: EngineError) -> None:
-        """Note a failed resume, which proves nothing of the attempt itself."""
+        """Record a failed resume, which proves nothing about the attempt itself."""
         self.state = AttemptState.UNKNOWN
         self.cause = error.code
         self.fruitless_resumes += 1
@@ -96,6 +96,6 @@
             self.engine_answers = False
 
     def interrupt(self, cause: ErrorCode) -> None:
-        """Note that the stream broke off."""
+        """Record that the stream was interrupted."""
         self.state = AttemptState.UNKNOWN
         self.cause = cause
--- a/hopstep/services/requests/attempt_closer.py
+++ b/hopstep/services/requests/attempt_closer.py
@@ -1,4 +1,4 @@
-"""Ends attempts: bookkeeping, cancel at the engine, room given back exactly once."""
+"""Closes attempts: bookkeeping, cancel at the engine, release of the slot exactly once."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     """Closes the attempts of one request.
 
     Args:
-        port: Engines.
-        table: Forgets attempts that have ended.
+        port: Calls to engines.
+        table: Drops attempts that have ended.
         spawn: Starts a task in the request's nursery; cancels are shielded there, so that
-            they go on for a bounded time after the caller has left.
+            they go on for a bounded time after the caller has disconnected.
     """
 
     def __init__(self, port: EnginePort, table: RoutingTable, spawn: Callable[..., None]) -> None:
@@ -29,7 +29,7 @@
         self._spawn = spawn
 
     def close(self, attempt: Attempt) -> None:
-        """End an attempt, and cancel it where it may still run; later calls do nothing."""
+        """Close an attempt, and cancel it where it may still run; later calls do nothing."""
         if attempt.closed:
             return
         attempt.closed = True
@@ -41,7 +41,7 @@
             self._spawn(self._cancel_and_release, attempt)
 
     async def _cancel_and_release(self, attempt: Attempt) -> None:
-        """Cancel an attempt at its engine, then give its room back."""
+        """Cancel an attempt at its engine, then release its slot."""
         try:
             await cancel_attempt(self._port, attempt.address, attempt.nonce, attempt.incarnation)
         finally:
--- a/hopstep/services/requests/attempt_factory.py
+++ b/hopstep/services/requests/attempt_factory.py
@@ -1,4 +1,4 @@
-"""Makes attempts: room at an engine, its incarnation, the claim, the preconditions."""
+"""Prepares attempts: a slot at an engine, its incarnation, the claim, the preconditions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 NONCE_BYTES = 16
 
 MAX_PREPARATIONS = 3
-"""Engines that are tried before a request is refused: silent ones, or ruled out meanwhile."""
+"""Engines tried before a request is refused: some don't answer, or may no longer serve it."""
 
 
 def new_nonce() -> str:
@@ -37,13 +37,13 @@
 
 
 class AttemptFactory:
-    """Makes the attempts of all requests.
+    """Prepares the attempts of all requests.
 
     Args:
-        port: Engines, probed for their incarnation where it isn't known.
-        table: What the router believes of engines.
+        port: Calls to engines, which are probed for an unknown incarnation.
+        table: The router's view of engines.
         holder: Configuration in force.
-        admission: Gives room at engines.
+        admission: Grants slots at engines.
         claims: At-most-once claims; None refuses requests that need one.
         make_nonce: Returns a new nonce.
     """
@@ -72,11 +72,11 @@
         tried: frozenset[str],
         further: bool,
     ) -> Attempt:
-        """Wait for room, learn the incarnation, claim, and return an attempt to dispatch.
+        """Wait for a slot, determine the incarnation, claim, and return an attempt to dispatch.
 
         Args:
             request: The request.
-            delivered: Tokens that the caller has.
+            delivered: Tokens that the caller has received.
             tried: Engines to avoid.
             further: Whether this isn't the first attempt.
 
@@ -102,7 +102,7 @@
         raise ServiceError(ErrorCode.ENGINE_UNREACHABLE, "no engine could be prepared")
 
     def prepare_hedge(self, request: InferenceRequest, tried: frozenset[str]) -> Attempt | None:
-        """Return a second attempt at another engine that has room now, or None."""
+        """Return a second attempt at another engine with free capacity, or None."""
         try:
             slot = self._admission.try_acquire(request, tried)
         except ServiceError:
@@ -116,7 +116,7 @@
     async def _incarnation(self, request: InferenceRequest, slot: EngineSlot) -> str | None:
         """Return the engine's incarnation, empty where it may stay unknown.
 
-        A request that must run at most once needs it; None when the engine doesn't tell.
+        A request that must run at most once needs it; None when the engine doesn't answer.
         """
         known = slot.choice.incarnation
         if known or request.request_class.repeatable:
@@ -183,7 +183,7 @@
 
         Args:
             request: The request.
-            attempt: What was prepared.
+            attempt: The prepared attempt.
             revision: Configuration revision before the preparation began.
         """
         return self._holder.revision == revision or may_take_attempt(
@@ -194,10 +194,10 @@
         )
 
     def record_overloaded(self, attempt: Attempt) -> None:
-        """Send an engine less, and nothing while it wants rest, after it refused an attempt."""
+        """Reduce the load on an engine that refused an attempt, and back off as it asks."""
         self.table.record_rest(attempt.address, attempt.retry_after_seconds, trio.current_time())
         self._admission.slots.record_overloaded(attempt.slot.choice.back_end)
 
     def forget(self, request: InferenceRequest) -> None:
-        """Drop what is remembered of a request that has ended."""
+        """Drop the held claim of a request that has ended."""
         self._held_claims.pop(request.request_id, None)
--- a/hopstep/services/requests/attempt_runner.py
+++ b/hopstep/services/requests/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Runs one attempt: dispatch or resume, check every frame, hand on what is new."""
+"""Runs one attempt: dispatches or resumes it, checks every frame, delivers new tokens."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from hopstep.services.requests.attempt import Attempt
 
 Deliver = Callable[[Attempt, TokenFrame, tuple[str, ...]], Awaitable[None]]
-"""Takes an accepted frame and those of its tokens that the caller doesn't have yet."""
+"""Takes an accepted frame and its tokens that the caller hasn't received."""
 
 
 class AttemptRunner:
-    """Runs attempts against the engine port; what they prove is left in the attempt.
+    """Runs attempts against the engine port and records their proved state in the attempt.
 
     Args:
-        port: Engines.
+        port: Calls to engines.
     """
 
     def __init__(self, port: EnginePort) -> None:
         self._port = port
 
     async def dispatch(self, attempt: Attempt, deliver: Deliver) -> None:
-        """Send an attempt and read its stream to the end or to where it breaks."""
+        """Send an attempt and read its stream to the end or to an interruption."""
         attempt.sent = True
         attempt.state = AttemptState.RUNNING
         stream = self._port.generate(attempt.address, attempt.request)
@@ -37,7 +37,7 @@
             attempt.record_error(error)
 
     async def resume(self, attempt: Attempt, deliver: Deliver) -> None:
-        """Read on from the first token that is missing, at the same incarnation."""
+        """Read on from the first missing token, at the same incarnation."""
         next_sequence = attempt.checker.next_sequence
         stream = self._port.resume(
             attempt.address, attempt.nonce, attempt.incarnation, next_sequence
@@ -56,16 +56,16 @@
         stream: contextlib.AbstractAsyncContextManager[AsyncIterator[TokenFrame]],
         deliver: Deliver,
     ) -> None:
-        """Check and hand on frames until the last one or a gap."""
+        """Check and deliver frames until the last one or a gap."""
         async with stream as frames:
             attempt.state = AttemptState.RUNNING
             async for frame in frames:
-                if await self._take(attempt, frame, deliver):
+                if await self._process(attempt, frame, deliver):
                     return
         attempt.interrupt(ErrorCode.STREAM_INTERRUPTED)
 
-    async def _take(self, attempt: Attempt, frame: TokenFrame, deliver: Deliver) -> bool:
-        """Check one frame and hand it on; return whether to stop reading."""
+    async def _process(self, attempt: Attempt, frame: TokenFrame, deliver: Deliver) -> bool:
+        """Check one frame and deliver it; return whether to stop reading."""
         last = frame.finish_reason is not None
         check = attempt.checker.check(
             frame.nonce, frame.incarnation, frame.sequence, len(frame.tokens), last
@@ -74,7 +74,7 @@
             attempt.interrupt(ErrorCode.STREAM_INTERRUPTED)
             return True
         if check.verdict is not FrameVerdict.ACCEPT:
-            self._note_dropped(attempt, check.verdict)
+            self._record_dropped(attempt, check.verdict)
             return False
         tokens = frame.tokens[check.skip :]
         if tokens:
@@ -90,8 +90,8 @@
         return last
 
     @staticmethod
-    def _note_dropped(attempt: Attempt, verdict: FrameVerdict) -> None:
-        """Log the first frame of an attempt that is dropped."""
+    def _record_dropped(attempt: Attempt, verdict: FrameVerdict) -> None:
+        """Count a dropped frame, and log the first one of an attempt."""
         attempt.dropped_frames += 1
         if attempt.dropped_frames == 1:
             emit(
--- a/hopstep/services/requests/dispatcher.py
+++ b/hopstep/services/requests/dispatcher.py
@@ -1,4 +1,4 @@
-"""The path of a request: limits, admission, attempts, and its answer part by part."""
+"""Dispatch of requests: limits, admission, attempts, and the answer part by part."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 from hopstep.services.requests.attempt_closer import AttemptCloser
 from hopstep.services.requests.attempt_factory import AttemptFactory, new_nonce
 from hopstep.services.requests.attempt_runner import AttemptRunner
-from hopstep.services.requests.engine_ends import EngineEnds
+from hopstep.services.requests.engine_terminations import EngineTerminations
 from hopstep.services.requests.request_execution import ExecutionContext, RequestExecution
 from hopstep.services.requests.request_metrics import RequestMetrics
 from hopstep.services.requests.tenant_limits import TenantLimitService
 
 
 class Dispatcher:
-    """Runs requests; each answer comes whole and in order, or ends with ``ServiceError``.
+    """Runs requests; each answer is complete and in order, or ends with ``ServiceError``.
 
     Args:
-        port: Engines.
-        table: What the router believes of engines.
+        port: Calls to engines.
+        table: The router's view of engines.
         holder: Configuration in force.
-        admission: Gives room at engines.
+        admission: Grants slots at engines.
         claims: At-most-once claims; None refuses requests that need one.
-        limits: Tenants' limits; None for none.
+        limits: Tenants' limits; None to apply no limits.
         make_nonce: Returns a new nonce.
-        metrics: Counts attempts and cached tokens; None for counters that nobody reads.
-        quarantine: Requests that end engines; None for one of this dispatcher alone.
+        metrics: Counts attempts and cached tokens; None for unregistered counters.
+        quarantine: Requests that crash engines; None for a quarantine of this dispatcher alone.
     """
 
     def __init__(
@@ -65,22 +65,22 @@
             AttemptRunner(port),
             RetryBudget(trio.current_time()),
             metrics or RequestMetrics(CollectorRegistry()),
-            EngineEnds(quarantine, port, table),
+            EngineTerminations(quarantine, port, table),
         )
 
     @contextlib.asynccontextmanager
     async def run(self, request: InferenceRequest) -> AsyncIterator[AsyncIterator[AnswerPart]]:
-        """Run a request and give the parts of its answer, as they come.
+        """Run a request and yield an iterator over the parts of its answer.
 
         Leaving the block before the last part cancels the request, in the queue or at the
-        engine; leaving takes at most ``CANCEL_TIMEOUT_SECONDS``. Errors come out of the
+        engine; leaving takes at most ``CANCEL_TIMEOUT_SECONDS``. Errors are raised by the
         iteration, after the parts that were delivered before.
 
         Args:
             request: The request.
 
         Raises:
-            ServiceError: ``RATE_LIMITED`` on entering, as not run.
+            ServiceError: ``RATE_LIMITED`` on entering the block, as not run.
         """
         stream = AnswerStream()
         failure: Exception | None = None
@@ -104,7 +104,7 @@
     def _limited(
         self, request: InferenceRequest, stream: AnswerStream
     ) -> contextlib.AbstractContextManager[None]:
-        """Hold the request's part of its tenant's limits."""
+        """Hold the request's share of its tenant's limits."""
         if self._limits is None:
             return contextlib.nullcontext()
         return self._limits.entered(request, lambda: stream.taken_tokens)
--- a/hopstep/services/requests/engine_placement.py
+++ b/hopstep/services/requests/engine_placement.py
@@ -12,7 +12,7 @@
 
 
 class PlacementKey(msgspec.Struct, frozen=True):
-    """What placement depends on: equal keys are placed alike under one revision.
+    """Parameters of placement: equal keys have the same engines under one revision.
 
     Attributes:
         tenant: Tenant name.
@@ -26,12 +26,12 @@
 
 
 def placement_key(request: InferenceRequest) -> PlacementKey:
-    """Return the key of a request."""
+    """Return the placement key of a request."""
     return PlacementKey(request.tenant.name, request.request_class.name, request.model.name)
 
 
 class EnginePlacement:
-    """Placements under the configuration in force.
+    """Placement of requests under the configuration in force.
 
     Args:
         holder: Configuration in force.
--- a/hopstep/services/requests/engine_slots.py
+++ b/hopstep/services/requests/engine_slots.py
@@ -1,4 +1,4 @@
-"""How many of its own requests a router has at each engine."""
+"""A router's own requests in flight at each engine, within a window."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from hopstep.domain.routing.selection import Choice
 
 OVERLOAD_DECREASE = 0.7
-"""Factor on what a router sends an engine at once, after the engine refused for want of room."""
+"""Factor on a router's window at an engine that refused a request as overloaded."""
 
 
 def engine_priority(class_priority: int, yields: bool) -> int:
     """Return the priority that an engine is asked to honour; lower numbers go first.
 
     Engines serve equal priorities in order of arrival. So that a tenant within its share doesn't
-    wait there behind another one's flood, requests of the flood come after it in their class.
+    wait there behind another one's burst, requests of the burst come after it in their class.
 
     Args:
-        class_priority: Priority of the request's class, which always goes first.
-        yields: Whether the tenant had more requests waiting when this one was let in.
+        class_priority: Priority of the request's class, which always takes precedence.
+        yields: Whether the tenant had many requests waiting when this one was admitted.
     """
     return 2 * class_priority + int(yields)
 
 
 class EngineSlot:
-    """One request's room at one engine; given back exactly once.
+    """One request's slot at one engine; released exactly once.
 
     Args:
-        choice: The engine and what is expected of it.
+        choice: The engine and its expected state.
         taken_at: Time at which it was taken.
         release: Called on the first ``release`` only.
         yields: Whether requests of other tenants should go before it at the engine.
@@ -47,7 +47,7 @@
         self._release: Callable[[EngineSlot], None] | None = release
 
     def release(self) -> None:
-        """Give the room back; later calls do nothing."""
+        """Release the slot; later calls do nothing."""
         release, self._release = self._release, None
         if release is not None:
             release(self)
@@ -57,8 +57,8 @@
     """Requests in flight by engine address, within a window for each engine.
 
     Several routers share an engine without a central counter. A router's window starts at the
-    engine's ``max_concurrent_requests``, shrinks by a factor when the engine refuses for want
-    of room, and grows by about one request for each window of requests that ended since.
+    engine's ``max_concurrent_requests``, shrinks by a factor when the engine refuses a request as
+    overloaded, and grows by about one request for each window of requests that ended since.
     """
 
     def __init__(self) -> None:
@@ -74,25 +74,25 @@
         return sum(self._in_flight.values())
 
     def window(self, engine: BackEnd) -> int:
-        """Return how many requests this router may have at an engine; at least 1."""
+        """Return the number of requests that this router may have at an engine; at least 1."""
         limit = float(engine.max_concurrent_requests)
         return max(1, int(min(limit, self._windows.get(engine.address, limit))))
 
     def is_free(self, engine: BackEnd) -> bool:
-        """Return whether an engine has room for one more of this router's requests."""
+        """Return whether this router's window at an engine admits another request."""
         return self.in_flight(engine.address) < self.window(engine)
 
     def record_overloaded(self, engine: BackEnd) -> None:
-        """Shrink the window of an engine that refused for want of room."""
+        """Shrink the window of an engine that refused a request as overloaded."""
         reached = min(self.window(engine), self.in_flight(engine.address))
         self._windows[engine.address] = max(1.0, reached * OVERLOAD_DECREASE)
 
     def take(self, address: str) -> None:
-        """Count one more request."""
+        """Count another request in flight."""
         self._in_flight[address] = self.in_flight(address) + 1
 
-    def give_back(self, engine: BackEnd) -> None:
-        """Count one request less, and let the window grow."""
+    def release(self, engine: BackEnd) -> None:
+        """Count a request as ended, and let the window grow."""
         self._grow(engine)
         remaining = self._in_flight[engine.address] - 1
         if remaining:
@@ -101,7 +101,7 @@
             del self._in_flight[engine.address]
 
     def _grow(self, engine: BackEnd) -> None:
-        """Grow a window that was shrunk; a window at its limit is forgotten."""
+        """Grow a reduced window; a window at its limit is dropped."""
         window = self._windows.get(engine.address)
         if window is None:
             return
--- a/hopstep/services/requests/engine_ends.py
+++ b/hopstep/services/requests/engine_terminations.py
@@ -1,4 +1,4 @@
-"""Tells the quarantine which engines have ended under which requests; asks it before attempts."""
+"""Reports engines that terminated under requests to the quarantine, and refuses such requests."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from hopstep.services.requests.attempt import Attempt
 
 
-class EngineEnds:
-    """Ends of engines, as the attempts at them and the engines' own facts show."""
+class EngineTerminations:
+    """Terminations of engines, as observed by attempts and by changes of their incarnation."""
 
     def __init__(self, quarantine: Quarantine, port: EnginePort, table: RoutingTable) -> None:
-        """Join the parts.
+        """Subscribe to restarts of engines.
 
         Args:
-            quarantine: Counts ends by request.
-            port: Engines.
-            table: Learns of engines that have started anew.
+            quarantine: Counts terminations by request.
+            port: Calls to engines.
+            table: Reports engines that have restarted.
         """
         self._quarantine = quarantine
         self._port = port
@@ -32,12 +32,13 @@
         table.follow_restarts(self._note_restart)
 
     async def require_allowed(self, request: InferenceRequest) -> int:
-        """Refuse a request under which too many engines have ended.
+        """Refuse a request under which too many engines have terminated.
 
-        Without this a prompt that ends its engines ends one after the other, each time it is sent.
+        Otherwise a prompt that crashes its engines crashes one after the other when it is sent
+        again.
 
         Returns:
-            How many have ended under it, as far as it counts.
+            Number of terminations that count for the request.
 
         Raises:
             ServiceError: ``REQUEST_QUARANTINED``.
@@ -53,78 +54,78 @@
         return self._quarantine.terminations(fingerprint)
 
     def note_finished(self, request: InferenceRequest) -> None:
-        """Have a run judged that a refused request was allowed, if this was it."""
+        """Have a trial judged, if this request was the trial of a refused one."""
         if request.request_id in self._trials:
             self._trials.remove(request.request_id)
             self._quarantine.end_trial(request.name().fingerprint)
 
-    def require_no_more(self, request: InferenceRequest, ends: int) -> None:
-        """Refuse a request that was allowed, when more engines have ended under it since.
+    def require_no_more(self, request: InferenceRequest, terminations: int) -> None:
+        """Refuse an allowed request when more engines have terminated under it since.
 
         Args:
             request: The request.
-            ends: How many had ended when it was allowed.
+            terminations: Number of terminations when it was allowed.
 
         Raises:
             ServiceError: ``REQUEST_QUARANTINED``.
         """
         seconds = self._refused_seconds(request)
-        if seconds and self._quarantine.terminations(request.name().fingerprint) > ends:
+        if seconds and self._quarantine.terminations(request.name().fingerprint) > terminations:
             raise _quarantined(seconds)
 
     def is_refused(self, request: InferenceRequest) -> bool:
         """Return whether a request is kept from engines."""
         return self._refused_seconds(request) > 0
 
-    def note_broken(self, request: InferenceRequest, attempt: Attempt) -> None:
-        """Note an attempt that may have run and gave no whole answer."""
+    def note_interrupted(self, request: InferenceRequest, attempt: Attempt) -> None:
+        """Record an attempt that may have run without a complete response."""
         if attempt.incarnation and attempt.state is not AttemptState.NOT_RUN:
-            self._quarantine.note_interrupted(request.name(), _life(attempt))
+            self._quarantine.note_interrupted(request.name(), _incarnation_name(attempt))
 
-    def look_again(self, request: InferenceRequest, attempt: Attempt) -> None:
-        """Have an engine looked at that has broken an attempt off and doesn't answer."""
+    def note_unresponsive(self, request: InferenceRequest, attempt: Attempt) -> None:
+        """Record an interrupted attempt, and have its unresponsive engine probed."""
         if attempt.incarnation and attempt.state is not AttemptState.NOT_RUN:
-            look = functools.partial(self._look, attempt.address, attempt.incarnation)
-            self._quarantine.note_interrupted(request.name(), _life(attempt), look)
+            probe = functools.partial(self._probe, attempt.address, attempt.incarnation)
+            self._quarantine.note_interrupted(request.name(), _incarnation_name(attempt), probe)
 
     def note_answer(self, attempt: Attempt) -> None:
-        """Note the first answer to an attempt."""
-        self._quarantine.note_answer(_life(attempt), attempt.dispatched_at)
+        """Record the first frame of an attempt's answer."""
+        self._quarantine.note_answer(_incarnation_name(attempt), attempt.dispatched_at)
 
-    def note_whole_answer(self, request: InferenceRequest) -> None:
-        """Note a request that has run to a whole answer."""
+    def note_complete_response(self, request: InferenceRequest) -> None:
+        """Record a request that got a complete response."""
         self._quarantine.note_complete_response(request.name().fingerprint)
 
     async def settle(self, request: InferenceRequest, attempt: Attempt) -> None:
-        """Wait for the look at an attempt's engine if one more end would have it refused."""
+        """Wait for the probe of an attempt's engine if its termination would refuse the request."""
         if not self._quarantine.is_idle:
-            await self._quarantine.settle(request.name().fingerprint, _life(attempt))
+            await self._quarantine.settle(request.name().fingerprint, _incarnation_name(attempt))
 
     def _refused_seconds(self, request: InferenceRequest) -> float:
-        """Return for how much longer a request is refused; 0 when it isn't."""
+        """Return the seconds for which a request is still refused; 0 when it isn't."""
         if self._quarantine.is_idle:
             return 0.0
         return self._quarantine.refused_seconds(request.name().fingerprint)
 
-    async def _look(self, address: str, incarnation: str) -> InstanceSign:
-        """Look at an engine: another incarnation shows that this one has ended."""
+    async def _probe(self, address: str, incarnation: str) -> InstanceSign:
+        """Probe an engine: another incarnation shows that this one has terminated."""
         facts = await probe_engine(self._port, address)
         if facts is None:
             return InstanceSign.NO_ANSWER
         return InstanceSign.ANSWERS if facts.incarnation == incarnation else InstanceSign.ENDED
 
     def _note_restart(self, address: str, incarnation: str) -> None:
-        """Note that an incarnation of an engine is over."""
+        """Record that an incarnation of an engine has terminated."""
         self._quarantine.note_terminated(f"{address}@{incarnation}", EndEvidence.RESTARTED)
 
 
-def _life(attempt: Attempt) -> str:
-    """Return the incarnation of the engine that an attempt was sent to, as routers tell it."""
+def _incarnation_name(attempt: Attempt) -> str:
+    """Return the name of an attempt's engine incarnation, as routers publish it."""
     return f"{attempt.address}@{attempt.incarnation}"
 
 
 def _quarantined(seconds: float) -> ServiceError:
-    """Return the refusal of a request for so many seconds."""
+    """Return the refusal of a request, with the seconds to retry after."""
     return ServiceError(
         ErrorCode.REQUEST_QUARANTINED,
         "engines have ended under this request",
--- a/hopstep/services/requests/hedging.py
+++ b/hopstep/services/requests/hedging.py
@@ -1,4 +1,4 @@
-"""A second attempt for a slow first token: the first one to answer goes on alone."""
+"""Hedging: a second attempt for a slow first token; the first one to answer goes on alone."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 RunAttempt = Callable[[Attempt, Deliver], Awaitable[None]]
 StartSecond = Callable[[Attempt], Awaitable[Attempt | None]]
-"""Returns a second attempt beside the given one, or None when there is to be none."""
+"""Returns a second attempt in addition to the given one, or None when none is to be made."""
 
 
 class HedgedRace:
-    """Runs a first attempt and, when it is slow, a second one beside it.
+    """Runs a first attempt and, when it is slow, a second one concurrently.
 
     Args:
         run: Dispatches an attempt.
         deliver: Takes the frames of the attempt that won.
         hedge_after: Wait for a first token before the second attempt, in seconds.
-        start_second: Makes the second attempt.
+        start_second: Prepares the second attempt.
     """
 
     def __init__(
@@ -37,10 +37,10 @@
         self._settled = trio.Event()
 
     async def race(self, first: Attempt) -> tuple[Attempt, Attempt | None]:
-        """Run to the end of the winner, or of both when neither answers.
+        """Run until the winner ends, or both when neither answers.
 
         Returns:
-            The attempt to go on with, and the one to close, if there are two.
+            The attempt to go on with, and the one to close if there are two.
         """
         second: Attempt | None = None
         async with trio.open_nursery() as nursery:
@@ -67,17 +67,17 @@
     async def _deliver_if_first(
         self, attempt: Attempt, frame: TokenFrame, tokens: tuple[str, ...]
     ) -> None:
-        """Hand on the winner's frames; the first frame with tokens or an end decides."""
+        """Deliver the winner's frames; the first frame with tokens or a finish decides."""
         if self._winner is None and (tokens or frame.finish_reason is not None):
             self._win(attempt)
         if self._winner is attempt:
             await self._deliver(attempt, frame, tokens)
         else:
-            # The loser's scope is cancelled by _win: nothing of it is ever handed on.
+            # The loser's scope is cancelled by _win: none of its frames is ever delivered.
             await trio.lowlevel.checkpoint()
 
     def _win(self, attempt: Attempt) -> None:
-        """Let one attempt go on and stop the other."""
+        """Make an attempt the winner and cancel the other."""
         self._winner = attempt
         self._settled.set()
         for nonce, scope in self._scopes.items():
--- a/hopstep/services/requests/request_execution.py
+++ b/hopstep/services/requests/request_execution.py
@@ -1,4 +1,4 @@
-"""Carries one request through its attempts to a whole answer or a truthful failure."""
+"""Runs the attempts of one request, to a complete answer or an error with its proved execution."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from hopstep.services.requests.attempt_closer import AttemptCloser
 from hopstep.services.requests.attempt_factory import AttemptFactory
 from hopstep.services.requests.attempt_runner import AttemptRunner
-from hopstep.services.requests.engine_ends import EngineEnds
+from hopstep.services.requests.engine_terminations import EngineTerminations
 from hopstep.services.requests.hedging import HedgedRace
 from hopstep.services.requests.request_metrics import AttemptKind, RequestMetrics
 from hopstep.services.requests.request_state import RequestState
@@ -34,7 +34,7 @@
 MIN_RETRY_AFTER_SECONDS = 1.0
 
 RESUMABLE_STATUSES = (AttemptStatus.QUEUED, AttemptStatus.RUNNING, AttemptStatus.FINISHED)
-"""Attempts whose stream an engine still has."""
+"""Statuses of attempts whose stream an engine still holds."""
 
 MESSAGES = {
     ErrorCode.DEADLINE_EXCEEDED: "the answer wasn't whole before the deadline",
@@ -46,16 +46,16 @@
 
 
 class ExecutionContext(msgspec.Struct, frozen=True):
-    """What all requests of a router share.
+    """Services shared by all requests of a router.
 
     Attributes:
-        port: Engines.
+        port: Calls to engines.
         holder: Configuration in force.
-        factory: Makes attempts.
+        factory: Prepares attempts.
         runner: Runs them.
-        budget: Retries as a share of first attempts.
+        budget: Limits retries to a share of first attempts.
         metrics: Counts attempts and cached tokens.
-        ends: Ends of engines under requests.
+        terminations: Terminations of engines under requests.
     """
 
     port: EnginePort
@@ -64,17 +64,17 @@
     runner: AttemptRunner
     budget: RetryBudget
     metrics: RequestMetrics
-    ends: EngineEnds
+    terminations: EngineTerminations
 
 
 class RequestExecution:
-    """One request on its way.
+    """The execution of one request.
 
     Args:
         context: Shared services.
         request: The request.
         progress: Takes the tokens of the answer.
-        closer: Ends attempts.
+        closer: Closes attempts.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self._state = RequestState(request, progress)
 
     async def run(self) -> None:
-        """Deliver the whole answer.
+        """Deliver the complete answer.
 
         Raises:
             ServiceError: When it can't be completed; the code and ``execution`` are as proved.
@@ -103,24 +103,24 @@
                 raise self._failure(ErrorCode.DEADLINE_EXCEEDED, self._state.proved())
         finally:
             self._close_attempt()
-            self._context.ends.note_finished(self._request)
+            self._context.terminations.note_finished(self._request)
 
     async def _run_attempts(self) -> None:
-        """Make attempts until one finishes the answer."""
+        """Run attempts until one finishes the answer."""
         await self._first_attempt()
         while True:
             attempt = self._state.require_attempt()
             decision = decide_next(self._snapshot())
-            if decision.action is Action.FINISH or self._progress.finish_if_whole(
+            if decision.action is Action.FINISH or self._progress.finish_if_complete(
                 attempt.engine_name
             ):
-                self._context.ends.note_whole_answer(self._request)
+                self._context.terminations.note_complete_response(self._request)
                 return
             self._log_interruption(attempt)
-            await self._carry_out(decision, attempt)
+            await self._execute(decision, attempt)
 
-    async def _carry_out(self, decision: Decision, attempt: Attempt) -> None:
-        """Do what was decided after an attempt that didn't finish."""
+    async def _execute(self, decision: Decision, attempt: Attempt) -> None:
+        """Execute the decision after an attempt that didn't finish."""
         if decision.action is Action.FAIL:
             raise self._failure(decision.code, decision.execution)
         if decision.action is Action.RESUME:
@@ -131,7 +131,7 @@
             await self._dispatch_again(decision.action)
 
     async def _first_attempt(self) -> None:
-        """Dispatch for the first time, with a hedge where the class asks for one."""
+        """Dispatch the first attempt, with a hedge if the class has hedging."""
         attempt = await self._prepare()
         index = self._index()
         self._context.metrics.count_attempt(AttemptKind.FIRST)
@@ -143,15 +143,15 @@
         race = HedgedRace(self._context.runner.dispatch, self._deliver, hedge_after, self._hedge)
         self._state.attempt, other = await race.race(attempt)
         if other is not None:
-            self._state.note_other(other)
+            self._state.record_abandoned(other)
             self._closer.close(other)
-        await self._learn_from_failure(self._state.require_attempt())
+        await self._handle_failure(self._state.require_attempt())
 
     async def _hedge(self, first: Attempt) -> Attempt | None:
-        """Return a hedge for a slow first attempt, if that is decided and there is room."""
+        """Return a hedge for a slow first attempt, if it is decided on and an engine is free."""
         if decide_next(self._snapshot()).action is not Action.HEDGE:
             return None
-        if self._context.ends.is_refused(self._request):
+        if self._context.terminations.is_refused(self._request):
             return None
         tried = frozenset({first.engine_name})
         second = self._context.factory.prepare_hedge(self._request, tried)
@@ -165,7 +165,7 @@
         return second
 
     async def _dispatch_again(self, action: Action) -> None:
-        """Go elsewhere: a new attempt, after the delivered tokens if there are any."""
+        """Dispatch a new attempt at another engine, after the tokens delivered so far."""
         if not self._state.require_attempt().progressed:
             self._context.budget.take(trio.current_time())
         attempts = self._state.attempts
@@ -175,7 +175,7 @@
             action=action.value,
             attempts=attempts,
         )
-        await self._context.ends.settle(self._request, self._state.require_attempt())
+        await self._context.terminations.settle(self._request, self._state.require_attempt())
         self._close_attempt()
         if attempts > 1:
             await trio.sleep(_backoff(attempts - 2))
@@ -184,35 +184,35 @@
         await self._dispatch(attempt)
 
     async def _prepare(self, further: bool = False) -> Attempt:
-        """Wait for room at an engine and make the attempt the current one."""
+        """Wait for a slot at an engine and make the attempt the current one."""
         state = self._state
         try:
-            ends = await self._context.ends.require_allowed(self._request)
+            terminations = await self._context.terminations.require_allowed(self._request)
             attempt = await self._context.factory.prepare(
                 self._request, self._progress.tokens, state.tried, further
             )
             state.begin(attempt)
-            # Its engines may have ended while it waited for room.
-            self._context.ends.require_no_more(self._request, ends)
+            # Engines may have terminated under the request while it waited for a slot.
+            self._context.terminations.require_no_more(self._request, terminations)
         except ServiceError as error:
-            raise self._truthful(error) from error
+            raise self._for_all_attempts(error) from error
         return attempt
 
     async def _dispatch(self, attempt: Attempt) -> None:
-        """Run an attempt."""
+        """Dispatch an attempt and handle its failure, if any."""
         await self._context.runner.dispatch(attempt, self._deliver)
-        await self._learn_from_failure(attempt)
+        await self._handle_failure(attempt)
 
     async def _resume(self, attempt: Attempt) -> None:
-        """Read on at the same incarnation."""
+        """Resume the stream at the same incarnation."""
         if attempt.fruitless_resumes:
             await trio.sleep(_backoff(attempt.fruitless_resumes - 1))
         self._context.metrics.count_attempt(AttemptKind.RESUME)
         await self._context.runner.resume(attempt, self._deliver)
-        await self._learn_from_failure(attempt)
+        await self._handle_failure(attempt)
 
     async def _settle(self, attempt: Attempt) -> None:
-        """Prove that the attempt never starts, or find that its stream can be resumed."""
+        """Prove that the attempt never starts, or determine that its stream can be resumed."""
         attempt.settled = True
         if not attempt.incarnation:
             return
@@ -223,8 +223,8 @@
             attempt.state = AttemptState.NOT_RUN
         attempt.stream_lost = status not in RESUMABLE_STATUSES
 
-    async def _learn_from_failure(self, attempt: Attempt) -> None:
-        """Ask the engine of an attempt that broke off whether it is still the same one."""
+    async def _handle_failure(self, attempt: Attempt) -> None:
+        """Record a failed attempt, and probe whether its engine still has the same incarnation."""
         if attempt.state is AttemptState.DONE:
             return
         if attempt.state is AttemptState.NOT_RUN and attempt.cause is ErrorCode.OVERLOADED:
@@ -233,11 +233,11 @@
         table = self._context.factory.table
         if attempt.cause is ErrorCode.PRECONDITION_FAILED:
             table.record_precondition_failed(attempt.address, trio.current_time())
-        self._context.ends.note_broken(self._request, attempt)
+        self._context.terminations.note_interrupted(self._request, attempt)
         facts = await probe_engine(self._context.port, attempt.address)
         attempt.engine_answers = facts is not None
         if facts is None:
-            self._context.ends.look_again(self._request, attempt)
+            self._context.terminations.note_unresponsive(self._request, attempt)
             table.record_failure(attempt.address, trio.current_time())
             return
         table.update_facts(attempt.address, facts, trio.current_time())
@@ -245,9 +245,9 @@
             attempt.stream_lost = True
 
     async def _deliver(self, attempt: Attempt, frame: TokenFrame, tokens: tuple[str, ...]) -> None:
-        """Hand new tokens to the caller."""
+        """Deliver new tokens to the caller."""
         if not attempt.answered:
-            self._context.ends.note_answer(attempt)
+            self._context.terminations.note_answer(attempt)
             cached = self._progress.note_first_frame(frame)
             self._context.metrics.count_answered(count_tokens(attempt.request.prompt), cached)
             self._context.factory.table.record_first_token(
@@ -260,7 +260,7 @@
         return self._context.holder.require_index()
 
     def _snapshot(self) -> RequestSnapshot:
-        """Return what the next decision depends on."""
+        """Return the state that the next decision depends on."""
         return self._state.snapshot(self._index(), self._context.budget)
 
     def _close_attempt(self) -> None:
@@ -268,11 +268,11 @@
         attempt = self._state.take_attempt()
         if attempt is not None:
             if attempt.state is AttemptState.RUNNING:
-                self._context.ends.note_broken(self._request, attempt)
+                self._context.terminations.note_interrupted(self._request, attempt)
             self._closer.close(attempt)
 
-    def _truthful(self, error: ServiceError) -> ServiceError:
-        """Return a refusal of a further attempt as what it means for the whole request."""
+    def _for_all_attempts(self, error: ServiceError) -> ServiceError:
+        """Return the refusal of an attempt as the error of the request with all its attempts."""
         if self._state.proved() is Execution.NOT_RUN:
             return error
         if self._progress.delivered_tokens:
@@ -317,5 +317,5 @@
 
 
 def _backoff(exponent: int) -> float:
-    """Return a wait that doubles with each step, bounded."""
+    """Return a wait in seconds that doubles with each step, bounded."""
     return min(MAX_BACKOFF_SECONDS, BACKOFF_SECONDS * 2.0**exponent)
--- a/hopstep/services/requests/request_metrics.py
+++ b/hopstep/services/requests/request_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of requests on their way: attempts, cached prompt tokens, the queue."""
+"""Metrics of request handling: attempts, cached prompt tokens, the queue."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AttemptKind(enum.StrEnum):
-    """Why an attempt was made."""
+    """Reason of an attempt."""
 
     FIRST = "first"
     RETRY = "retry"
@@ -19,13 +19,13 @@
 
 
 class RequestMetrics:
-    """Counters that the dispatcher moves, and gauges that read its state when asked."""
+    """Counters that the dispatcher increments, and gauges that read its state on collection."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         """Register the metrics.
 
         Args:
-            registry: Where they are registered.
+            registry: Registry that takes the metrics.
         """
         self._registry = registry
         self.attempts = Counter(
@@ -44,11 +44,11 @@
         )
 
     def count_attempt(self, kind: AttemptKind) -> None:
-        """Count one call at an engine."""
+        """Count one call to an engine."""
         self.attempts.labels(kind.value).inc()
 
     def count_answered(self, prompt_tokens: int, cached_tokens: int) -> None:
-        """Count the prompt of an attempt whose first frame has come."""
+        """Count the prompt of an attempt whose first frame was received."""
         self.prompt_tokens.inc(prompt_tokens)
         self.cached_prompt_tokens.inc(min(cached_tokens, prompt_tokens))
 
@@ -58,12 +58,12 @@
         prefix_heads: Callable[[], int],
         configuration_revision: Callable[[], int],
     ) -> None:
-        """Register gauges that are read when metrics are asked for.
+        """Register gauges that are read when metrics are collected.
 
         Args:
-            queued_requests: Requests that wait for an engine.
-            prefix_heads: Heads in the prefix picture.
-            configuration_revision: Revision in force.
+            queued_requests: Returns the number of requests that wait for an engine.
+            prefix_heads: Returns the number of heads in the prefix index.
+            configuration_revision: Returns the revision in force.
         """
         self._gauge("hopstep_queued_requests", "Requests that wait for an engine", queued_requests)
         self._gauge("hopstep_prefix_heads", "Prefix heads in the picture", prefix_heads)
--- a/hopstep/services/requests/request_state.py
+++ b/hopstep/services/requests/request_state.py
@@ -1,4 +1,4 @@
-"""Where one request stands, and the snapshot of it that decisions are made on."""
+"""State of one request, and the snapshot of it that decisions are based on."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class RequestState:
-    """One request, its current attempt and what is known of the earlier ones.
+    """State of one request: its current attempt and the outcome of the earlier ones.
 
     Args:
         request: The request.
-        progress: How much of the answer its caller has.
+        progress: Tokens of the answer that its caller has received.
 
     Attributes:
         attempt: The current attempt; None while one is being prepared.
@@ -47,24 +47,24 @@
         return self.attempt
 
     def take_attempt(self) -> Attempt | None:
-        """Return the current attempt, which is the current one no longer.
+        """Remove and return the current attempt.
 
-        Its engine is avoided by later attempts, unless it only is another incarnation now.
+        Later attempts avoid its engine, unless the engine merely has another incarnation now.
         """
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return None
-        self.note_other(attempt)
+        self.record_abandoned(attempt)
         if attempt.cause is not ErrorCode.PRECONDITION_FAILED:
             self.tried |= {attempt.engine_name}
         return attempt
 
-    def note_other(self, attempt: Attempt) -> None:
-        """Remember whether an attempt that is given up may have run."""
+    def record_abandoned(self, attempt: Attempt) -> None:
+        """Record whether an attempt that is given up may have run."""
         self.earlier_ran |= attempt.state is not AttemptState.NOT_RUN
 
     def proved(self) -> Execution:
-        """Return what is proved over all attempts, also while one is being prepared."""
+        """Return the proved execution over all attempts, also while one is being prepared."""
         if self.attempt is None:
             return Execution.UNKNOWN if self.earlier_ran else Execution.NOT_RUN
         ran = self.earlier_ran or self.attempt.state is not AttemptState.NOT_RUN
@@ -78,11 +78,11 @@
         return index.configuration.routing.hedge_after_seconds
 
     def snapshot(self, index: ConfigurationIndex, budget: RetryBudget) -> RequestSnapshot:
-        """Return what the next decision depends on.
+        """Return the state that the next decision depends on.
 
         Args:
             index: Configuration in force.
-            budget: Retries that are left.
+            budget: Remaining retries.
         """
         attempt = self.require_attempt()
         now = trio.current_time()
--- a/hopstep/services/requests/tenant_limits.py
+++ b/hopstep/services/requests/tenant_limits.py
@@ -1,4 +1,4 @@
-"""Tenants' limits at this router: its even floor and what it holds by lease."""
+"""Tenants' limits at this router: its even floor and the share that it holds by lease."""
 
 from __future__ import annotations
 
@@ -18,23 +18,24 @@
 MAX_RETRY_AFTER_SECONDS = 60.0
 
 IDLE_SECONDS = 60.0
-"""Time without a request after which a tenant is forgotten, unless it still owes tokens."""
+"""Time without a request after which a tenant's limiter is dropped, unless it still owes tokens."""
 
-PartOfLimits = Callable[[str], int]
+LimitShare = Callable[[str], int]
 """Returns the millionths of a tenant's limits that this router may use now."""
 
 
 class TenantLimitService:
-    """Holds each tenant's requests to this router's part of its limits.
+    """Limits each tenant's requests to this router's share of its limits.
 
     Args:
         holder: Configuration in force.
-        part: This router's part of a tenant's limits; None for a router alone, which has all.
+        part: Returns this router's share of a tenant's limits, in millionths; None for a single
+            router, which has all.
     """
 
-    def __init__(self, holder: ConfigurationHolder, part: PartOfLimits | None = None) -> None:
+    def __init__(self, holder: ConfigurationHolder, part: LimitShare | None = None) -> None:
         self._holder = holder
-        self._part = part or (lambda tenant: WHOLE)
+        self._share = part or (lambda tenant: WHOLE)
         self._limiters: dict[str, TenantLimiter] = {}
         self._used_at: dict[str, float] = {}
 
@@ -42,11 +43,11 @@
     def entered(
         self, request: InferenceRequest, generated_tokens: Callable[[], int]
     ) -> Iterator[None]:
-        """Hold a request's part of its tenant's limits for the length of the block.
+        """Hold a request's share of its tenant's limits during the block.
 
         Args:
             request: The request.
-            generated_tokens: Returns, at the end, the tokens that it was given.
+            generated_tokens: Returns, at the end, the number of tokens that it received.
 
         Raises:
             ServiceError: ``RATE_LIMITED`` with the limit's name, as not run.
@@ -66,9 +67,9 @@
     def take_wanted(
         self, seconds: float, smoothing_seconds: Callable[[str], float]
     ) -> dict[str, int]:
-        """Return the millionths of their limits that tenants want here, and forget idle ones.
+        """Return the millionths of their limits that tenants demand here, and drop idle ones.
 
-        Of a configuration with few tenants all are among them, also those that want nothing.
+        With few configured tenants the result contains all of them, also those without demand.
 
         Args:
             seconds: Time since the last call.
@@ -88,11 +89,11 @@
         return wanted
 
     def known_tenants(self) -> int:
-        """Return the number of tenants whose limits are held in memory."""
+        """Return the number of tenants with a limiter in memory."""
         return len(self._limiters)
 
     def _refresh(self) -> None:
-        """Let the limits of known tenants follow their parts, and forget idle tenants."""
+        """Update the limiters to this router's current shares, and drop those of idle tenants."""
         now = trio.current_time()
         tenants = self._holder.require_index().tenants if self._limiters else {}
         for name, limiter in list(self._limiters.items()):
@@ -114,8 +115,8 @@
         return limiter
 
     def _update(self, limiter: TenantLimiter, tenant: Tenant, now: float) -> None:
-        part = self._part(tenant.name) if _is_limited(tenant.limits) else WHOLE
-        limiter.update(now, tenant.limits, part)
+        share = self._share(tenant.name) if _is_limited(tenant.limits) else WHOLE
+        limiter.update(now, tenant.limits, share)
 
 
 def _is_limited(limits: TenantLimits) -> bool:
@@ -125,7 +126,7 @@
 
 
 def _limited(refusal: LimitRefusal) -> ServiceError:
-    """Return the refusal that a caller gets."""
+    """Return the error that refuses a request for a limit."""
     return ServiceError(
         ErrorCode.RATE_LIMITED,
         f"the tenant's {refusal.kind.value} is used up",
--- a/tests/services/quarantine/test_quarantine.py
+++ b/tests/services/quarantine/test_quarantine.py
@@ -22,8 +22,8 @@
 from hopstep.domain.store_place import StorePlace
 from hopstep.services.quarantine.quarantine import EXPIRY_SECONDS, PEER_REPORT_SECONDS, Quarantine
 from hopstep.services.quarantine.records import (
-    QUARANTINE_PREFIX,
     OBSERVER_WRITE_SECONDS,
+    QUARANTINE_PREFIX,
     TRIAL_AFTER_SECONDS,
     QuarantineRecords,
 )
--- a/tests/simulation/test_streams.py
+++ b/tests/simulation/test_streams.py
@@ -158,7 +158,7 @@
             (
                 "truncated without a word",
                 "cut in the middle",
-                (AnswerProgress, "finish_if_whole", finish_where_it_broke),
+                (AnswerProgress, "finish_if_complete", finish_where_it_broke),
             ),
         ):
             with self.subTest(variant=name):
