--- a/hopstep/services/requests/admission.py
+++ b/hopstep/services/requests/admission.py
@@ -328,7 +328,7 @@
             self._mean_hold_seconds = held
         else:
             self._mean_hold_seconds += HOLD_TIME_SMOOTHING * (held - self._mean_hold_seconds)
-        self.slots.release(slot.choice.back_end)
+        self.slots.release_one(slot.choice.back_end)
         self._drain()
 
     @staticmethod
--- a/hopstep/services/requests/engine_slots.py
+++ b/hopstep/services/requests/engine_slots.py
@@ -91,7 +91,7 @@
         """Count another request in flight."""
         self._in_flight[address] = self.in_flight(address) + 1
 
-    def release(self, engine: BackEnd) -> None:
+    def release_one(self, engine: BackEnd) -> None:
         """Count a request as ended, and let the window grow."""
         self._grow(engine)
         remaining = self._in_flight[engine.address] - 1
--- a/tests/services/requests/test_admission.py
+++ b/tests/services/requests/test_admission.py
@@ -292,7 +292,7 @@
         self.assertEqual(slots.window(engine_of_eight), 1)
         windows = []
         for _ in range(60):
-            slots.release(engine_of_eight)
+            slots.release_one(engine_of_eight)
             windows.append(slots.window(engine_of_eight))
             slots.take(engine_of_eight.address)
         self.assertEqual(windows, sorted(windows))
--- a/tests/services/test_claims_stateful.py
+++ b/tests/services/test_claims_stateful.py
@@ -159,7 +159,7 @@
 class UnfencedSweeper(ClaimSweeper):
     """Wrong on purpose: deletes old claims without asking their engines."""
 
-    async def _forget(self, value):
+    async def _delete_if_old(self, value):
         await self._store.delete(value.key, value.version)
         return True
 
