--- a/tests/services/claim_world.py
+++ b/tests/services/claim_world.py
@@ -1,4 +1,4 @@
-"""Routers, one store and real engine models, stepped by a state machine on another thread."""
+"""Routers, a store and engine models, driven by a state machine on another thread."""
 
 import collections
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class RouterKilledError(Exception):
-    """Ends the tasks of a killed router."""
+    """Raised in the tasks of a killed router to end them."""
 
 
 class Router:
@@ -42,7 +42,7 @@
         )
 
     async def gate(self):
-        """Stand still while paused, whatever the deadlines of the code around."""
+        """Block while paused, shielded from the deadlines of the calling code."""
         if self.calls_until_pause is not None:
             self.calls_until_pause -= 1
         with trio.CancelScope(shield=True):
@@ -64,7 +64,7 @@
 
 
 class PausingStore:
-    """A router's view of the store; a world with ``leased`` binds every claim to a lease."""
+    """A router's access to the store; a world with ``leased`` binds every claim to a lease."""
 
     def __init__(self, router):
         self.router = router
@@ -82,7 +82,7 @@
 
 
 class PausingEngines:
-    """A router's view of the engines' fences, with the world's mutations."""
+    """A router's access to the engines' fences, with the world's mutations."""
 
     def __init__(self, router):
         self.router = router
@@ -109,7 +109,7 @@
 
 
 class Submission:
-    """One sending of a caller's key."""
+    """One request with a caller's key."""
 
     def __init__(self, key, generation, nonce):
         self.key = key
@@ -123,7 +123,7 @@
 
 
 class ClaimWorld:
-    """Everything that one example of the state machine drives."""
+    """Routers, store and engines of one example of the state machine."""
 
     claims_class = ClaimService
     sweeper_class = ClaimSweeper
@@ -147,7 +147,7 @@
         self.checked_runs = set()
 
     async def submit(self, key, router, address, replaced=None):
-        """Start a caller's request at a router, and let it come as far as it can."""
+        """Start a caller's request at a router, and run it until all tasks are blocked."""
         nonce = f"n{len(self.submissions)}"
         submission = Submission(key, self.generations.get(key, 0), nonce)
         self.submissions.append(submission)
@@ -155,7 +155,7 @@
         await wait_all_tasks_blocked()
 
     async def serve(self, submission, router, address, replaced):
-        """Claim, and put the request on the network once the claim is held."""
+        """Claim, and send the request once the claim is held."""
         incarnation = self.engines.model(address).incarnation
         try:
             held = await router.claims.claim(
@@ -173,7 +173,7 @@
         )
 
     def sent(self):
-        """Return what is on the network; it may arrive late, and more than once."""
+        """Return the requests in transit; each may arrive late, and more than once."""
         return [submission for submission in self.submissions if submission.request]
 
     def deliver(self, submission):
@@ -194,14 +194,14 @@
         await wait_all_tasks_blocked()
 
     def runs(self):
-        """Return the nonces that began to run, over all engines and incarnations."""
+        """Return the nonces that started to run, over all engines and incarnations."""
         now = trio.current_time()
         return [
             record.nonce for address in ENGINES for record in self.engines.model(address).runs(now)
         ]
 
     async def deliver_all(self):
-        """Let everything arrive, in the order of sending, and the engines begin it."""
+        """Deliver all requests in the order of sending, and let the engines start them."""
         await wait_all_tasks_blocked()
         for submission in self.sent():
             self.deliver(submission)
@@ -209,7 +209,7 @@
         self.check()
 
     def check(self):
-        """Hold the oracle: each key runs once, a forgotten nonce never, a refused one never."""
+        """Check that each key runs once, and a deleted or refused nonce never."""
         by_nonce = {submission.nonce: submission for submission in self.submissions}
         runs = [by_nonce[nonce] for nonce in self.runs()]
         counts = collections.Counter((ran.key, ran.generation) for ran in runs)
@@ -222,7 +222,7 @@
         self.checked_runs = {ran.nonce for ran in runs}
 
     async def sweep(self):
-        """Sweep, and count a new life of each key whose claim was forgotten."""
+        """Sweep, and begin a new generation of each key whose claim was deleted."""
         self.check()
         before = self.claimed_keys()
         sweeper = self.sweeper_class(
@@ -239,7 +239,7 @@
 
 
 def run_in_world(call):
-    """Run ``call(nursery, clock)`` on a thread beside a trio loop whose clock stands still."""
+    """Run ``call(nursery, clock)`` on a thread next to a trio loop with a stopped clock."""
 
     async def main():
         clock = trio.lowlevel.current_clock()
--- a/tests/services/configuration/configuration_world.py
+++ b/tests/services/configuration/configuration_world.py
@@ -1,4 +1,4 @@
-"""Operators, a store and routers on a virtual clock, with the oracle of what was accepted."""
+"""Operators, a store and routers on a virtual clock, with an oracle of the accepted changes."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -42,7 +42,7 @@
 
 
 class Parts(msgspec.Struct, frozen=True):
-    """Parts under test, which wrong variants replace."""
+    """Components under test, which wrong variants replace."""
 
     submit: Submit = submit_change
     holder_type: type[ConfigurationHolder] = ConfigurationHolder
@@ -50,7 +50,7 @@
 
 
 class Submission(msgspec.Struct):
-    """One call of an operator and what it said; ``outcome`` is None for "changed nothing"."""
+    """One call of an operator with its result; ``outcome`` is None when it changed nothing."""
 
     change: Change
     ended: bool = False
@@ -58,7 +58,7 @@
 
 
 class Node:
-    """One router: a new one after each restart."""
+    """One run of a router; a restart creates a new node."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.name = name
@@ -85,7 +85,7 @@
 
 
 class World(PeerConfigurationPort):
-    """The whole scene."""
+    """Nodes, store and operators of one test."""
 
     def __init__(self, nursery: trio.Nursery, parts: Parts) -> None:
         self.shared = SharedStore(HISTORY_LENGTH)
@@ -132,7 +132,7 @@
                         other.sync.latest_revision_hint(node.holder.revision, name)
 
     async def edit(self, index: int, capacity: int, think_seconds: float) -> None:
-        """Read as an operator does, think, and submit."""
+        """Read the latest revision as an operator does, wait, and submit a change."""
         store = self.operator()
         try:
             base = (await store.read_history()).latest.revision
@@ -157,7 +157,7 @@
         self._check_outcome(submission)
 
     def accepted(self) -> list[AcceptedChange]:
-        """Return the oracle: the first value of each key, whatever was trimmed later."""
+        """Return the accepted changes: the first value of each key, also of keys trimmed later."""
         writes = self.shared.model.changes(CHANGES_PREFIX, 0).values
         return [
             AcceptedChange(int(write.key.removeprefix(CHANGES_PREFIX)), decode_change(write.value))
@@ -166,20 +166,24 @@
         ]
 
     def _check_outcome(self, submission: Submission) -> None:
-        """Check one outcome at the moment it is said."""
+        """Check one outcome against the accepted changes when it is returned."""
         change_id = submission.change.change_id
-        places = [item.revision for item in self.accepted() if item.change.change_id == change_id]
+        revisions = [
+            item.revision for item in self.accepted() if item.change.change_id == change_id
+        ]
         outcome = submission.outcome
         if outcome is None:
             others = [item for item in self.submissions if item.change.change_id == change_id]
-            assert not places or len(others) > 1, f"{change_id} said no effect, is at {places}"
+            assert not revisions or len(others) > 1, (
+                f"{change_id} said no effect, is at {revisions}"
+            )
         elif outcome.status is SubmitStatus.ACCEPTED:
-            assert places == [outcome.revision], f"{change_id}: {outcome}, is at {places}"
+            assert revisions == [outcome.revision], f"{change_id}: {outcome}, is at {revisions}"
         elif outcome.status is SubmitStatus.REJECTED:
-            assert not places, f"{change_id}: {outcome}, is at {places}"
+            assert not revisions, f"{change_id}: {outcome}, is at {revisions}"
 
     def check_applied(self, node: Node, accepted: AcceptedConfiguration) -> None:
-        """Check what a node puts in force: higher than before, and what was accepted."""
+        """Check that a node applies a higher revision with the accepted document."""
         assert accepted.revision > node.highest, f"{node.name} went back to {accepted.revision}"
         node.highest = accepted.revision
         assert accepted == self.replay(accepted.revision), f"{node.name}: wrong document"
@@ -190,7 +194,7 @@
         return apply_transfer(empty_configuration(), ConfigurationTransfer(changes=changes))
 
     def check_sequence(self) -> None:
-        """Check the sequence by itself: no gap, no repeat, every document valid, no lost edit."""
+        """Check the accepted changes: no gap, no repeat, every document valid, no lost edit."""
         sequence = self.accepted()
         assert [item.revision for item in sequence] == list(range(1, len(sequence) + 1))
         identities = [item.change.change_id for item in sequence]
--- a/tests/services/configuration/test_configuration_stateful.py
+++ b/tests/services/configuration/test_configuration_stateful.py
@@ -1,4 +1,4 @@
-"""Racing operators, lost answers, stale stores, gaps and restarts against a list of changes."""
+"""Concurrent operators, lost answers, stale stores, gaps and restarts, against an oracle."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -45,7 +45,7 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Rules write a program; it runs on a virtual clock when the example ends."""
+    """Rules record a program, which runs on a virtual clock when the example ends."""
 
     parts: ClassVar[Parts] = Parts()
 
@@ -79,7 +79,7 @@
         self.program.append(step)
 
     @rule(index=st.integers(0, ENGINES - 1), reads=st.integers(2, 12))
-    def answer_from_before_an_edit(self, index: int, reads: int) -> None:
+    def serve_stale_reads_after_an_edit(self, index: int, reads: int) -> None:
         async def step(world: World) -> None:
             world.shared.order_faults(FaultOrder(outage=True))
             world.shared.order_faults(FaultOrder(outage=False))
@@ -148,7 +148,7 @@
 
 
 async def submit_that_moves_on(store: ConfigurationStore, change: Change) -> SubmitOutcome:
-    """Wrong: appends after the latest revision without looking for its own identity."""
+    """Wrong: appends after the latest revision without checking for its own identity."""
     for _ in range(20):
         try:
             latest = (await store.read_history()).latest.revision
@@ -176,7 +176,7 @@
 
 
 class RevertingSync(ConfigurationSync):
-    """Wrong: puts in force what the store's answer leads to, also below what it has."""
+    """Wrong: puts the revision of the store's answer in force, also a lower one."""
 
     async def _read_once(self) -> None:
         transfer = await self._store.read_latest()
@@ -186,13 +186,13 @@
 
 
 class StuckHolder(ConfigurationHolder):
-    """Wrong: takes its first configuration only."""
+    """Wrong: applies its first configuration only."""
 
     def apply(self, accepted: AcceptedConfiguration) -> bool:
         return self.revision == 0 and super().apply(accepted)
 
 
-# Each row: wrong parts, and what the failure says.
+# Each row: wrong components, and a pattern of the failure's message.
 WRONG_VARIANTS = (
     (Parts(submit=submit_that_rejects_a_lost_answer), "REJECTED"),
     (Parts(submit=submit_that_moves_on), "accepted twice|is at|an edit was lost"),
--- a/tests/services/configuration/test_submission.py
+++ b/tests/services/configuration/test_submission.py
@@ -31,7 +31,7 @@
     requests_per_second=0,
 )  # fmt: skip
 
-# Each row: faults at the submission; what one submission may say; what a second one says.
+# Each row: faults at the submission; outcome of the first call; outcome of a second call.
 FAULTS = (
     (FaultOrder(lost_answers=1), ACCEPTED, ACCEPTED),
     (FaultOrder(lost_answers=3), ACCEPTED, ACCEPTED),
@@ -113,7 +113,7 @@
         self.assertEqual(again.status, second)
         self.assertEqual(world.accepted_ids().count("ours"), 1)
 
-    def test_lost_answer_then_outage_is_unknown_until_found_out(self) -> None:
+    def test_lost_answer_then_outage_is_unknown_until_submitted_again(self) -> None:
         async def scenario(world: World) -> None:
             world.shared.order_faults(FaultOrder(lost_answers=1))
             change = resize("ours", 1, 1, 7)
@@ -219,7 +219,7 @@
 
         run(scenario, self.INTERVAL)
 
-    def test_paused_writer_can_not_create_a_trimmed_place_again(self) -> None:
+    def test_paused_writer_can_not_create_a_trimmed_key_again(self) -> None:
         async def scenario(world: World) -> None:
             paused = world.operator()
             await self._fill(world, 14)
@@ -227,7 +227,9 @@
                 await paused.append(resize("late", 1, 1, 9))
             outcome = await world.submit(resize("late", 1, 1, 9))
             assert outcome is not None
-            self.assertEqual(outcome.status, UNKNOWN, "its fate may lie before what is kept")
+            self.assertEqual(
+                outcome.status, UNKNOWN, "it may have been accepted before the retained changes"
+            )
             self.assertNotIn("late", world.accepted_ids())
 
         run(scenario, self.INTERVAL)
--- a/tests/services/configuration/test_sync.py
+++ b/tests/services/configuration/test_sync.py
@@ -26,7 +26,7 @@
 GOSSIP_SECONDS = 1.0
 GOSSIP_FANOUT = 3
 MAX_CALLS_PER_SECOND = 40
-"""Twice what is meant on the average, so that chance doesn't fail the test; readers included."""
+"""Twice the intended average, to allow for random variation; includes the readers' calls."""
 
 
 class Peers(PeerConfigurationPort):
@@ -46,7 +46,7 @@
 
 
 class CountingStore(InMemoryStore):
-    """Counts its calls in the fleet's counter."""
+    """Store access that counts its calls in the fleet's counter."""
 
     def __init__(self, fleet: "Fleet") -> None:
         super().__init__(fleet.shared)
@@ -58,7 +58,7 @@
 
 
 class Fleet:
-    """A store and nodes of which ``readers`` read it."""
+    """A store and nodes, of which ``readers`` read the store."""
 
     def __init__(self, readers: set[str]) -> None:
         self.shared = SharedStore()
@@ -101,17 +101,17 @@
         nursery.start_soon(self.peers.nodes[name].run)
 
     async def gossip(self) -> None:
-        """Let each node tell some others its revision and the age of its proof, until cancelled."""
+        """Announce each node's revision and the age of its proof to others, until cancelled."""
         rng = random.Random(1)
         names = sorted(self.peers.nodes)
         while True:
             await trio.sleep(GOSSIP_SECONDS)
-            for teller in names:
-                for listener in rng.sample(names, min(len(names), GOSSIP_FANOUT)):
-                    revision = self.holders[teller].revision
-                    age = self.sync(teller).seconds_since_confirmed()
-                    if listener != teller:
-                        self.sync(listener).latest_revision_hint(revision, teller, age)
+            for sender in names:
+                for receiver in rng.sample(names, min(len(names), GOSSIP_FANOUT)):
+                    revision = self.holders[sender].revision
+                    age = self.sync(sender).seconds_since_confirmed()
+                    if receiver != sender:
+                        self.sync(receiver).latest_revision_hint(revision, sender, age)
 
     async def accept(self, count: int) -> None:
         """Accept ``count`` changes, the first one if there is none."""
@@ -127,7 +127,7 @@
 
 
 class StoreReaderTest(unittest.TestCase):
-    # Faults during which three changes are accepted; a reader must have them soon after.
+    # Faults while three changes are accepted; a reader must have them within 14 s.
     FAULTS = (
         FaultOrder(),
         FaultOrder(dropped_changes=3),
@@ -205,7 +205,7 @@
                 for _ in range(8):
                     fleet.sync("b").latest_revision_hint(1, "a", 1.0)
                     await trio.sleep(1)
-                self.assertEqual(fleet.holders["b"].revision, 1, "it reads no store")
+                self.assertEqual(fleet.holders["b"].revision, 1, "it does not read the store")
                 self.assertEqual(len(fleet.sync("a").transfer(1).changes), 2)
                 fleet.sync("b").latest_revision_hint(3, "a")
                 await trio.sleep(0.1)
@@ -235,7 +235,7 @@
 
         run(scenario)
 
-    def test_a_large_fleet_asks_a_store_that_is_down_no_more_often_than_a_small_one(self) -> None:
+    def test_a_large_fleet_calls_a_store_that_is_down_no_more_often_than_a_small_one(self) -> None:
         async def scenario(nodes: int) -> None:
             fleet = Fleet({"0", "1", "2"})
             await fleet.accept(1)
@@ -272,7 +272,7 @@
 
         run(scenario)
 
-    def test_whole_fleet_starting_with_the_store_down_has_none_until_it_is_back(self) -> None:
+    def test_whole_fleet_starting_with_the_store_down_has_none_until_the_store_is_up(self) -> None:
         async def scenario() -> None:
             fleet = Fleet({"a"})
             await fleet.accept(3)
--- a/tests/services/configuration_samples.py
+++ b/tests/services/configuration_samples.py
@@ -1,4 +1,4 @@
-"""Small configurations and changes for tests of the accepted sequence."""
+"""Small configurations and changes for tests of the accepted changes."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 
 
 def engine(index: int, capacity: int = 1) -> BackEnd:
-    """Return an engine whose capacity tells versions of it apart."""
+    """Return an engine; its capacity distinguishes its versions."""
     return BackEnd(
         f"engine-{index}",
         f"127.0.0.1:{index + 1}",
@@ -35,7 +35,7 @@
 
 
 def first_change() -> Change:
-    """Return the change that makes revision 1."""
+    """Return the change of revision 1."""
     return Change("first", "tests", "", 0, diff(Configuration(), document()))
 
 
--- a/tests/services/quarantine/test_quarantine.py
+++ b/tests/services/quarantine/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A node logs when a request begins to be refused, and when it no longer is, and why."""
+"""Refusals and releases of quarantined requests: their logging, and trials of refused requests."""
 
 import random
 import unittest
@@ -33,8 +33,10 @@
 OTHER = b"other"
 
 
-def told(fingerprint, *lives, cleared=(), seen_by="n2"):
-    return RequestCrashes(fingerprint, tuple(Crash(life, seen_by) for life in lives), cleared)
+def report(fingerprint, *incarnations, cleared=(), seen_by="n2"):
+    return RequestCrashes(
+        fingerprint, tuple(Crash(incarnation, seen_by) for incarnation in incarnations), cleared
+    )
 
 
 class LoggedRefusalsTest(unittest.TestCase):
@@ -59,21 +61,21 @@
     def test_the_beginning_of_a_refusal_is_logged_once(self):
         async def script(quarantine):
             for number in range(6):
-                quarantine.merge_reports([told(FATAL, f"i{number}")])
+                quarantine.merge_reports([report(FATAL, f"i{number}")])
 
         self.assertEqual(self.run_script(script), [("HS3106", FATAL, "")])
 
     def test_a_release_is_logged_with_its_reason(self):
         async def script(quarantine):
-            for reason in ("answered", "lifted", "told"):
-                lives = [f"{reason}{number}" for number in range(3)]
-                quarantine.merge_reports([told(FATAL, *lives)])
+            for reason in ("answered", "lifted", "cleared"):
+                incarnations = [f"{reason}{number}" for number in range(3)]
+                quarantine.merge_reports([report(FATAL, *incarnations)])
                 if reason == "answered":
                     quarantine.note_complete_response(FATAL)
                 elif reason == "lifted":
                     quarantine.lift(FATAL)
                 else:
-                    quarantine.merge_reports([told(FATAL, cleared=lives)])
+                    quarantine.merge_reports([report(FATAL, cleared=incarnations)])
 
         lines = self.run_script(script)
         self.assertEqual(
@@ -83,8 +85,8 @@
 
     def test_a_request_is_released_when_another_one_explains_its_ends(self):
         async def script(quarantine):
-            quarantine.merge_reports([told(OTHER, "j1", "j2", "i4")])
-            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", "i4")])
+            quarantine.merge_reports([report(OTHER, "j1", "j2", "i4")])
+            quarantine.merge_reports([report(FATAL, "i1", "i2", "i3", "i4")])
             self.assertEqual(quarantine.refused_seconds(OTHER), 0.0)
 
         self.assertEqual(
@@ -94,7 +96,7 @@
 
     def test_a_refusal_that_runs_out_is_logged(self):
         async def script(quarantine):
-            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3")])
+            quarantine.merge_reports([report(FATAL, "i1", "i2", "i3")])
             await trio.sleep(MEMORY_SECONDS + 2 * EXPIRY_SECONDS)
 
         self.assertEqual(
@@ -103,10 +105,11 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """A request that all instances of a service took with them isn't refused for good.
+    """A request that was in progress when all instances of a service crashed isn't refused forever.
 
-    A soak had this: all nodes were killed, so none knew of the request's 162 whole answers; the
-    three instances ended within 2.4 s under other requests; the request was refused from then on.
+    Guards against this failure: all nodes are killed, so that none remembers the request's 162
+    complete responses; then three instances terminate within 2.4 s under other requests, and the
+    request is refused from then on.
     """
 
     def run_script(self, script):
@@ -118,26 +121,26 @@
                     QuarantineRecords(quarantine, store, random.Random(1))
                     for quarantine in quarantines
                 ]
-                for part in (*quarantines, *records):
-                    nursery.start_soon(part.run)
+                for service in (*quarantines, *records):
+                    nursery.start_soon(service.run)
                 await script(store, quarantines, records)
                 nursery.cancel_scope.cancel()
 
         run_in_virtual_time(main)
 
     @staticmethod
-    async def tell_all(store, quarantines, records, seen_by="n2"):
-        """Refuse a request at all nodes, and let them write and read the store."""
+    async def refuse_at_all(store, quarantines, records, seen_by="n2"):
+        """Have a request refused at all nodes, and let them write and read the store."""
         for quarantine in quarantines:
-            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", seen_by=seen_by)])
+            quarantine.merge_reports([report(FATAL, "i1", "i2", "i3", seen_by=seen_by)])
         await trio.sleep(2 * OBSERVER_WRITE_SECONDS)
         stored = await store.get(QUARANTINE_PREFIX + FATAL.hex())
-        for part in records:
-            part.apply_stored(stored.key, stored.value, stored.version)
+        for record in records:
+            record.apply_stored(stored.key, stored.value, stored.version)
 
     def test_one_node_may_try_a_refused_request_once(self):
         async def script(store, quarantines, records):
-            await self.tell_all(store, quarantines, records)
+            await self.refuse_at_all(store, quarantines, records)
             self.assertGreater(await quarantines[0].admit(FATAL), 0.0)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
@@ -146,9 +149,9 @@
 
         self.run_script(script)
 
-    def test_a_whole_answer_to_it_releases_the_request(self):
+    def test_a_complete_response_to_it_releases_the_request(self):
         async def script(store, quarantines, records):
-            await self.tell_all(store, quarantines, records)
+            await self.refuse_at_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
             quarantines[0].note_complete_response(FATAL)
@@ -156,31 +159,31 @@
 
         self.run_script(script)
 
-    async def try_once(self, store, quarantines, records):
-        """Refuse a request at all nodes, and have the first one try it."""
-        await self.tell_all(store, quarantines, records)
+    async def claim_trial(self, store, quarantines, records):
+        """Have a request refused at all nodes, and run its trial at the first one."""
+        await self.refuse_at_all(store, quarantines, records)
         await trio.sleep(TRIAL_AFTER_SECONDS)
         self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
 
     async def count_admitted(self, store, quarantines, records):
-        """Return how often all nodes let the request run now, as they read the store again."""
+        """Return how often all nodes admit the request now, after reading the store again."""
         admitted = 0
         for _ in range(2):
             stored = await store.get(QUARANTINE_PREFIX + FATAL.hex())
-            for part in records:
-                part.apply_stored(stored.key, stored.value, stored.version)
+            for record in records:
+                record.apply_stored(stored.key, stored.value, stored.version)
             for quarantine in quarantines:
                 admitted += await quarantine.admit(FATAL) == 0.0
         return admitted
 
-    def test_a_request_is_tried_again_since_a_restored_store_shows_no_try(self):
-        # Each restore let a request that ends instances reach one more of them.
+    def test_a_restored_store_that_shows_no_trial_does_not_allow_another_one(self):
+        # Otherwise each restore lets a request that crashes instances reach another one.
         for lost_whole in (False, True):
             with self.subTest(lost_whole=lost_whole):
 
                 async def script(store, quarantines, records, lost_whole=lost_whole):
                     empty = store._shared.model.copy()
-                    await self.tell_all(store, quarantines, records, seen_by="n0")
+                    await self.refuse_at_all(store, quarantines, records, seen_by="n0")
                     copy = empty if lost_whole else store._shared.model.copy()
                     await trio.sleep(TRIAL_AFTER_SECONDS)
                     self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
@@ -188,12 +191,12 @@
                     quarantines[0].note_terminated("i9", EndEvidence.REFUSED)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS)
-                    for part in records:
-                        part.apply_stored(*await self.read(store))
+                    for record in records:
+                        record.apply_stored(*await self.read(store))
                     store._shared.restore(copy)
                     for _ in range(3):
-                        for part in records:
-                            part.apply_stored(*await self.read(store))
+                        for record in records:
+                            record.apply_stored(*await self.read(store))
                         for quarantine in quarantines:
                             self.assertGreater(await quarantine.admit(FATAL), 0.0)
                         await trio.sleep(TRIAL_AFTER_SECONDS)
@@ -204,16 +207,16 @@
 
     @staticmethod
     async def read(store):
-        """Return the request's key as the store shows it: key, value, version."""
+        """Return the key, value and version of the request's record in the store."""
         key = QUARANTINE_PREFIX + FATAL.hex()
         stored = await store.get(key)
         if stored is None:
             return key, b"", StorePlace(store._shared.model.era, store._shared.model.revision)
         return key, stored.value, stored.version
 
-    def test_a_try_whose_client_leaves_is_followed_by_another_one(self):
+    def test_a_trial_whose_client_leaves_is_followed_by_another_one(self):
         async def script(store, quarantines, records):
-            await self.try_once(store, quarantines, records)
+            await self.claim_trial(store, quarantines, records)
             quarantines[0].note_interrupted(RequestName(FATAL), "i9")
             quarantines[0].end_trial(FATAL)
             self.assertEqual(await self.count_admitted(store, quarantines, records), 0)
@@ -222,34 +225,34 @@
 
         self.run_script(script)
 
-    def test_a_try_that_reached_no_instance_is_followed_by_another_one(self):
+    def test_a_trial_that_reached_no_instance_is_followed_by_another_one(self):
         async def script(store, quarantines, records):
-            await self.try_once(store, quarantines, records)
+            await self.claim_trial(store, quarantines, records)
             quarantines[0].end_trial(FATAL)
             await trio.sleep(VERDICT_SECONDS + 2 * VERDICT_CHECK_SECONDS)
             self.assertEqual(await self.count_admitted(store, quarantines, records), 1)
 
         self.run_script(script)
 
-    def test_a_try_that_ends_an_instance_is_the_last_one(self):
-        for ends_first in (True, False):
-            with self.subTest(ends_first=ends_first):
+    def test_a_trial_that_ends_an_instance_is_the_last_one(self):
+        for terminates_first in (True, False):
+            with self.subTest(terminates_first=terminates_first):
 
-                async def script(store, quarantines, records, ends_first=ends_first):
-                    await self.try_once(store, quarantines, records)
+                async def script(store, quarantines, records, terminates_first=terminates_first):
+                    await self.claim_trial(store, quarantines, records)
                     quarantines[0].note_interrupted(RequestName(FATAL), "i9")
-                    if ends_first:
+                    if terminates_first:
                         quarantines[0].note_terminated("i9", EndEvidence.REFUSED)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS / 2)
-                    if not ends_first:
+                    if not terminates_first:
                         quarantines[0].note_terminated("i9", EndEvidence.UNLISTED)
                     await trio.sleep(2 * VERDICT_SECONDS)
                     self.assertEqual(await self.count_admitted(store, quarantines, records), 0)
 
                 self.run_script(script)
 
-    def test_a_try_whose_instance_does_not_answer_a_look_is_the_last_one(self):
+    def test_a_trial_whose_instance_does_not_answer_a_probe_is_the_last_one(self):
         for sign, admitted in (
             (InstanceSign.ANSWERS, 1),
             (InstanceSign.ENDED, 0),
@@ -257,13 +260,13 @@
         ):
             with self.subTest(sign=sign):
 
-                async def look(sign=sign):
+                async def probe(sign=sign):
                     await trio.lowlevel.checkpoint()
                     return sign
 
-                async def script(store, quarantines, records, look=look, admitted=admitted):
-                    await self.try_once(store, quarantines, records)
-                    quarantines[0].note_abandoned(RequestName(FATAL), "i9", look)
+                async def script(store, quarantines, records, probe=probe, admitted=admitted):
+                    await self.claim_trial(store, quarantines, records)
+                    quarantines[0].note_abandoned(RequestName(FATAL), "i9", probe)
                     quarantines[0].end_trial(FATAL)
                     await trio.sleep(VERDICT_SECONDS + 2 * VERDICT_CHECK_SECONDS)
                     found = await self.count_admitted(store, quarantines, records)
@@ -271,9 +274,9 @@
 
                 self.run_script(script)
 
-    def test_a_try_is_not_followed_by_another_one_while_it_runs(self):
+    def test_a_trial_is_not_followed_by_another_one_while_it_runs(self):
         async def script(store, quarantines, records):
-            await self.try_once(store, quarantines, records)
+            await self.claim_trial(store, quarantines, records)
             await trio.sleep(3 * VERDICT_SECONDS)
             self.assertEqual(await self.count_admitted(store, quarantines, records), 0)
 
@@ -281,30 +284,30 @@
 
     def test_it_is_released_at_all_nodes_however_many_ends_had_come_together(self):
         async def script(store, quarantines, records):
-            lives = [f"i{number}" for number in range(7)]
+            incarnations = [f"i{number}" for number in range(7)]
             for quarantine in quarantines:
-                quarantine.merge_reports([told(FATAL, *lives)])
-            await self.tell_all(store, quarantines, records)
+                quarantine.merge_reports([report(FATAL, *incarnations)])
+            await self.refuse_at_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
             quarantines[0].note_complete_response(FATAL)
             quarantines[1].merge_reports([quarantines[0].known_crashes(FATAL)])
             for quarantine in quarantines:
                 self.assertEqual(quarantine.refused_seconds(FATAL), 0.0)
-                quarantine.merge_reports([told(FATAL, "j1")])
-                quarantine.merge_reports([told(FATAL, "j2")])
+                quarantine.merge_reports([report(FATAL, "j1")])
+                quarantine.merge_reports([report(FATAL, "j2")])
                 self.assertGreater(quarantine.refused_seconds(FATAL), 0.0)
 
         self.run_script(script)
 
-    def test_an_end_under_a_try_counts_for_no_other_request(self):
-        """A soak had this: a try's end made a request the worse one, and released those beside it.
-
-        Then four nodes sent one of these at once, 8 s after it had ended its third instance.
+    def test_a_termination_under_a_trial_counts_for_no_other_request(self):
+        """Otherwise a trial's termination gives its request the most, which releases those that
+        shared instances with it: four nodes then send such a request at once, 8 s after it
+        crashed its third instance.
         """
 
         async def script(store, quarantines, records):
-            await self.tell_all(store, quarantines, records)
+            await self.refuse_at_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
             quarantines[0].note_interrupted(RequestName(FATAL), "i4")
@@ -314,9 +317,9 @@
 
         self.run_script(script)
 
-    def test_none_is_tried_while_the_store_is_away(self):
+    def test_no_trial_is_claimed_while_the_store_is_unreachable(self):
         async def script(store, quarantines, records):
-            await self.tell_all(store, quarantines, records)
+            await self.refuse_at_all(store, quarantines, records)
             await trio.sleep(TRIAL_AFTER_SECONDS)
             store.cut_off = True
             self.assertGreater(await quarantines[0].admit(FATAL), 100.0)
@@ -325,25 +328,25 @@
 
         self.run_script(script)
 
-    def test_an_end_that_others_excuse_a_moment_later_refuses_nothing(self):
+    def test_a_termination_that_reports_clear_a_moment_later_refuses_nothing(self):
         async def script(store, quarantines, records):
             quarantine = quarantines[0]
-            quarantine.merge_reports([told(FATAL, "i1", "i2", "i3")])
+            quarantine.merge_reports([report(FATAL, "i1", "i2", "i3")])
 
-            async def excuse():
+            async def clear():
                 await trio.sleep(PEER_REPORT_SECONDS / 2)
-                quarantine.merge_reports([told(FATAL, "i1", "i2", "i3", cleared=("i3",))])
+                quarantine.merge_reports([report(FATAL, "i1", "i2", "i3", cleared=("i3",))])
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(excuse)
+                nursery.start_soon(clear)
                 await quarantine.settle(FATAL, "i3")
             self.assertEqual(await quarantine.admit(FATAL), 0.0)
 
         self.run_script(script)
 
-    def test_the_word_of_others_is_awaited_once_and_for_half_a_second(self):
+    def test_reports_of_other_nodes_are_awaited_once_and_for_half_a_second(self):
         async def script(store, quarantines, records):
-            quarantines[0].merge_reports([told(FATAL, "i1", "i2", "i3")])
+            quarantines[0].merge_reports([report(FATAL, "i1", "i2", "i3")])
             began_at = trio.current_time()
             for _ in range(2):
                 await quarantines[0].settle(FATAL, "i3")
--- a/tests/services/test_claims.py
+++ b/tests/services/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims one by one: what each fault of the store or the engine leads to."""
+"""Single claims: the result of each fault of the store or the engine."""
 
 import contextlib
 import functools
@@ -39,7 +39,7 @@
     ("answer lost, stale read-back", FaultOrder(lost_answers=1, stale_reads=2), UNAVAILABLE),
 )
 
-# State of the earlier attempt, and whether a repeat of the key is refused.
+# State of the earlier attempt, and the expected refusal of a repeat of the key, or None.
 EARLIER = (
     ("on its way", lambda world: None, None),
     ("queued", lambda world: world.deliver("other", "n1"), CLAIMED),
@@ -158,8 +158,8 @@
             world.wall_time = age
             await self.check(world.claim(1, "n3"), expected)
 
-        # Within the age the promise of the engine would be needed, which it has broken here:
-        # that claim shows that the engine has forgotten, and so that the age is what protects.
+        # Up to that age the take-over relies on the engine's fence. Here the engine has dropped the
+        # nonce, as the take-over of the first row shows; so only the age prevents the second one.
         for age, expected in ((TAKE_OVER_SECONDS, None), (TAKE_OVER_SECONDS + 1.0, CLAIMED)):
             with self.subTest(age=age):
                 self.run_async(functools.partial(test, age=age, expected=expected))
@@ -180,7 +180,7 @@
 
         self.run_async(test)
 
-    def test_keys_of_two_tenants_never_meet(self):
+    def test_keys_of_two_tenants_never_collide(self):
         keys = {claim_key("a", "bc"), claim_key("ab", "c"), claim_key("1:a", "b")}
         self.assertEqual(len(keys), 3)
         self.assertTrue(all(key.startswith(CLAIM_PREFIX) for key in keys))
--- a/tests/services/test_claims_stateful.py
+++ b/tests/services/test_claims_stateful.py
@@ -1,4 +1,4 @@
-"""A key runs at most once, whatever fails: the oracle counts runs at the engines."""
+"""A key runs at most once under all faults: the oracle counts runs at the engines."""
 
 import contextlib
 import unittest
@@ -21,7 +21,7 @@
 ROUTERS = st.integers(0, 1)
 ADDRESSES = st.sampled_from(ENGINES)
 PAUSES = st.sampled_from([None, None, 0, 1, 2, 3, 4, 5, 6])
-CALLS_OF_A_CLAIM = 2  # before and after the swap; the next one is before the dispatch
+CALLS_OF_A_CLAIM = 2  # Before and after the swap; the next one is before the dispatch.
 FAULTS = st.sampled_from(
     [
         FaultOrder(outage=True),
@@ -137,27 +137,27 @@
 
 
 async def swallow_kill(call, *arguments):
-    """Run a task of a router that may be killed meanwhile."""
+    """Run a task of a router that may be killed during it."""
     with contextlib.suppress(RouterKilledError):
         await call(*arguments)
 
 
 class AssumingClaims(ClaimService):
-    """Wrong on purpose: takes a lost answer for a success."""
+    """Wrong variant: takes a lost answer for a success."""
 
     async def _read_back(self, key, own):
         return HeldClaim(key, 0, own)
 
 
 class TakingClaims(ClaimService):
-    """Wrong on purpose: dispatches without waiting for the swap."""
+    """Wrong variant: dispatches without waiting for the swap."""
 
     async def _take_over(self, found, own):
         return HeldClaim(found.key, found.version, own)
 
 
 class UnfencedSweeper(ClaimSweeper):
-    """Wrong on purpose: deletes old claims without asking their engines."""
+    """Wrong variant: deletes old claims without fencing them at their engines."""
 
     async def _delete_if_old(self, value):
         await self._store.delete(value.key, value.version)
@@ -215,7 +215,7 @@
     await world.submit("k1", world.routers[1], ENGINES[0])
 
 
-# Name, script, and the mutation that the script catches.
+# Name, script, and the mutation that the script detects.
 SCRIPTS = (
     ("a lost answer counts as a claim", lose_a_claim, {"claims_class": AssumingClaims}),
     ("taken over without a fence", repeat_before_delivery, {"peek_only": True}),
@@ -253,7 +253,7 @@
 
 
 def run_script(world_class, script):
-    """Run a script, then let everything arrive; return the number of runs."""
+    """Run a script, then deliver all requests; return the number of runs."""
 
     async def main():
         async with trio.open_nursery() as nursery:
@@ -273,7 +273,7 @@
 
 @contextlib.contextmanager
 def unwrapped_failures():
-    """Raise the oracle's failure itself, not the nursery's group around it."""
+    """Raise the oracle's failure itself instead of the nursery's exception group."""
     try:
         yield
     except* AssertionError as group:
--- a/tests/services/test_engine_watch.py
+++ b/tests/services/test_engine_watch.py
@@ -1,4 +1,4 @@
-"""Probes stay within their rate however many engines a router watches."""
+"""Probes, publications and event reads stay within their rates for few and for many engines."""
 
 import random
 import unittest
@@ -16,11 +16,11 @@
 from hopstep.services.engine_watch import EngineWatch
 
 RUN_SECONDS = 20.0
-KEYS_AN_EVENT = 50
+KEYS_PER_EVENT = 50
 
 
 class CountingEngines:
-    """Answers every probe at once, with one new event of many keys, and counts all it sends."""
+    """Answers every probe at once, with one new event of many keys, and counts probes and keys."""
 
     def __init__(self):
         self.probes = Counter()
@@ -32,8 +32,8 @@
         return EngineFacts(f"incarnation-of-{address}", {"model": "1"}, event_sequence=sequence)
 
     async def cache_events(self, address, incarnation, after):
-        self.keys_read += KEYS_AN_EVENT
-        event = CacheEvent(after + 1, CacheEventKind.STORED, tuple(range(KEYS_AN_EVENT)))
+        self.keys_read += KEYS_PER_EVENT
+        event = CacheEvent(after + 1, CacheEventKind.STORED, tuple(range(KEYS_PER_EVENT)))
         return CacheEventBatch(incarnation, (event,))
 
 
@@ -79,15 +79,15 @@
         for engines in (6, 120):
             _, published = self.watch(engines)
             rate = min(engines / engine_watch.PUBLISH_SECONDS, 2.5)
-            self.assertGreaterEqual(published, engines, "the first facts are news")
+            self.assertGreaterEqual(published, engines, "the first facts are published")
             self.assertLessEqual(published, engines + rate * RUN_SECONDS + 1)
 
     def test_cache_events_are_read_within_their_budget(self):
         engines, _ = self.watch(6, 0)
         self.assertEqual(engines.keys_read, 0)
-        rate = 3 * KEYS_AN_EVENT * BYTES_PER_KEY
+        rate = 3 * KEYS_PER_EVENT * BYTES_PER_KEY
         engines, _ = self.watch(6, rate)
-        debt = KEYS_AN_EVENT * BYTES_PER_KEY
+        debt = KEYS_PER_EVENT * BYTES_PER_KEY
         allowed = (rate * (RUN_SECONDS + 1) + debt) / BYTES_PER_KEY
         self.assertLessEqual(engines.keys_read, allowed)
         self.assertGreater(engines.keys_read, 0.6 * allowed, "the budget is used")
--- a/tests/services/test_leaving_watch.py
+++ b/tests/services/test_leaving_watch.py
@@ -1,4 +1,4 @@
-"""Leaving machines by the list and by peers."""
+"""Machines about to shut down, as read from the machine list and reported by peers."""
 
 import random
 import unittest
@@ -20,72 +20,72 @@
 
 class LeavingWatchTest(unittest.TestCase):
     def watch(self, body, with_list=True, is_reader=True, routers=3):
-        """Run a watch under ``body(model, told, check)``."""
+        """Run a watch together with ``body(model, reported, check)``."""
 
         async def main():
             model = MachineListModel(LIVE)
             machine_list = InMemoryMachineList(model) if with_list else None
-            table, told, published = RoutingTable(random.Random(1)), {}, []
+            table, reported, published = RoutingTable(random.Random(1)), {}, []
             watch = LeavingWatch(
                 machine_list,
                 table,
                 lambda: is_reader,
                 lambda: frozenset(f"r{number}" for number in range(routers)),
                 lambda address, leaving: published.append((address, leaving)),
-                lambda: told,
+                lambda: reported,
             )
 
-            async def check(seconds, leaving, told):
+            async def check(seconds, leaving, expected):
                 await trio.sleep(seconds)
                 self.assertEqual(table._leaving, frozenset(leaving))
-                self.assertEqual(published, told)
+                self.assertEqual(published, expected)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch.run)
-                await body(model, told, check)
+                await body(model, reported, check)
                 nursery.cancel_scope.cancel()
 
         run(main)
 
-    def test_machines_that_a_reader_reads_are_told_to_peers_and_taken_back(self):
-        async def body(model, told, check):
+    def test_machines_that_a_reader_reads_are_reported_to_peers_and_withdrawn(self):
+        async def body(model, reported, check):
             await check(1.5, (), [])
             model.replace(LEAVING, trio.current_time())
-            told = [("a", True), ("b", True)]
-            await check(2, ("a", "b"), told)
+            expected = [("a", True), ("b", True)]
+            await check(2, ("a", "b"), expected)
             model.order_faults(FaultOrder(machine_list_outage=True))
-            await check(10, ("a", "b"), told)
+            await check(10, ("a", "b"), expected)
             model.replace(LIVE, trio.current_time())
             model.order_faults(FaultOrder(machine_list_outage=False))
-            await check(6, (), [*told, ("a", False), ("b", False)])
+            await check(6, (), [*expected, ("a", False), ("b", False)])
 
         self.watch(body)
 
-    def test_live_peers_are_believed_without_a_list_and_during_its_outage(self):
-        async def body(model, told, check):
+    def test_live_peers_are_trusted_without_a_list_and_during_its_outage(self):
+        async def body(model, reported, check):
             model.order_faults(FaultOrder(machine_list_outage=True))
-            told["b"] = frozenset({"r1"})
+            reported["b"] = frozenset({"r1"})
             await check(2, ("b",), [])
-            told.clear()
+            reported.clear()
             await check(2, (), [])
 
         for with_list in (True, False):
             with self.subTest(with_list=with_list):
                 self.watch(body, with_list)
 
-    def test_what_a_peer_told_outlives_it_until_the_list_shows_otherwise(self):
-        async def body(model, told, check):
+    def test_the_report_of_a_dead_peer_stays_until_the_list_shows_the_machine_live(self):
+        async def body(model, reported, check):
             model.order_faults(FaultOrder(machine_list_outage=True))
-            told["b"] = frozenset({"killed"})
+            reported["b"] = frozenset({"killed"})
             await check(2, ("b",), [])
-            told.clear()
+            reported.clear()
             await check(20, ("b",), [])
             model.order_faults(FaultOrder(machine_list_outage=False))
             await check(2, (), [])
 
         self.watch(body)
 
-    def test_routers_that_are_no_readers_read_seldom_in_a_large_cluster_and_tell_nobody(self):
+    def test_routers_that_are_no_readers_read_rarely_in_a_large_cluster_and_publish_nothing(self):
         reads = []
 
         class CountingList(InMemoryMachineList):
@@ -93,7 +93,7 @@
                 reads.append(trio.current_time())
                 return await super().machines()
 
-        async def body(model, told, check):
+        async def body(model, reported, check):
             model.replace(LEAVING, trio.current_time())
             await check(60, ("a", "b"), [])
 
--- a/tests/services/test_membership.py
+++ b/tests/services/test_membership.py
@@ -85,15 +85,15 @@
 
         run_in_virtual_time(main)
 
-    async def herd(self, world, count=4):
+    async def start_cluster(self, world, count=4):
         for number in range(count):
             await world.start(number)
         await trio.sleep(20)
         return list(world.services.values())
 
-    def test_services_meet_share_and_agree_on_owners(self):
+    def test_services_find_each_other_share_entries_and_agree_on_owners(self):
         async def body(world):
-            services = await self.herd(world)
+            services = await self.start_cluster(world)
             names = sorted(world.services)
             self.assertEqual(world.views(), dict.fromkeys(names, names))
             owners = {service.owners("engine-1", 2) for service in services}
@@ -111,7 +111,7 @@
 
     def test_owners_follow_a_death_a_planned_stop_and_a_restart(self):
         async def body(world):
-            services = await self.herd(world)
+            services = await self.start_cluster(world)
             world.kill("r3")
             await trio.sleep(15)
             self.assertEqual(world.views()["r0"], ["r0", "r1", "r2"])
@@ -128,9 +128,9 @@
 
         self.run_world(body)
 
-    def test_a_cut_router_knows_and_a_paused_one_comes_back(self):
+    def test_a_cut_off_router_detects_its_isolation_and_a_paused_one_rejoins(self):
         async def body(world):
-            services = await self.herd(world)
+            services = await self.start_cluster(world)
             address = services[0].own.peer_address
             world.network.faults.cut(address)
             await trio.sleep(15)
@@ -149,9 +149,9 @@
 
         self.run_world(body)
 
-    def test_strangers_are_counted_logged_now_and_then_and_change_nothing(self):
+    def test_messages_of_another_cluster_are_counted_logged_at_intervals_and_change_nothing(self):
         async def body(world):
-            services = await self.herd(world, 2)
+            services = await self.start_cluster(world, 2)
             await world.start(5, cluster="another")
             await trio.sleep(20)
             self.assertEqual(world.views()["r0"], ["r0", "r1"])
@@ -162,18 +162,18 @@
 
         self.run_world(body)
 
-    def test_revisions_and_their_proofs_are_told(self):
+    def test_revisions_and_the_age_of_their_proofs_are_announced(self):
         async def body(world):
-            services = await self.herd(world, 3)
-            heard = []
-            services[2].subscribe(heard.append)
+            services = await self.start_cluster(world, 3)
+            received = []
+            services[2].subscribe(received.append)
             services[0].follow_confirmations(lambda: 4.5)
             services[0].set_revision(8)
             await trio.sleep(3)
-            told = [action for action in heard if isinstance(action, RevisionHeard)]
-            self.assertEqual({action.revision for action in told}, {8})
-            self.assertEqual({action.member.name for action in told}, {"r0"})
-            self.assertTrue(any(5 <= action.confirmed_age_seconds <= 6 for action in told))
+            announced = [action for action in received if isinstance(action, RevisionHeard)]
+            self.assertEqual({action.revision for action in announced}, {8})
+            self.assertEqual({action.member.name for action in announced}, {"r0"})
+            self.assertTrue(any(5 <= action.confirmed_age_seconds <= 6 for action in announced))
 
         self.run_world(body)
 
--- a/tests/services/test_peer_key_rotation.py
+++ b/tests/services/test_peer_key_rotation.py
@@ -1,4 +1,4 @@
-"""Cluster keys that are replaced file by file, while the routers gossip."""
+"""Cluster keys are replaced one file at a time, while the routers gossip."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 class PeerKeyRotationTest(unittest.TestCase):
     def rotate(self, steps) -> tuple[list[dict], set[str]]:
-        """Return the log after the routers met, and the ids of the keys that sign at the end."""
+        """Return the log lines since membership was complete, and the final signing keys' ids."""
         directory = Path(self.enterContext(tempfile.TemporaryDirectory()))
         paths = [directory / f"router-{number}" for number in range(ROUTERS)]
         logs = self.enterContext(structlog.testing.capture_logs())
--- a/tests/services/test_rollout.py
+++ b/tests/services/test_rollout.py
@@ -32,7 +32,7 @@
 
 
 class World:
-    """Emulated engines under one router's watch and rollout."""
+    """Emulated engines, with the watch and rollout of each router."""
 
     def __init__(self, leaders=(True,)):
         self.leaders = leaders
@@ -105,7 +105,7 @@
         self.run_world(world, script)
         self.assertEqual(world.versions(), {"w2"})
 
-    def test_who_does_not_lead_orders_nothing(self):
+    def test_a_router_that_does_not_lead_orders_nothing(self):
         world = World(leaders=(False,))
 
         async def script():
@@ -115,7 +115,7 @@
         self.run_world(world, script)
         self.assertEqual(world.versions(), {"w1"})
 
-    def test_a_leader_behind_is_fenced_off(self):
+    def test_a_leader_with_an_older_revision_is_fenced_off(self):
         world = World(leaders=(True, True))
 
         async def script():
