--- a/tests/services/configuration/configuration_world.py
+++ b/tests/services/configuration/configuration_world.py
@@ -174,13 +174,13 @@
         outcome = submission.outcome
         if outcome is None:
             others = [item for item in self.submissions if item.change.change_id == change_id]
-            assert not revisions or len(others) > 1, (
-                f"{change_id} said no effect, is at {revisions}"
+            assert not accepted_at or len(others) > 1, (
+                f"{change_id} said no effect, is at {accepted_at}"
             )
         elif outcome.status is SubmitStatus.ACCEPTED:
-            assert revisions == [outcome.revision], f"{change_id}: {outcome}, is at {revisions}"
+            assert accepted_at == [outcome.revision], f"{change_id}: {outcome}, is at {accepted_at}"
         elif outcome.status is SubmitStatus.REJECTED:
-            assert not revisions, f"{change_id}: {outcome}, is at {revisions}"
+            assert not accepted_at, f"{change_id}: {outcome}, is at {accepted_at}"
 
     def check_applied(self, node: Node, accepted: AcceptedConfiguration) -> None:
         """Check that a node applies a higher revision with the accepted document."""
--- a/tests/services/requests/__init__.py
+++ b/tests/services/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the path of a request."""
+"""Tests of request handling."""
--- a/tests/services/requests/request_path.py
+++ b/tests/services/requests/request_path.py
@@ -1,4 +1,4 @@
-"""A small router's request path over in-process engines, for tests on a virtual clock."""
+"""Request handling of a small router over in-process engines, for tests on a virtual clock."""
 
 import contextlib
 import itertools
@@ -123,7 +123,7 @@
 
 
 def run(test):
-    """Run an async test on a virtual clock, its log lines captured."""
+    """Run an async test on a virtual clock, with its log lines captured."""
     with structlog.testing.capture_logs():
         return run_in_virtual_time(test)
 
--- a/tests/services/requests/test_admission.py
+++ b/tests/services/requests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: bounded fair queue, early refusals, goodput under overload, slots given back."""
+"""Admission: bounded fair queue, early refusals, goodput under overload, released slots."""
 
 import statistics
 import unittest
@@ -34,15 +34,15 @@
 ENGINE = EngineConfig(max_batch_size=SLOTS, decode_base_seconds=0.1, heartbeat_seconds=10.0)
 SERVICE_SECONDS = TOKENS * 0.102 + 0.02
 CAPACITY = 2 * SLOTS / SERVICE_SECONDS
-"""Requests a second that two engines of ``SLOTS`` slots about serve."""
+"""Approximate requests per second that two engines with ``SLOTS`` slots serve."""
 
 
 class Load:
-    """Requests offered at a steady rate, and what came of them by tenant."""
+    """Requests offered at a steady rate, and their results by tenant."""
 
     def __init__(self, path):
         self.path = path
-        self.whole = {}
+        self.complete = {}
         self.refusals = []
         self.first_waits = {}
 
@@ -57,7 +57,7 @@
             self.refusals.append((error, trio.current_time() - began))
             return
         if tokens_of(parts) == oracle(request):
-            self.whole[tenant.name] = self.whole.get(tenant.name, 0) + 1
+            self.complete[tenant.name] = self.complete.get(tenant.name, 0) + 1
             self.first_waits.setdefault(tenant.name, []).append(trio.current_time() - began)
 
     async def offer(self, tenant, rate, seconds):
@@ -77,7 +77,7 @@
 
 
 def offered(*loads, seconds=20, max_concurrent_requests=SLOTS):
-    """Offer pairs of tenant and rate; return the load and the time that it took."""
+    """Offer load at pairs of tenant and rate; return the load and the time at its end."""
 
     async def scenario():
         path = overloaded_path(max_concurrent_requests)
@@ -95,8 +95,8 @@
     def test_goodput_holds_at_twice_capacity_and_refusals_are_early(self):
         best, best_seconds = offered((FLOODING, CAPACITY))
         twice, twice_seconds = offered((FLOODING, 2 * CAPACITY))
-        best_rate = best.whole["flooding"] / best_seconds
-        rate = twice.whole["flooding"] / twice_seconds
+        best_rate = best.complete["flooding"] / best_seconds
+        rate = twice.complete["flooding"] / twice_seconds
         self.assertGreaterEqual(rate, 0.9 * best_rate)
         self.assertGreater(len(twice.refusals), 0)
         for error, waited in twice.refusals:
@@ -108,7 +108,7 @@
         self.assertGreater(at_once, 0.8 * len(twice.refusals))
 
     def early_share(self):
-        """Return the share of refusals at once while another tenant's requests go before."""
+        """Return the share of immediate refusals while another tenant's requests go first."""
         load, _ = offered((FLOODING, 2 * CAPACITY), (WITHIN, 0.45 * CAPACITY), seconds=40)
         self.assertEqual({error.code for error, _ in load.refusals}, {ErrorCode.OVERLOADED})
         return sum(waited == 0 for _, waited in load.refusals) / len(load.refusals)
@@ -116,22 +116,22 @@
     def test_refusals_are_early_when_other_tenants_go_before(self):
         self.assertGreater(self.early_share(), 0.98)
 
-    def test_variant_that_expects_the_wait_by_order_alone_is_seen(self):
+    def test_variant_that_expects_the_wait_by_order_alone_is_detected(self):
         with mock.patch.object(QueuePace, "expected_wait", return_value=0.0):
             self.assertLess(self.early_share(), 0.98)
 
     def within_share(self):
-        """Return the share of whole answers and the worst time of a tenant within its share."""
+        """Return the ratio of complete responses and the worst time of the tenant ``WITHIN``."""
         load, _ = offered((FLOODING, 2 * CAPACITY), (WITHIN, 0.2 * CAPACITY))
         sent = round(0.2 * CAPACITY * 20)
-        return load.whole.get("within", 0) / sent, max(load.first_waits["within"])
+        return load.complete.get("within", 0) / sent, max(load.first_waits["within"])
 
     def test_tenant_within_its_share_is_not_harmed(self):
-        whole, worst = self.within_share()
-        self.assertEqual(whole, 1.0)
+        complete, worst = self.within_share()
+        self.assertEqual(complete, 1.0)
         self.assertLess(worst, 2 * SERVICE_SECONDS + 0.5)
 
-    def test_variant_that_serves_in_order_of_arrival_is_seen(self):
+    def test_variant_that_serves_in_order_of_arrival_is_detected(self):
         def in_order(self):
             entries = [e for queue in self.tenants.values() for e in queue.entries.values()]
             yield from sorted(entries, key=lambda entry: int(entry.entry_id))
@@ -143,11 +143,11 @@
             mock.patch.object(fair_queue._PriorityQueue, "in_order", in_order),
             mock.patch.object(fair_queue.FairQueue, "count_before", count_all),
         ):
-            whole, worst = self.within_share()
-        self.assertTrue(whole < 1.0 or worst >= 2 * SERVICE_SECONDS + 0.5)
+            complete, worst = self.within_share()
+        self.assertTrue(complete < 1.0 or worst >= 2 * SERVICE_SECONDS + 0.5)
 
     def median_wait_at_queueing_engines(self):
-        """Return the median time of a tenant within its share, engines having a queue too."""
+        """Return the median time of a tenant within its share, with queues at the engines too."""
         load, _ = offered(
             (FLOODING, 2 * CAPACITY),
             (WITHIN, 0.2 * CAPACITY),
@@ -155,7 +155,7 @@
         )
         return statistics.median(load.first_waits["within"])
 
-    def test_a_flood_gives_way_in_the_queues_of_engines(self):
+    def test_a_flooding_tenant_yields_in_the_queues_of_engines(self):
         median = self.median_wait_at_queueing_engines()
         self.assertLess(median, 2 * SERVICE_SECONDS)
         with mock.patch.object(attempt_factory, "engine_priority", lambda priority, _: priority):
@@ -263,7 +263,7 @@
 
         run(scenario)
 
-    def test_slot_is_given_back_once(self):
+    def test_slot_is_released_once(self):
         async def scenario():
             path = self.busy_path()
             slot = await path.admission.acquire(path.request())
--- a/tests/services/requests/test_attempt_factory.py
+++ b/tests/services/requests/test_attempt_factory.py
@@ -1,4 +1,4 @@
-"""What changes while an attempt is being prepared is seen before it is sent."""
+"""Changes of the configuration during an attempt's preparation are applied before it is sent."""
 
 import unittest
 from unittest import mock
@@ -12,7 +12,7 @@
 
 
 class ChangingClaims:
-    """Claims during whose first one the configuration changes."""
+    """Claims that change the configuration during the first claim."""
 
     def __init__(self, path, document):
         self.path = path
@@ -35,7 +35,7 @@
 
 CHANGES = (
     ("none", None, "e0"),
-    ("of no concern", edited(max_concurrent_requests=5), "e0"),
+    ("irrelevant", edited(max_concurrent_requests=5), "e0"),
     ("leaving", edited(leaving=True), "e1"),
     ("another model", edited(models=()), "e1"),
     ("removed", msgspec.structs.replace(configuration(), back_ends=(engine(1),)), "e1"),
@@ -69,6 +69,6 @@
                 self.assertNotIn(None, replaced[1:])
                 self.assertEqual(len(replaced), 1 if last_engine == "e0" else 2)
 
-    def test_without_the_second_look_the_engine_would_get_it(self):
+    def test_without_the_second_check_the_engine_would_get_the_attempt(self):
         with mock.patch.object(AttemptFactory, "_is_current", lambda *_: True):
             self.assertEqual(self.serve(edited(leaving=True))[0], {"e0"})
--- a/tests/services/requests/test_dispatcher.py
+++ b/tests/services/requests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher over emulated engines: whole answers, claims, preconditions, slow callers."""
+"""The dispatcher over emulated engines: complete answers, claims, preconditions, slow callers."""
 
 import contextlib
 import unittest
@@ -19,8 +19,8 @@
 
 
 @contextlib.contextmanager
-def seen_requests(path):
-    """Record what the engines are asked."""
+def recorded_requests(path):
+    """Record the requests that the engines receive."""
     generate = path.engines.generate
     seen = []
 
@@ -60,7 +60,7 @@
     def test_preconditions(self):
         async def scenario():
             path = RequestPath(configuration(engines=1))
-            with seen_requests(path) as seen:
+            with recorded_requests(path) as seen:
                 await path.answer(path.request("once"))
                 await path.answer(path.request("quick"))
             (_, once), (_, quick) = seen
@@ -81,7 +81,7 @@
             document = configuration(engines=1, routing=routing)
             document = msgspec.structs.replace(document, back_ends=document.back_ends + stores)
             path = RequestPath(document)
-            with seen_requests(path) as seen:
+            with recorded_requests(path) as seen:
                 await path.answer(path.request())
             self.assertEqual(seen[0][1].kv_cache_store, expected)
 
--- a/tests/services/requests/test_dispatcher_faults.py
+++ b/tests/services/requests/test_dispatcher_faults.py
@@ -1,4 +1,4 @@
-"""Fault table of the request path: whole answers or truthful failures, runs counted."""
+"""Faults of request handling: complete answers or errors with the proved execution."""
 
 import contextlib
 import unittest
@@ -35,7 +35,7 @@
 
 
 class Outcome:
-    """What a caller got, and what the engines did."""
+    """The parts and the error that a caller got."""
 
     def __init__(self):
         self.parts = []
@@ -47,7 +47,7 @@
 
 
 async def attempt_answer(path, request, at=None, induce=None):
-    """Collect an answer; call ``induce(address)`` once when ``at`` tokens have come."""
+    """Collect an answer; call ``induce(address)`` once after ``at`` tokens have arrived."""
     outcome = Outcome()
 
     def watch(parts):
@@ -71,7 +71,7 @@
 
 
 class FaultTest(unittest.TestCase):
-    def check_whole(self, path, request, outcome, runs):
+    def check_complete(self, path, request, outcome, runs):
         self.assertIsNone(outcome.error, outcome.error and outcome.error.code)
         self.assertEqual(outcome.tokens, oracle(request))
         sequences = [part.sequence for part in outcome.parts]
@@ -85,7 +85,7 @@
         self.assertEqual(path.admission.slots.total(), 0)
         self.assertEqual(path.admission.queued, 0)
 
-    def check_truthful_failure(self, path, request, outcome):
+    def check_failure(self, path, request, outcome):
         self.assertIsNotNone(outcome.error)
         self.assertEqual(outcome.tokens, oracle(request)[: len(outcome.tokens)])
         if path.runs(request):
@@ -100,7 +100,7 @@
                 path.engines.set_faults(model, EngineFaults(stream=fault))
             request = path.request(class_name)
             outcome = await attempt_answer(path, request)
-            self.check_whole(path, request, outcome, {1})
+            self.check_complete(path, request, outcome, {1})
 
         for name, fault in STREAM_FAULTS.items():
             for class_name in ("quick", "once"):
@@ -118,9 +118,9 @@
 
             outcome = await attempt_answer(path, request, at, die)
             if class_name == "quick":
-                self.check_whole(path, request, outcome, {2})
+                self.check_complete(path, request, outcome, {2})
                 return
-            self.check_truthful_failure(path, request, outcome)
+            self.check_failure(path, request, outcome)
             self.assertEqual(outcome.error.code, ErrorCode.STREAM_INTERRUPTED)
             self.assertEqual(path.runs(request), 1)
 
@@ -146,7 +146,7 @@
 
                 outcome = await attempt_answer(path, request, at, freeze)
             runs = {1} if class_name == "once" else {1, 2}
-            self.check_whole(path, request, outcome, runs)
+            self.check_complete(path, request, outcome, runs)
 
         for name, at in POINTS.items():
             for class_name in ("quick", "once"):
@@ -169,7 +169,7 @@
             for address in ("127.0.0.1:9000", "127.0.0.1:9001"):
                 path.engines.set_faults(address, fault)
             request = path.request(class_name)
-            self.check_whole(path, request, await attempt_answer(path, request), {1})
+            self.check_complete(path, request, await attempt_answer(path, request), {1})
 
         for name, fault in cases.items():
             for class_name in ("quick", "once"):
@@ -185,13 +185,13 @@
                 request, path.holder.require().configuration.back_ends, frozenset(), 0.0
             )
             path.engines.set_down(first.back_end.address, True)
-            self.check_whole(path, request, await attempt_answer(path, request), {1})
+            self.check_complete(path, request, await attempt_answer(path, request), {1})
 
         for class_name in ("quick", "once"):
             with self.subTest(request_class=class_name):
                 run(lambda c=class_name: scenario(c))
 
-    def test_request_lost_on_its_way_and_arriving_late(self):
+    def test_request_lost_in_transit_and_arriving_late(self):
         async def scenario(class_name, late):
             path = RequestPath()
             await path.learn_facts()
@@ -200,7 +200,7 @@
                 with lose_next_dispatch(path.engines, nursery, late):
                     outcome = await attempt_answer(path, request)
                 await trio.sleep(20)
-            self.check_whole(path, request, outcome, {1} if class_name == "once" else {1, 2})
+            self.check_complete(path, request, outcome, {1} if class_name == "once" else {1, 2})
 
         for class_name in ("quick", "once"):
             for late in (None, 0.005, 5.0):
@@ -215,7 +215,7 @@
                 path.engines.set_down(model, True)
             request = path.request(class_name)
             outcome = await attempt_answer(path, request)
-            self.check_truthful_failure(path, request, outcome)
+            self.check_failure(path, request, outcome)
             self.assertEqual(outcome.error.execution, Execution.NOT_RUN)
             self.assertGreater(outcome.error.retry_after_seconds, 0)
 
@@ -241,7 +241,7 @@
             with self.subTest(request_class=class_name):
                 run(lambda c=class_name: scenario(c))
 
-    def test_deadline_says_what_is_proved(self):
+    def test_deadline_error_states_the_proved_execution(self):
         async def scenario(frozen, expected):
             path = RequestPath(configuration(engines=1))
             await path.learn_facts()
@@ -252,7 +252,7 @@
             request = path.request("once", deadline=trio.current_time() + 1.0)
             with mock.patch.object(request_execution, "BACKOFF_SECONDS", 30.0):
                 outcome = await attempt_answer(path, request)
-            self.check_truthful_failure(path, request, outcome)
+            self.check_failure(path, request, outcome)
             self.assertEqual(outcome.error.code, ErrorCode.DEADLINE_EXCEEDED)
             self.assertEqual(outcome.error.execution, expected)
 
@@ -294,14 +294,14 @@
                 path.apply(configuration(leaving=True))
 
             outcome = await attempt_answer(path, request, 5, die_and_relabel)
-            self.check_truthful_failure(path, request, outcome)
+            self.check_failure(path, request, outcome)
             self.assertEqual(outcome.error.code, ErrorCode.STREAM_INTERRUPTED)
             self.assertEqual(path.runs(request), 1)
 
         run(scenario)
 
     def outage_excess(self):
-        """Return the dispatches of an outage, less what the retry budget's bound allows."""
+        """Return the dispatches during an outage minus the bound of the retry budget."""
 
         async def scenario():
             path = RequestPath(configuration(routing=RoutingPolicy(retry_ratio=0.1)))
@@ -350,7 +350,7 @@
                 self.assertGreater(path.admission.slots.in_flight(address), 15)
                 path.engines.set_faults(address, EngineFaults(crash=True))
             for request in requests:
-                self.check_whole(path, request, outcomes[request.request_id], {1, 2})
+                self.check_complete(path, request, outcomes[request.request_id], {1, 2})
 
         run(scenario)
 
@@ -366,16 +366,16 @@
             path.engines.set_faults(first.back_end.address, EngineFaults(frozen=True))
             outcome = await attempt_answer(path, request)
             self.assertLess(trio.current_time(), 5.0)
-            self.check_whole(path, request, outcome, {1, 2})
+            self.check_complete(path, request, outcome, {1, 2})
             self.assertNotEqual(outcome.parts[0].engine, first.back_end.name)
 
         run(scenario)
 
 
 class WrongVariantTest(unittest.TestCase):
-    """The checks above see these faults of hopstep's own."""
+    """The checks above detect these wrong variants of hopstep."""
 
-    def test_checker_that_ignores_the_nonce_is_seen(self):
+    def test_checker_that_ignores_the_nonce_is_detected(self):
         def careless(self, nonce, incarnation, sequence, token_count, last):
             skip = max(0, self.next_sequence - sequence)
             self.next_sequence = max(self.next_sequence, sequence + token_count)
@@ -394,7 +394,7 @@
         with mock.patch.object(attempts.FrameChecker, "check", careless):
             run(scenario)
 
-    def test_retry_of_a_single_run_on_unknown_is_seen(self):
+    def test_retry_of_a_single_run_on_unknown_is_detected(self):
         def careless(snapshot):
             decision = attempts.decide_next(snapshot)
             if decision.action in (Action.RESUME, Action.SETTLE, Action.FAIL):
@@ -416,7 +416,7 @@
 
 @contextlib.contextmanager
 def lose_next_dispatch(engines, nursery, late):
-    """Lose one dispatch; it reaches its engine ``late`` seconds after, or never (None)."""
+    """Lose one dispatch; it reaches its engine ``late`` seconds later, or never (None)."""
     generate = engines.generate
     lost = []
 
--- a/tests/services/requests/test_request_memory.py
+++ b/tests/services/requests/test_request_memory.py
@@ -1,4 +1,4 @@
-"""Nothing of a request stays in the request path once it has ended, however it ended."""
+"""Request handling keeps no state of a request after its end, whatever its outcome."""
 
 import collections
 import gc
@@ -20,11 +20,11 @@
 
 CONTAINERS = (dict, list, set, collections.deque)
 OUTSIDE = ("emulator.", "trio.", "tests.")
-"""Packages whose objects hold histories of their own, or the whole event loop."""
+"""Packages whose objects keep histories of their own, or refer to the whole event loop."""
 
 
 def entries(root):
-    """Return the entries of all containers that can be reached from an object of hopstep."""
+    """Return the number of entries of all containers reachable from an object of hopstep."""
     seen = {}
     waiting = [root]
     while waiting:
@@ -40,7 +40,7 @@
 
 class RequestMemoryTest(unittest.TestCase):
     async def serve(self, path, count):
-        """Run requests that end well, are refused, go elsewhere, or lose their caller."""
+        """Run requests that complete, are refused, retried at another engine, or abandoned."""
         for number in range(count):
             kind = number % 4
             request = msgspec.structs.replace(
--- a/tests/services/requests/test_request_metrics.py
+++ b/tests/services/requests/test_request_metrics.py
@@ -1,4 +1,4 @@
-"""Attempts and cached tokens are counted as they happen."""
+"""Attempts, prompt tokens and cached tokens are counted."""
 
 import unittest
 
--- a/tests/services/requests/test_resting_engines.py
+++ b/tests/services/requests/test_resting_engines.py
@@ -1,4 +1,4 @@
-"""An engine that refuses for want of room and names a wait is left alone for so long."""
+"""An engine that refuses as overloaded with ``Retry-After`` gets no requests for that time."""
 
 import unittest
 
@@ -16,20 +16,20 @@
     tokens_of,
 )
 
-REST_SECONDS = 3.0
+BACKOFF_SECONDS = 3.0
 MANY = 1_000
 
 
 class RestingEnginesTest(unittest.TestCase):
-    def rest(self, path, index):
-        """Let an engine refuse everything, and ask for rest each time."""
+    def refuse_with_backoff(self, path, index):
+        """Let an engine refuse all requests, each time with a ``Retry-After``."""
         address = path.holder.require().configuration.back_ends[index].address
-        refusal = RefusalFault(count=MANY, retry_after_seconds=REST_SECONDS)
+        refusal = RefusalFault(count=MANY, retry_after_seconds=BACKOFF_SECONDS)
         path.engines.set_faults(address, EngineFaults(refusal=refusal))
         return address
 
     def recorded_dispatches(self, path):
-        """Return a list that takes the time and the engine of each attempt that is sent."""
+        """Return a list to which the time and engine of each dispatch are appended."""
         sent = []
         generate = path.engines.generate
 
@@ -40,10 +40,10 @@
         path.engines.generate = record
         return sent
 
-    def test_requests_go_to_the_other_engine_meanwhile(self):
+    def test_requests_go_to_the_other_engine_during_the_backoff(self):
         async def main():
             path = RequestPath()
-            address = self.rest(path, 0)
+            address = self.refuse_with_backoff(path, 0)
             sent = self.recorded_dispatches(path)
             for _request in range(60):
                 request = path.request()
@@ -52,11 +52,11 @@
             refused_at = [at for at, where in sent if where == address]
             self.assertTrue(refused_at)
             for earlier, later in zip(refused_at, refused_at[1:], strict=False):
-                self.assertGreaterEqual(later, earlier + REST_SECONDS)
+                self.assertGreaterEqual(later, earlier + BACKOFF_SECONDS)
 
         run(main)
 
-    def test_where_all_rest_a_request_is_refused_at_once_until_the_earliest_end(self):
+    def test_while_all_engines_back_off_a_request_is_refused_at_once_until_the_earliest_end(self):
         document = configuration()
         quick = msgspec.structs.replace(CLASSES["quick"], max_queue_seconds=1.0)
         document = msgspec.structs.replace(document, classes=(quick,))
@@ -64,14 +64,14 @@
         async def main():
             path = RequestPath(document)
             for index in range(2):
-                self.rest(path, index)
+                self.refuse_with_backoff(path, index)
             sent = self.recorded_dispatches(path)
             for _attempt in range(2):
                 began_at = trio.current_time()
                 request = msgspec.structs.replace(path.request(), request_class=quick)
                 with self.assertRaises(ServiceError) as caught:
                     await path.answer(request)
-            earliest_end = min(at for at, _engine in sent) + REST_SECONDS
+            earliest_end = min(at for at, _engine in sent) + BACKOFF_SECONDS
             self.assertEqual(len(sent), 2)
             self.assertEqual(trio.current_time(), began_at)
             error = caught.exception
--- a/tests/services/requests/test_tenant_limits.py
+++ b/tests/services/requests/test_tenant_limits.py
@@ -1,4 +1,4 @@
-"""Tenant limits of one router: leases that begin and end between requests, memory."""
+"""Tenant limits of one router: leases that begin and end between requests, dropped limiters."""
 
 import unittest
 from unittest import mock
@@ -17,7 +17,7 @@
 
 
 class World:
-    """Limits of one router that owns them all."""
+    """The limits of one router, which owns all tenants' limits."""
 
     def __init__(self, nursery, tenants=(LIMITED,)):
         self.path = RequestPath(configuration(tenants=tenants))
@@ -29,7 +29,7 @@
         nursery.start_soon(self.leases.run, self.limits)
 
     def offer(self, count, tenant=LIMITED):
-        """Offer requests at once; return how many were let in."""
+        """Offer requests at once; return the number that was admitted."""
         admitted = 0
         for _ in range(count):
             try:
@@ -49,7 +49,7 @@
 
         run(main)
 
-    def test_an_owner_takes_its_floor_until_earlier_leases_have_ended(self):
+    def test_an_owner_uses_its_floor_until_earlier_leases_have_ended(self):
         async def scenario(world):
             self.assertEqual(world.offer(200), int(100 * FLOOR_RATIO))
             await trio.sleep(LEASE_SECONDS * (1 + 1 / RENEWALS) - 2)
@@ -69,7 +69,7 @@
 
         self.in_world(scenario)
 
-    def test_idle_tenants_are_forgotten_and_debts_are_not(self):
+    def test_idle_tenants_are_dropped_and_those_with_debts_are_not(self):
         tenants = tuple(Tenant(f"t{number}") for number in range(600))
         debtor = Tenant("debtor", limits=TenantLimits(tokens_per_second=1.0))
 
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The cluster simulation: the real services of several routers under faults, by an oracle."""
+"""Cluster simulation: the real services of several routers under faults, checked by an oracle."""
--- a/tests/simulation/harness.py
+++ b/tests/simulation/harness.py
@@ -1,4 +1,4 @@
-"""What the tests of the cluster simulation share."""
+"""Shared helpers for the tests of the cluster simulation."""
 
 import contextlib
 import unittest
@@ -32,7 +32,7 @@
 
 
 def alone_and_in_pairs(faults):
-    """Return each fault alone, and each together with one other."""
+    """Return the combinations of faults: each one alone, and pairs of two."""
     names = list(faults)
     partners = names[1::2] + names[:1]
     return [(name,) for name in names] + list(zip(names[::2], partners, strict=False))
@@ -42,7 +42,7 @@
     maxDiff = None
 
     def run_clean(self, body, **options):
-        """Run a simulation that the oracle must find nothing wrong with."""
+        """Run a simulation in which the oracle must find no violation."""
         cluster = run_simulation(body, **options)
         self.assertEqual(violations(cluster), [])
         return cluster
@@ -58,8 +58,8 @@
     def assert_caught_by_some_seed(self, kind, body, variant):
         """Run with a wrong variant until the oracle reports a violation.
 
-        Whether one run shows it depends on which engine chance lets callers meet. At the seed that
-        shows it the oracle must find nothing wrong with the code as it is.
+        Whether one run shows it depends on the random choice of engines. At the seed that shows it,
+        the unchanged code must have no violation.
         """
         for seed in SEEDS:
             with mock.patch.object(*variant):
@@ -70,7 +70,7 @@
         self.fail(f"no seed of {SEEDS} shows {kind}")
 
     def assert_all_complete(self, cluster, *outcomes):
-        """Check that every sending came to its end, or was refused as not run."""
+        """Check that every request was completed, or refused as not run."""
         for answer in cluster.history.answers:
             if answer.outcome not in (Outcome.COMPLETE, *outcomes):
                 self.assertTrue(answer.says_not_run, answer)
--- a/tests/simulation/test_at_most_once.py
+++ b/tests/simulation/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A request that isn't repeatable runs at most once, whoever is killed, paused or cut off."""
+"""A request that isn't repeatable runs at most once, when routers and engines fail or pause."""
 
 import trio
 
@@ -16,7 +16,7 @@
 
 
 def trap(point, action):
-    """Return a fault that does something to the first router when it comes to a point."""
+    """Return a fault that calls ``action`` when the first router reaches a point."""
 
     async def induce(cluster):
         cluster.routers["r0"].gate.trap(point, lambda: action(cluster))
@@ -74,7 +74,7 @@
     "the store is down": (platform(outage=True), 0),
     "the engine's answer is lost": (lose_engine_answers, 1),
 }
-"""Faults, and the fewest runs that the key must come to over all its sendings."""
+"""Faults, each with the fewest runs of the key over all its requests."""
 
 
 async def swap_nothing(service, key, expected_version, own):
@@ -82,7 +82,7 @@
     return HeldClaim(key, 1, own)
 
 
-async def trust_silence(engines, claim):
+async def trust_missing_answer(engines, claim):
     await trio.lowlevel.checkpoint()
     return EarlierAttempt.NEVER_STARTS
 
@@ -90,7 +90,7 @@
 class AtMostOnceTest(SimulationTest):
     @staticmethod
     def body(fault, pause_seconds=4.0):
-        """Send a key to two routers at once, then again to all while and after a fault."""
+        """Send a key to two routers at once, and again to routers during and after a fault."""
 
         async def run(cluster):
             await fault(cluster)
@@ -136,7 +136,7 @@
 
                 self.run_clean(self.body(both))
 
-    def test_a_holder_that_wakes_after_a_long_pause_runs_nothing(self):
+    def test_a_claim_holder_that_resumes_after_a_long_pause_runs_nothing(self):
         cluster = self.run_clean(self.body(RUNS["paused at the dispatch"][0], pause_seconds=90.0))
         self.assertEqual(sum(len(records) for records in cluster.runs.values()), 1)
 
@@ -150,9 +150,9 @@
         for name, fault, variant in (
             ("swap skipped", "no fault", (ClaimService, "_swap", swap_nothing)),
             (
-                "a silent attempt believed dead",
+                "an unresponsive attempt taken for dead",
                 "paused after the dispatch",
-                (claims, "fence_claim", trust_silence),
+                (claims, "fence_claim", trust_missing_answer),
             ),
         ):
             with self.subTest(variant=name):
--- a/tests/simulation/test_cache_reuse.py
+++ b/tests/simulation/test_cache_reuse.py
@@ -1,4 +1,4 @@
-"""No use of cache entries from a dead engine, of another tenant or of older weights."""
+"""Cache entries of a crashed engine, another tenant or older weights are never used."""
 
 import contextlib
 from unittest import mock
@@ -54,7 +54,7 @@
 
 
 async def forged_and_stale_events(cluster):
-    """Tell every router that each engine holds everybody's prefix, in a past incarnation too."""
+    """Report to all routers that each engine holds all prefixes, in a past incarnation too."""
     keys = tuple(
         key
         for tenant in ("anywhere", "inland", "harbour")
@@ -109,7 +109,7 @@
 
 @contextlib.contextmanager
 def choices():
-    """Collect the choice behind each attempt."""
+    """Collect the routing choice of each attempt, by nonce."""
     found = {}
     original = RoutingTable.record_dispatch
 
@@ -142,8 +142,8 @@
         answer = await cluster.ask("r0", call(text="after the crash"))
         self.assertEqual(answer.outcome, Outcome.COMPLETE)
 
-    def unnamed_reliance(self):
-        """Return attempts that counted on blocks without naming the incarnation."""
+    def attempts_without_incarnation(self):
+        """Return attempts that relied on cached blocks without naming the incarnation."""
         with choices() as found:
             cluster = self.run_clean(self.crash_under_a_choice)
         sent = {item.request.nonce: item.request for item in cluster.history.dispatches}
@@ -155,11 +155,11 @@
             if sent[n].incarnation != found[n].incarnation or not sent[n].incarnation
         ]
 
-    def test_an_attempt_that_counts_on_blocks_names_their_incarnation(self):
-        self.assertEqual(self.unnamed_reliance(), [])
+    def test_an_attempt_that_relies_on_blocks_names_their_incarnation(self):
+        self.assertEqual(self.attempts_without_incarnation(), [])
         variant = (AttemptFactory, "_assemble", assemble_without_incarnation)
         with mock.patch.object(*variant):
-            self.assertTrue(self.unnamed_reliance())
+            self.assertTrue(self.attempts_without_incarnation())
 
     def test_the_same_prompt_of_two_tenants_shares_nothing(self):
         async def body(cluster):
--- a/tests/simulation/test_cluster_stateful.py
+++ b/tests/simulation/test_cluster_stateful.py
@@ -1,4 +1,4 @@
-"""Faults at any moment, together and twice, by seeded schedules."""
+"""Faults at random times, in combination and repeated, by seeded schedules."""
 
 import trio
 
@@ -35,7 +35,7 @@
         complete = [item for item in cluster.history.answers if item.outcome is Outcome.COMPLETE]
         self.assertGreater(len(complete), 10)
 
-    def test_what_must_hold_holds_under_chaos(self):
+    def test_the_oracle_finds_no_violation_under_chaos(self):
         first = 1_000 * (fuzz_settings.seed() or 0) + 1
         for seed in range(first, first + fuzz_settings.max_examples(RUNS_IN_CI)):
             with self.subTest(seed=seed):
@@ -43,4 +43,4 @@
 
 
 ALLOWED_IN_THE_HARBOUR = ((Outcome.COMPLETE, ""), (Outcome.REFUSED, UNPLACED))
-"""Edits may have moved every engine out of the tenant's place."""
+"""Edits may have left no engine on which the tenant may be placed."""
--- a/tests/simulation/test_configuration.py
+++ b/tests/simulation/test_configuration.py
@@ -25,20 +25,20 @@
 
 
 async def agree(cluster):
-    """Wait until every router has the latest revision, which must be in time."""
+    """Wait until every router has the latest revision, at most the convergence time."""
     with trio.fail_after(CONVERGENCE_SECONDS):
         for router in cluster.routers.values():
             await router.services.holder.wait_above(cluster.world.latest().revision - 1)
 
 
 async def settle(cluster):
-    """Give routers the time to write again what a copy lacks, and to follow."""
+    """Wait for routers to write the changes that a backup lacks again, and to converge."""
     await trio.sleep(CONVERGENCE_SECONDS + 1)
     await agree(cluster)
 
 
 def silently_lost(cluster):
-    """Return accepted changes that the store doesn't have, and that no router names as lost."""
+    """Return accepted changes that are missing in the store and not reported as displaced."""
     kept = set(cluster.stored_changes())
     named = {
         displaced.lost.change_id
@@ -112,15 +112,15 @@
 
 
 async def restored_store(cluster):
-    """The store comes back from a copy that lacks a change which all routers have."""
-    copy = cluster.copy_store()
+    """Restore the store from a backup that lacks a change which all routers have."""
+    backup = cluster.copy_store()
     await edit(cluster)
     await trio.sleep(3)
-    cluster.restore_store(copy)
+    cluster.restore_store(backup)
 
 
 async def without_store(cluster):
-    """Two of three routers have only their peers, for as long as a revision may take."""
+    """Cut two of three routers off from the store for the longest time that a revision may take."""
     for name in ("r0", "r1"):
         cluster.cut_platform(name)
     await edit(cluster)
@@ -149,13 +149,13 @@
                 cluster = self.run_clean(self.body(*names, convergence=agree))
                 self.assertGreater(cluster.world.latest().revision, 1)
 
-    def test_an_accepted_change_disappears_silently_with_a_restored_store(self):
+    def test_no_accepted_change_is_silently_lost_with_a_restored_store(self):
         for other in ((), *((name,) for name in FAULTS)):
             with self.subTest(beside=other):
                 cluster = self.run_clean(self.body(*RESTORED, *other, convergence=settle))
                 self.assertEqual(silently_lost(cluster), set())
 
-    def test_routers_that_write_nothing_again_are_caught(self):
+    def test_a_variant_that_writes_no_change_again_is_caught(self):
         variant = (ConfigurationRestoration, "is_due", lambda _restoration: False)
         with mock.patch.object(*variant):
             cluster = run_simulation(self.body(*RESTORED))
@@ -232,7 +232,7 @@
 
 
 def apply_twice(holder, accepted):
-    """Put each revision in force, and an earlier one after it."""
+    """Put each revision in force, followed by the earlier one."""
     earlier = holder.current
     applied = APPLY(holder, accepted)
     if applied and earlier is not None:
--- a/tests/simulation/test_hostile_peers.py
+++ b/tests/simulation/test_hostile_peers.py
@@ -23,29 +23,29 @@
 LATE = 20.0
 
 
-def poison(cluster):
-    """Return a message that would change all that peers share."""
+def harmful_message(cluster):
+    """Return a message that would change all shared state of the peers."""
     record = cluster.routers["r0"].services.membership.own
     dead = msgspec.structs.replace(record, state=MemberState.DEAD, version=record.version + 9)
-    stranger = MemberRecord("evil", 99, 1, MemberState.ALIVE, "6.6.6.6:1", "6.6.6.6:1", "a")
+    unknown_member = MemberRecord("evil", 99, 1, MemberState.ALIVE, "6.6.6.6:1", "6.6.6.6:1", "a")
     engine = cluster.back_end("e0").address
     entries = (
         Entry("r0", record.incarnation, 999, engine, LeavingBackEnd(engine), EntryKind(0)),
         Entry("r0", record.incarnation, 999, engine, EngineEntry(engine, "forged"), EntryKind(1)),
     )
-    return Push(Gossip(revision=77, members=(dead, stranger), entries=entries))
+    return Push(Gossip(revision=77, members=(dead, unknown_member), entries=entries))
 
 
 def forge(cluster, cluster_name, keys):
-    """Return a datagram in the name of r0, signed by somebody else."""
+    """Return a datagram in the name of r0, encoded with a cluster name and keys."""
     incarnation = cluster.routers["r0"].services.membership.own.incarnation
     codec = PeerCodec(cluster_name, "r0", incarnation, keys, cluster.world.wall_clock)
     codec._sequence = 1_000_000
-    return codec.encode(poison(cluster))
+    return codec.encode(harmful_message(cluster))
 
 
 def record_datagrams(cluster):
-    """Collect what is sent, with its way."""
+    """Collect the datagrams that are sent, with source and target."""
     sent = []
     carry = cluster.world.network.carry
 
@@ -58,7 +58,7 @@
 
 
 async def attack(cluster):
-    """Replay, change and forge datagrams for some seconds."""
+    """Replay, alter and forge datagrams for some seconds."""
     generator = random.Random(1)
     sent, carry = record_datagrams(cluster)
     await trio.sleep(2)
@@ -77,7 +77,7 @@
 
 
 def view(cluster):
-    """Return what the routers believe."""
+    """Return the routers' views of members, entries, revision and an engine."""
     states = {}
     for name in ROUTERS:
         services = cluster.routers[name].services
@@ -106,7 +106,7 @@
 
         self.assert_all_complete(self.run_clean(body))
 
-    def test_the_poison_works_when_its_signature_is_right(self):
+    def test_the_forged_message_has_an_effect_when_its_signature_is_valid(self):
         async def body(cluster):
             datagram = forge(cluster, "hopstep", PeerKeys.derived("hopstep"))
             before = view(cluster)
--- a/tests/simulation/test_leaving.py
+++ b/tests/simulation/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving back end gets no new work after a few seconds."""
+"""A back end about to shut down gets no new work after a few seconds."""
 
 import msgspec
 import trio
@@ -15,7 +15,7 @@
 ENGINE = "e1"
 SECONDS = 10.0
 DEATH_SECONDS = 16.0
-"""Time after which killed routers are held dead."""
+"""Time after which killed routers count as dead."""
 
 
 async def machine_list(cluster):
@@ -38,11 +38,11 @@
     await cluster.restart("r0")
 
 
-async def engine_says_so(cluster):
+async def engine_announces_it(cluster):
     cluster.engine_leaves(ENGINE)
 
 
-async def operator_says_so(cluster):
+async def operator_announces_it(cluster):
     leaving = msgspec.structs.replace(cluster.back_end(ENGINE), leaving=True)
     await cluster.edit(leaving, Section.BACK_ENDS)
 
@@ -57,7 +57,7 @@
     cluster.machine_list_shows_leaving(ENGINE)
 
 
-async def cut_off_and_its_tellers_killed(cluster):
+async def cut_off_and_reporting_routers_killed(cluster):
     cluster.cut_platform("r1")
     cluster.machine_list_shows_leaving(ENGINE)
     await trio.sleep(2.5)
@@ -80,8 +80,8 @@
     "the list lags": lagging_list,
     "the list flaps": flapping_list,
     "the list goes down": list_goes_down,
-    "the engine says so": engine_says_so,
-    "the operator says so": operator_says_so,
+    "the engine announces it": engine_announces_it,
+    "the operator announces it": operator_announces_it,
     "a router is cut off from its peers": cut_off_from_peers,
     "a router is cut off from the platform": cut_off_from_the_platform,
     "retries": crashes,
@@ -105,10 +105,10 @@
         )
         self.assert_all_complete(cluster)
 
-    def test_what_peers_told_outlives_them(self):
-        self.run_clean(cut_off_and_its_tellers_killed)
-        variant = (ToldMachines, "update", lambda machines, told, *_: frozenset(told))
-        self.assert_caught("leaving", cut_off_and_its_tellers_killed, variant)
+    def test_reports_of_peers_stay_valid_after_their_death(self):
+        self.run_clean(cut_off_and_reporting_routers_killed)
+        variant = (ToldMachines, "update", lambda machines, reported, *_: frozenset(reported))
+        self.assert_caught("leaving", cut_off_and_reporting_routers_killed, variant)
 
     def test_wrong_variants_are_caught(self):
         for name, fault, variant in (
@@ -123,7 +123,7 @@
                 (LeavingMachines, "update", replace_all),
             ),
             (
-                "peers are not told",
+                "nothing reported to peers",
                 "a router is cut off from the platform",
                 (Cluster, "leaving_by_peers", lambda _: {}),
             ),
--- a/tests/simulation/test_not_run.py
+++ b/tests/simulation/test_not_run.py
@@ -1,4 +1,4 @@
-"""A refusal that says "not run" is true."""
+"""A request that is refused as "not run" has not run."""
 
 import trio
 
@@ -11,7 +11,7 @@
 from tests.simulation.harness import SimulationTest, alone_and_in_pairs, call, under_load
 
 ROUTERS = ("r0", "r1", "r2")
-HURRIED = Mix(leave_share=0.5, once_share=0.6, repeat_share=0.3)
+IMPATIENT = Mix(leave_share=0.5, once_share=0.6, repeat_share=0.3)
 
 
 def engines(cluster):
@@ -30,7 +30,7 @@
 
 
 def cut_at(point):
-    """Return a fault that cuts a router off from all engines when it comes to a point."""
+    """Return a fault that cuts a router off from all engines when it reaches a point."""
 
     async def induce(cluster):
         for router in ROUTERS:
@@ -82,16 +82,16 @@
     def body(*names):
         async def run(cluster):
             faults = [FAULTS[name] for name in names]
-            await under_load(cluster, *faults, mix=HURRIED)
+            await under_load(cluster, *faults, mix=IMPATIENT)
 
         return run
 
-    def test_what_is_said_not_to_have_run_has_not(self):
+    def test_a_request_refused_as_not_run_has_not_run(self):
         for names in alone_and_in_pairs(FAULTS):
             with self.subTest(faults=names):
                 self.run_clean(self.body(*names))
 
-    def test_a_request_that_no_engine_took_is_said_not_to_have_run(self):
+    def test_a_request_that_no_engine_accepted_is_refused_as_not_run(self):
         async def body(cluster):
             for engine in engines(cluster):
                 cluster.world.engines.set_down(cluster.back_end(engine).address, True)
@@ -102,7 +102,7 @@
 
         self.run_clean(body)
 
-    def test_a_variant_that_says_so_without_proof_is_caught(self):
+    def test_a_variant_that_reports_not_run_without_proof_is_caught(self):
         async def body(cluster):
             for engine in engines(cluster):
                 cluster.set_engine_faults(engine, EngineFaults(lost_answers=20))
--- a/tests/simulation/test_overload.py
+++ b/tests/simulation/test_overload.py
@@ -1,4 +1,4 @@
-"""Limits while routers come and go, outages without amplification, refusals at once."""
+"""Limits while routers start and stop, outages without amplification, immediate refusals."""
 
 from unittest import mock
 
@@ -18,8 +18,8 @@
 RATE = 4.0
 CONCURRENT = 6
 
-LEAST_USED = 0.5
-"""Part of the limit that the tenant must get while routers come and go."""
+MIN_USED_SHARE = 0.5
+"""Least share of the limit that the tenant must get while routers start and stop."""
 
 ROUTERS = 3
 STORM = Mix(requests_per_second=30.0, once_share=0.0, leave_share=0.0, classes=("batch",))
@@ -44,7 +44,7 @@
     return one_tenant(max_concurrent_requests=CONCURRENT)
 
 
-async def come_and_go(cluster):
+async def restart_routers(cluster):
     """Send more than the limit while routers are killed, started and stopped."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(Crowd(cluster, 3, BUSY).run, 20.0)
@@ -58,18 +58,18 @@
 
 
 def over_bound(cluster):
-    """Return the spans in which more was let in than the stated bound."""
+    """Return the spans of time in which more requests were admitted than the stated bound."""
     entered = sorted(
         answer.started_at
         for answer in cluster.history.answers
         if answer.code != "rate_limited" and answer.outcome is not Outcome.CONNECTION_REFUSED
     )
-    lives = cluster.history.lives
+    incarnations = cluster.history.lives
     spans = []
     for first, began_at in enumerate(entered):
         for last in range(first, len(entered)):
             seconds = entered[last] - began_at
-            starts = sum(began_at <= life.began_at <= entered[last] for life in lives)
+            starts = sum(began_at <= started.began_at <= entered[last] for started in incarnations)
             bound = RATE * (1 + OVERSHOOT_BOUND) * (seconds + 1)
             bound += RATE * FLOOR_RATIO / ROUTERS * starts
             if last - first + 1 > bound:
@@ -78,7 +78,7 @@
 
 
 def most_at_once(cluster):
-    """Return the most requests that ran or waited at one time."""
+    """Return the largest number of requests that ran or waited at one time."""
     entered = [item for item in cluster.history.answers if item.code != "rate_limited"]
     return max(
         sum(other.started_at <= item.started_at < other.ended_at for other in entered)
@@ -88,22 +88,22 @@
 
 class LimitsTest(SimulationTest):
     def test_the_rate_stays_within_its_bound(self):
-        cluster = self.run_clean(come_and_go, deployment=limited())
+        cluster = self.run_clean(restart_routers, deployment=limited())
         self.assertEqual(over_bound(cluster), [])
         codes = {answer.code for answer in cluster.history.answers}
         self.assertIn("rate_limited", codes)
         complete = sum(item.outcome is Outcome.COMPLETE for item in cluster.history.answers)
-        self.assertGreater(complete, RATE * 20 * LEAST_USED)
+        self.assertGreater(complete, RATE * 20 * MIN_USED_SHARE)
 
     def test_a_router_that_takes_the_whole_limit_is_caught(self):
         variant = mock.patch.object(LimitLeaseService, "part", lambda *_: WHOLE)
         variant.start()
         self.addCleanup(variant.stop)
-        cluster = self.run_clean(come_and_go, deployment=limited(), settle_seconds=10.0)
+        cluster = self.run_clean(restart_routers, deployment=limited(), settle_seconds=10.0)
         self.assertTrue(over_bound(cluster))
 
     def test_concurrency_stays_within_its_bound(self):
-        cluster = self.run_clean(come_and_go, deployment=concurrent())
+        cluster = self.run_clean(restart_routers, deployment=concurrent())
         self.assertLessEqual(most_at_once(cluster), CONCURRENT * (1 + OVERSHOOT_BOUND) + ROUTERS)
 
 
@@ -118,7 +118,7 @@
         cluster = self.run_clean(self.outage, deployment=unlimited())
         dispatches = cluster.history.dispatches
         firsts = len({item.sending for item in dispatches})
-        # A tenth, and the floor and the savings of three routers.
+        # A tenth, plus the floor and the saved retries of three routers.
         self.assertLess(len(dispatches) / firsts, 1.5)
         for answer in cluster.history.answers:
             self.assertTrue(answer.says_not_run, answer)
@@ -147,7 +147,7 @@
             self.assertEqual(answer.ended_at, answer.started_at)
 
     def test_a_refusal_that_waits_for_cancels_is_caught(self):
-        """The answer of a failed request must not wait for its clean-up at the engines."""
+        """The error of a failed request must not wait for its clean-up at the engines."""
         execute = Dispatcher._execute
 
         async def execute_late(execution, stream):
--- a/tests/simulation/test_planned_stop.py
+++ b/tests/simulation/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts off nobody."""
+"""A planned stop interrupts no request."""
 
 import trio
 
@@ -50,7 +50,7 @@
 
 
 class PlannedStopTest(SimulationTest):
-    def test_streams_end_and_late_comers_are_refused_as_not_run(self):
+    def test_streams_complete_and_later_requests_are_refused_as_not_run(self):
         for names in alone_and_in_pairs(FAULTS):
             with self.subTest(stop=names):
 
--- a/tests/simulation/test_repeated_crashes.py
+++ b/tests/simulation/test_repeated_crashes.py
@@ -1,8 +1,8 @@
-"""A prompt that ends each engine which begins it is kept from engines by all routers.
+"""All routers refuse a prompt that crashes each engine which starts it.
 
-Routers of the OpenAI-style interface counted attempts by request, as nodes of routed exchanges did
-(see ``tests.services.exchanges.test_repeated_crashes``): a caller that sent such a prompt again, at
-any router, ended two engines or more each time.
+Guards against counting attempts by request only (nodes of routed exchanges are tested likewise in
+``tests.services.exchanges.test_repeated_crashes``): a caller that sends such a prompt again, at any
+router, then crashes two engines or more each time.
 """
 
 import trio
@@ -14,22 +14,22 @@
 
 ROUTERS = ("r0", "r1", "r2")
 TEXT = "the fatal one"
-TRIES = 12
+REPEATS = 12
 BETWEEN_SECONDS = 0.5
-ENDS_BEFORE_REFUSAL = 3
-KEPT_SECONDS = 1.0
-HEARD_SECONDS = 2 * POLL_SECONDS
-"""Until a few routers have read the store again, and told the others."""
+CRASHES_BEFORE_REFUSAL = 3
+STORE_SECONDS = 1.0
+SPREAD_SECONDS = 2 * POLL_SECONDS
+"""Time until routers have read the store again, and the others have received the change."""
 
 
 class RepeatedCrashesTest(SimulationTest):
     def make_fatal(self, cluster, request):
         cluster.world.engines.fatal_prompts.add(request.prompt)
 
-    async def send_again(self, cluster, request, tries=TRIES):
-        """Send a request to one router after the other; return the answers."""
+    async def send_again(self, cluster, request, repeats=REPEATS):
+        """Send a request repeatedly, to one router after the other; return the answers."""
         answers = []
-        for number in range(tries):
+        for number in range(repeats):
             answers.append(await cluster.ask(ROUTERS[number % len(ROUTERS)], request))
             await trio.sleep(BETWEEN_SECONDS)
         return answers
@@ -39,7 +39,7 @@
             request = call(text=TEXT)
             self.make_fatal(cluster, request)
             answers = await self.send_again(cluster, request)
-            self.assertEqual(len(cluster.world.engines.ends), ENDS_BEFORE_REFUSAL)
+            self.assertEqual(len(cluster.world.engines.ends), CRASHES_BEFORE_REFUSAL)
             self.assertEqual(answers[-1].code, "request_quarantined")
             self.assertTrue(answers[-1].says_not_run)
             self.assertEqual(answers[-1].ended_at, answers[-1].started_at)
@@ -48,15 +48,15 @@
 
         self.run_clean(body)
 
-    def test_routers_that_start_later_know_it_from_the_store(self):
+    def test_routers_that_start_later_read_the_record_from_the_store(self):
         async def body(cluster):
             request = call(text=TEXT)
             self.make_fatal(cluster, request)
-            await self.send_again(cluster, request, tries=4)
+            await self.send_again(cluster, request, repeats=4)
             ends = len(cluster.world.engines.ends)
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORE_SECONDS)
             await cluster.restart()
-            await trio.sleep(KEPT_SECONDS)
+            await trio.sleep(STORE_SECONDS)
             await self.send_again(cluster, request)
             self.assertEqual(len(cluster.world.engines.ends), ends)
 
@@ -66,25 +66,25 @@
         async def body(cluster):
             request = call(text=TEXT)
             self.make_fatal(cluster, request)
-            await self.send_again(cluster, request, tries=4)
-            await trio.sleep(KEPT_SECONDS)
+            await self.send_again(cluster, request, repeats=4)
+            await trio.sleep(STORE_SECONDS)
             cluster.world.engines.fatal_prompts.clear()
             store = InMemoryStore(cluster.world.store)
             [kept] = await store.list(QUARANTINE_PREFIX)
             await store.compare_and_swap(kept.key, kept.version, b'{"lifted": true}')
-            await trio.sleep(HEARD_SECONDS)
-            for answer in await self.send_again(cluster, request, tries=3):
+            await trio.sleep(SPREAD_SECONDS)
+            for answer in await self.send_again(cluster, request, repeats=3):
                 self.assertEqual(answer.code, "")
 
         self.run_clean(body)
 
-    def test_another_tenant_and_honest_requests_beside_it_are_served(self):
+    def test_another_tenant_and_ordinary_requests_at_the_same_time_are_served(self):
         async def body(cluster):
             request = call(text=TEXT)
             self.make_fatal(cluster, request)
 
             async def attack(cluster):
-                await self.send_again(cluster, request, tries=8)
+                await self.send_again(cluster, request, repeats=8)
 
             await under_load(cluster, attack, seconds=6.0, mix=STEADY)
             refused = [
@@ -104,7 +104,7 @@
             request = call(request_class="once", text=TEXT)
             self.make_fatal(cluster, request)
             answers = await self.send_again(cluster, request)
-            self.assertEqual(len(cluster.world.engines.ends), ENDS_BEFORE_REFUSAL)
+            self.assertEqual(len(cluster.world.engines.ends), CRASHES_BEFORE_REFUSAL)
             self.assertEqual(answers[0].execution, "unknown")
             self.assertTrue(answers[-1].says_not_run)
 
--- a/tests/simulation/test_restart.py
+++ b/tests/simulation/test_restart.py
@@ -1,4 +1,4 @@
-"""A router that restarts serves at once."""
+"""A router that restarts serves within its time limit, and refuses at once before that."""
 
 import trio
 
@@ -23,11 +23,11 @@
     ("all, store up", ROUTERS, UP, 1.0),
     ("all, store slow", ROUTERS, SLOW, 5.0),
 )
-"""Routers killed and started, the store meanwhile, longest time to the first whole answer."""
+"""Name, restarted routers, faults of the store, and longest seconds to the first response."""
 
 
 async def seconds_to_first_answer(cluster, router, limit):
-    """Ask again and again; every answer before the first whole one is an honest refusal."""
+    """Send requests until one is complete; each one before must be refused at once as not run."""
     began_at = trio.current_time()
     while trio.current_time() < began_at + limit + 5.0:
         answer = await cluster.ask(router, call(max_tokens=1))
@@ -39,7 +39,7 @@
     return float("inf")
 
 
-async def ask_nobody(synchronization):
+async def ask_no_peer(synchronization):
     await trio.lowlevel.checkpoint()
 
 
@@ -83,9 +83,9 @@
 
     def test_a_router_that_does_not_ask_its_peers_is_caught(self):
         original = ConfigurationSync._ask_for_first
-        ConfigurationSync._ask_for_first = ask_nobody
+        ConfigurationSync._ask_for_first = ask_no_peer
         self.addCleanup(setattr, ConfigurationSync, "_ask_for_first", original)
         pull = ConfigurationSync._pull
-        ConfigurationSync._pull = lambda synchronization, peer: ask_nobody(synchronization)
+        ConfigurationSync._pull = lambda synchronization, peer: ask_no_peer(synchronization)
         self.addCleanup(setattr, ConfigurationSync, "_pull", pull)
         self.assertGreater(self.time_to_serve(ONE, DOWN, 2.0), 2.0)
--- a/tests/simulation/test_streams.py
+++ b/tests/simulation/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams reach their callers complete and in order, each the answer to its own request."""
+"""Callers receive streams complete and in order, each with the answer to its own request."""
 
 import trio
 
@@ -100,7 +100,7 @@
     return FrameCheck(FrameVerdict.ACCEPT)
 
 
-def finish_where_it_broke(progress, engine):
+def finish_at_the_interruption(progress, engine):
     part = AnswerPart(progress.delivered_tokens, (), engine, AnswerFinish.LENGTH, progress._usage())
     progress._stream.put_now(part)
     return True
@@ -156,9 +156,9 @@
             ),
             ("sequence ignored", "duplicated", (FrameChecker, "check", check_without_sequence)),
             (
-                "truncated without a word",
+                "truncated without an error",
                 "cut in the middle",
-                (AnswerProgress, "finish_if_complete", finish_where_it_broke),
+                (AnswerProgress, "finish_if_complete", finish_at_the_interruption),
             ),
         ):
             with self.subTest(variant=name):
--- a/tests/simulation/test_suspensions.py
+++ b/tests/simulation/test_suspensions.py
@@ -1,7 +1,7 @@
-"""Routers whose machines were suspended: what is overdue has run out, and nobody is held dead.
+"""Routers whose machines were suspended: overdue deadlines expire, and no router counts as dead.
 
-The clock jumps for the whole cluster at a drawn moment, as for machines that were suspended and
-woke together; a router alone that stood still is what ``pause`` shows.
+The clock jumps for the whole cluster at a random time, as for machines that are suspended and
+resumed together; faults with ``pause`` cover a single router that stops for a while.
 """
 
 import random
@@ -56,7 +56,7 @@
             with self.subTest(seed=seed):
                 self.run_clean(self.body(seed, inspect), seed=seed)
 
-    def test_a_request_that_waits_for_room_ends_at_its_deadline(self):
+    def test_a_request_that_waits_for_capacity_ends_at_its_deadline(self):
         async def run(cluster):
             answers = []
 
@@ -72,5 +72,5 @@
             self.assertEqual({answer.code for answer in answers}, {"deadline_exceeded"})
             self.assertLess(max(answer.ended_at for answer in answers), woke_at + 1.0)
 
-        # The oracle would blame the router for the time in which it didn't run.
+        # Without the oracle: it would count the suspension as the router's delay.
         run_simulation(run)
