--- a/tests/services/configuration/configuration_world.py
+++ b/tests/services/configuration/configuration_world.py
@@ -168,7 +168,7 @@
     def _check_outcome(self, submission: Submission) -> None:
         """Check one outcome against the accepted changes when it is returned."""
         change_id = submission.change.change_id
-        revisions = [
+        accepted_at = [
             item.revision for item in self.accepted() if item.change.change_id == change_id
         ]
         outcome = submission.outcome
