--- a/hopstep/services/configuration/snapshots.py
+++ b/hopstep/services/configuration/snapshots.py
@@ -154,5 +154,5 @@
 def _incomplete(manifest: SnapshotManifest) -> StoreError:
     """Return the error for a snapshot that can't be read completely."""
     return StoreError(
-        ErrorCode.STORE_UNAVAILABLE, f"snapshot {manifest.revision} can't be read whole"
+        ErrorCode.STORE_UNAVAILABLE, f"snapshot {manifest.revision} can't be read completely"
     )
--- a/hopstep/services/configuration/store.py
+++ b/hopstep/services/configuration/store.py
@@ -104,7 +104,8 @@
             values = await self._list_changes(after - 1)
             if not values or _revision_of(values[0]) != after:
                 raise StoreError(
-                    ErrorCode.STORE_UNAVAILABLE, f"the store's answer is older than {after}"
+                    ErrorCode.STORE_UNAVAILABLE,
+                    f"the store's answer is older than revision {after}",
                 )
             changes = _contiguous(values[1:], after)
             if changes or len(values) == 1:
@@ -221,7 +222,7 @@
     """Return the history on a base; raises ``StoreError`` when there is a gap."""
     changes = _contiguous(values, base.revision)
     if len(changes) < len(values):
-        raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store's answers don't fit together")
+        raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store's answers are inconsistent")
     try:
         latest = apply_transfer(base, ConfigurationTransfer(changes=changes))
     except DomainError as error:
--- a/hopstep/services/configuration/submission.py
+++ b/hopstep/services/configuration/submission.py
@@ -184,6 +184,6 @@
         SubmitStatus.UNKNOWN,
         message=(
             f"the base is older than revision {history.base.revision}, the oldest kept one: this "
-            "call changed nothing, an earlier one may have; compare with show, then submit anew"
+            "call changed nothing, an earlier one may have; compare with show, then submit again"
         ),
     )
--- a/hopstep/services/requests/admission.py
+++ b/hopstep/services/requests/admission.py
@@ -130,7 +130,7 @@
         except BaseException:
             self._abandon(waiting)
             raise
-        assert waiting.slot is not None  # noqa: S101 - what _wait returns for
+        assert waiting.slot is not None  # noqa: S101 - set when _wait returns
         return waiting.slot
 
     def try_acquire(self, request: InferenceRequest, excluded: frozenset[str]) -> EngineSlot | None:
--- a/tests/simulation/test_configuration.py
+++ b/tests/simulation/test_configuration.py
@@ -151,7 +151,7 @@
 
     def test_no_accepted_change_is_silently_lost_with_a_restored_store(self):
         for other in ((), *((name,) for name in FAULTS)):
-            with self.subTest(beside=other):
+            with self.subTest(combined_with=other):
                 cluster = self.run_clean(self.body(*RESTORED, *other, convergence=settle))
                 self.assertEqual(silently_lost(cluster), set())
 
--- a/tests/simulation/test_overload.py
+++ b/tests/simulation/test_overload.py
@@ -69,7 +69,9 @@
     for first, began_at in enumerate(entered):
         for last in range(first, len(entered)):
             seconds = entered[last] - began_at
-            starts = sum(began_at <= started.began_at <= entered[last] for started in incarnations)
+            starts = sum(
+                began_at <= incarnation.began_at <= entered[last] for incarnation in incarnations
+            )
             bound = RATE * (1 + OVERSHOOT_BOUND) * (seconds + 1)
             bound += RATE * FLOOR_RATIO / ROUTERS * starts
             if last - first + 1 > bound:
