--- a/hopstep/adapters/__init__.py
+++ b/hopstep/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Ports carried by libraries: HTTP, UDP, the store, logs."""
+"""Implementations of the ports: HTTP, UDP, the store, logs, TLS files."""
--- a/hopstep/adapters/engine_http.py
+++ b/hopstep/adapters/engine_http.py
@@ -1,8 +1,8 @@
-"""Engines over HTTP, with a truthful account of what may have run.
+"""Client of the engines over HTTP; its errors state whether an attempt may have run.
 
-``NOT_RUN`` is said in two cases only: no connection was made, so that no byte of the request
-left; or the engine itself says so under the attempt's nonce. Everything else is ``UNKNOWN``,
-also a pooled connection that the peer closed just before: the request may have reached it.
+``NOT_RUN`` is reported in two cases only: no connection was made, so no byte of the request was
+sent; or the engine reports it under the attempt's nonce. Every other failure is ``UNKNOWN``,
+including a pooled connection that the peer has just closed: the request may have reached it.
 httpx repeats no request by itself (its ``retries`` covers connecting only, and is 0 here).
 """
 
@@ -55,12 +55,12 @@
 DEFAULT_CONNECT_TIMEOUT_SECONDS = 1.0
 DEFAULT_MAX_CONNECTIONS = 1_024
 KEEP_ALIVE_SECONDS = 3.0
-"""Idle connections are dropped before servers drop them, which makes lost requests rarer."""
+"""Seconds; shorter than servers keep idle connections, which makes lost requests rarer."""
 
 DRAIN_SECONDS = 0.05
-"""Longest wait for the end of a body whose last frame has come, to keep the connection."""
+"""Longest wait for the end of a body after its last frame, so that its connection is reused."""
 
-_NOTHING_SENT = (
+_NOT_SENT_ERRORS = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
     httpx.PoolTimeout,
@@ -82,15 +82,15 @@
         ssl_context: ssl.SSLContext | None = None,
         pause: Pause = lambda: 0.0,
     ) -> None:
-        """Open no connection yet.
+        """Configure the client; connections are opened on demand.
 
         Args:
-            idle_timeout_seconds: Time without a byte after which a stream counts as cut off.
+            idle_timeout_seconds: Time without a received byte after which a stream fails.
             call_timeout_seconds: Longest wait for the answer to a short call.
             connect_timeout_seconds: Longest wait for a connection.
             max_connections: Bound on open connections to one engine.
             ssl_context: For HTTPS; None for plain HTTP.
-            pause: Seconds that a stream waits before a read, so that tokens gather.
+            pause: Returns the seconds that a stream waits before a read, to batch its tokens.
         """
         self._scheme = "http" if ssl_context is None else "https"
         self._call_timeout_seconds = call_timeout_seconds
@@ -101,8 +101,8 @@
         )
         timeout = httpx.Timeout(idle_timeout_seconds, connect=connect_timeout_seconds)
         self._extensions = {"timeout": timeout.as_dict()}
-        # Without a client above it, which looks for cookies, redirects and credentials in
-        # every exchange: engines use none.
+        # The transport is used without ``httpx.AsyncClient``, which handles cookies, redirects
+        # and credentials on every exchange: engines use none.
         self._transport = EngineTransport(limits, ssl_context, pause)
 
     async def aclose(self) -> None:
@@ -170,7 +170,7 @@
         """Make a short call and decode its answer.
 
         Raises:
-            EngineError: It was refused, failed, or its answer can't be understood.
+            EngineError: It was refused, failed, or its answer can't be decoded.
         """
         with trio.move_on_after(self._call_timeout_seconds):
             response = await self._send(method, address, path, message)
@@ -185,7 +185,7 @@
     async def _stream(
         self, address: str, path: str, message: msgspec.Struct, nonce: str
     ) -> AsyncIterator[AsyncIterator[TokenFrame]]:
-        """Open a stream; leaving the context closes it, wherever it stands."""
+        """Open a stream, which is closed on leaving the context, finished or not."""
         response = await self._send("POST", address, path, message)
         async with contextlib.aclosing(response):
             if response.status_code != httpx.codes.OK:
@@ -201,7 +201,7 @@
     async def _send(
         self, method: str, address: str, path: str, message: msgspec.Struct | None
     ) -> httpx.Response:
-        """Send a request and return its answer with the body still to be read."""
+        """Send a request and return its response, the body of which isn't read yet."""
         content = None if message is None else msgspec.json.encode(message)
         try:
             request = httpx.Request(
@@ -215,7 +215,7 @@
             raise _unreachable("the address is malformed", Execution.NOT_RUN) from error
         try:
             return await self._transport.handle_async_request(request)
-        except _NOTHING_SENT as error:
+        except _NOT_SENT_ERRORS as error:
             raise _unreachable("no connection was made", Execution.NOT_RUN) from error
         except httpx.HTTPError as error:
             raise _unreachable("the answer was lost", Execution.UNKNOWN) from error
@@ -224,10 +224,10 @@
 async def _frames(
     chunks: AsyncIterator[bytes], decoder: StreamDecoder
 ) -> AsyncGenerator[TokenFrame, None]:
-    """Yield the frames of a response as they come.
+    """Yield the frames of a response as they arrive.
 
     Raises:
-        EngineError: The stream broke off before its last frame, or the attempt was refused.
+        EngineError: The stream ended before its last frame, or the attempt was refused.
     """
     with contextlib.suppress(httpx.HTTPError):
         async for data in chunks:
@@ -243,29 +243,29 @@
     frames: AsyncGenerator[TokenFrame, None],
     finished: bool,
 ) -> None:
-    """Close a stream that may have been left in its middle.
+    """Close a stream that may not have been read to its end.
 
-    The end of a finished body is read first, so that its connection is kept. The chunks are
-    iterated to their end, also after the connection is closed under them: httpx nests
-    generators that only end so.
+    The end of a finished body is read first, so that its connection can be reused. The chunks
+    are iterated to their end, even after the connection is closed: this is the only way in
+    which the nested generators of httpx are closed.
     """
     await frames.aclose()
     if finished:
         with trio.move_on_after(DRAIN_SECONDS):
-            await _exhaust(chunks)
+            await _drain(chunks)
     await response.aclose()
-    await _exhaust(chunks)
+    await _drain(chunks)
 
 
-async def _exhaust(chunks: AsyncIterator[bytes]) -> None:
-    """Read what is left of a body."""
+async def _drain(chunks: AsyncIterator[bytes]) -> None:
+    """Read and discard the rest of a body."""
     with contextlib.suppress(httpx.HTTPError, httpx.StreamError):
         async for _ in chunks:
             pass
 
 
 async def _read_body(response: httpx.Response) -> bytes:
-    """Return the whole body of a short answer."""
+    """Return the complete body of a short answer."""
     try:
         return await response.aread()
     except httpx.HTTPError as error:
@@ -273,7 +273,7 @@
 
 
 def _decode_answer(body: bytes, answer_type: type[Answer], address: str) -> Answer:
-    """Return the answer to a short call."""
+    """Decode the answer to a short call."""
     try:
         return msgspec.json.decode(body, type=answer_type)
     except msgspec.DecodeError as error:
--- a/hopstep/adapters/engine_messages.py
+++ b/hopstep/adapters/engine_messages.py
@@ -1,7 +1,7 @@
-"""Bodies of the engine protocol that aren't types of the port.
+"""Message bodies of the engine protocol, apart from those that the port defines.
 
 ``docs/design/0003-engine-protocol.md`` describes the protocol. Requests and answers are JSON;
-a stream is newline-delimited JSON, one ``TokenFrame`` or one ``Refusal`` a line, with empty
+a stream is newline-delimited JSON, one ``TokenFrame`` or one ``Refusal`` per line, with empty
 lines as keep-alives.
 """
 
@@ -23,14 +23,14 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, tag="refusal"):
-    """Why an engine doesn't do what it was asked.
+    """An engine's refusal of a request.
 
     Attributes:
         code: Stable code.
         message: One sentence.
-        execution: What the engine says of the attempt's execution.
-        nonce: The attempt that it speaks of; empty for calls without one.
-        retry_after_seconds: When to come back; 0 if it doesn't say.
+        execution: Whether the attempt may have run, according to the engine.
+        nonce: Attempt that it refers to; empty for calls without one.
+        retry_after_seconds: Time to wait before a retry; 0 if not given.
     """
 
     code: ErrorCode
@@ -41,7 +41,7 @@
 
 
 class ResumeRequest(msgspec.Struct, frozen=True):
-    """Go on with attempt ``nonce`` of ``incarnation`` from token ``next_sequence``."""
+    """Resume attempt ``nonce`` of ``incarnation`` from token ``next_sequence``."""
 
     nonce: str
     incarnation: str
@@ -56,7 +56,7 @@
 
 
 class CancelAnswer(msgspec.Struct, frozen=True):
-    """What became of a cancelled attempt."""
+    """Outcome of a cancellation."""
 
     nonce: str
     outcome: CancelOutcome
@@ -70,7 +70,7 @@
 
 
 class FenceAnswer(msgspec.Struct, frozen=True):
-    """Where a fenced attempt is."""
+    """Status of a fenced attempt."""
 
     nonce: str
     status: AttemptStatus
--- a/hopstep/adapters/engine_stream.py
+++ b/hopstep/adapters/engine_stream.py
@@ -1,4 +1,4 @@
-"""Decoding of an engine's stream: newline-delimited JSON into frames."""
+"""Decoding of an engine's stream from newline-delimited JSON to token frames."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from hopstep.ports.engine import TokenFrame
 
 MAX_LINE_BYTES = 1024 * 1024
-"""Longest line of a stream; a longer one breaks the stream off."""
+"""Longest line of a stream; a longer one interrupts the stream."""
 
 
 class RefusalLine(msgspec.Struct, frozen=True):
-    """Line of a stream whose attempt is refused after it was queued."""
+    """Line of a stream that refuses an attempt after it was queued."""
 
     refusal: Refusal
 
 
 def refusal_error(refusal: Refusal, nonce: str) -> EngineError:
-    """Return the error for a refusal; ``NOT_RUN`` is believed under our nonce only."""
+    """Return the error for a refusal; ``NOT_RUN`` is accepted for this nonce only."""
     proved = refusal.execution is Execution.NOT_RUN and refusal.nonce == nonce
     return EngineError(
         refusal.code,
@@ -32,23 +32,23 @@
 
 
 def interrupted(message: str) -> EngineError:
-    """Return the error for a stream that can't go on."""
+    """Return the error for a stream that can't continue."""
     return EngineError(ErrorCode.STREAM_INTERRUPTED, message, Execution.UNKNOWN)
 
 
 class StreamDecoder:
-    """Turns bytes of one stream into frames, joining those that arrive together."""
+    """Decodes the bytes of one stream to frames and joins frames that arrive together."""
 
     def __init__(self, nonce: str, engine: str) -> None:
         """Start at the beginning of a stream.
 
         Args:
-            nonce: The attempt; frames of others are passed on, but don't end the stream.
+            nonce: The attempt; frames of other attempts are returned but don't finish it.
             engine: Address that the stream comes from.
         """
         self._nonce = nonce
         self._engine = engine
-        self._rest = b""
+        self._incomplete_line = b""
         self._frame_decoder = msgspec.json.Decoder(TokenFrame)
         self._refusal_decoder = msgspec.json.Decoder(RefusalLine)
         self.finished = False
@@ -57,17 +57,17 @@
         """Return the frames that ``data`` completes.
 
         Raises:
-            EngineError: The engine refuses the attempt, or sends what isn't a frame.
+            EngineError: The engine refuses the attempt, or sends an invalid frame.
         """
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
-        if len(self._rest) > MAX_LINE_BYTES:
+        lines = (self._incomplete_line + data).split(b"\n")
+        self._incomplete_line = lines.pop()
+        if len(self._incomplete_line) > MAX_LINE_BYTES:
             emit(log_events.ENGINE_ANSWER_MALFORMED, engine=self._engine)
             raise interrupted("the engine sent a line that is too long")
         frames: list[TokenFrame] = []
         for line in lines:
             if line:
-                self._append(frames, self._decode(line))
+                self._append_joined(frames, self._decode(line))
         return frames
 
     def _decode(self, line: bytes) -> TokenFrame:
@@ -75,13 +75,13 @@
         try:
             frame = self._frame_decoder.decode(line)
         except msgspec.DecodeError:
-            raise self._error_of(line) from None
+            raise self._line_error(line) from None
         if frame.finish_reason is not None and frame.nonce == self._nonce:
             self.finished = True
         return frame
 
-    def _error_of(self, line: bytes) -> EngineError:
-        """Return the error that a line which isn't a frame stands for."""
+    def _line_error(self, line: bytes) -> EngineError:
+        """Return the error for a line that isn't a frame."""
         try:
             refusal = self._refusal_decoder.decode(line).refusal
         except msgspec.DecodeError:
@@ -90,17 +90,17 @@
         return refusal_error(refusal, self._nonce)
 
     @staticmethod
-    def _append(frames: list[TokenFrame], frame: TokenFrame) -> None:
-        """Add a frame, joined to the one before it when it follows on exactly."""
+    def _append_joined(frames: list[TokenFrame], frame: TokenFrame) -> None:
+        """Add a frame, joined to the one before it when it continues it without a gap."""
         last = frames[-1] if frames else None
-        follows = (
+        continues_last = (
             last is not None
             and last.finish_reason is None
             and last.nonce == frame.nonce
             and last.incarnation == frame.incarnation
             and last.sequence + len(last.tokens) == frame.sequence
         )
-        if last is None or not follows:
+        if last is None or not continues_last:
             frames.append(frame)
             return
         frames[-1] = TokenFrame(
--- a/hopstep/adapters/engine_transport.py
+++ b/hopstep/adapters/engine_transport.py
@@ -1,9 +1,9 @@
 """HTTP connections to engines: one pool for each engine, and paced reads.
 
-A pool looks through all of its connections for each request, so one pool for all engines
-would cost each request more with every stream that is open anywhere. Reads wait while the
-process is busy, so that the tokens which gather meanwhile are read, decoded and passed on
-together (see ``hopstep.adapters.pacing``).
+A pool scans all of its connections for each request, so with one pool for all engines the cost
+of each request would grow with the number of open streams. Reads are delayed while the process
+is busy, so that the tokens that arrive in that time are read, decoded and passed on together
+(see ``hopstep.adapters.pacing``).
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 import trio
 
 UNPACED_READS = 2
-"""Reads after a request that never wait: the answer's headers and its first token."""
+"""Reads after a request that are never delayed: the response headers and the first token."""
 
 Pause = Callable[[], float]
 """Returns the seconds that a stream waits before a read; 0 for none."""
 
 
 class PacedStream(httpcore.AsyncNetworkStream):
-    """A connection whose later reads wait."""
+    """A connection that delays its reads after the first ones of a response."""
 
     def __init__(self, stream: httpcore.AsyncNetworkStream, pause: Pause) -> None:
         """Wrap a connection.
 
         Args:
             stream: The connection.
-            pause: Seconds to wait before a read.
+            pause: Returns the seconds to wait before a read.
         """
         self._stream = stream
         self._pause = pause
         self._reads = 0
 
-    async def read(  # noqa: ASYNC109 - the library's interface
+    async def read(  # noqa: ASYNC109 - signature set by httpcore
         self,
         max_bytes: int,
         timeout: float | None = None,  # noqa: ASYNC109
     ) -> bytes:
-        """Read what has come, after the pause."""
+        """Read the available bytes, after the pause."""
         self._reads += 1
         seconds = self._pause() if self._reads > UNPACED_READS else 0.0
         if seconds:
@@ -50,7 +50,7 @@
         return await self._stream.read(max_bytes, timeout)
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:  # noqa: ASYNC109
-        """Write, and read the answer's beginning at once."""
+        """Write; the first reads after this aren't delayed."""
         self._reads = 0
         await self._stream.write(buffer, timeout)
 
@@ -69,7 +69,7 @@
         return PacedStream(stream, self._pause)
 
     def get_extra_info(self, info: str) -> Any:
-        """Return what the connection says of itself."""
+        """Return a property of the underlying connection."""
         return self._stream.get_extra_info(info)
 
 
@@ -77,10 +77,10 @@
     """Opens paced connections."""
 
     def __init__(self, pause: Pause) -> None:
-        """Prepare.
+        """Store the pause for new connections.
 
         Args:
-            pause: Seconds to wait before a read.
+            pause: Returns the seconds to wait before a read.
         """
         self._backend = httpcore.TrioBackend()
         self._pause = pause
@@ -99,17 +99,17 @@
 
 
 class EngineTransport(httpx.AsyncBaseTransport):
-    """Sends each request by the pool of its engine."""
+    """Sends each request over the connection pool of its engine."""
 
     def __init__(
         self, limits: httpx.Limits, ssl_context: ssl.SSLContext | None, pause: Pause
     ) -> None:
-        """Open no connection yet.
+        """Configure the transport; connections are opened on demand.
 
         Args:
-            limits: Bounds of each pool.
+            limits: Limits of each pool.
             ssl_context: For HTTPS; None for plain HTTP.
-            pause: Seconds that a stream waits before a read.
+            pause: Returns the seconds that a stream waits before a read.
         """
         self._limits = limits
         self._ssl_context = ssl_context
@@ -131,8 +131,8 @@
     def _make_pool(self) -> httpx.AsyncHTTPTransport:
         """Return a pool over paced connections.
 
-        ``httpx`` takes no network backend, ``httpcore`` does: the transport's pool is replaced
-        by one that differs in this alone.
+        ``httpx`` accepts no network backend but ``httpcore`` does, so the transport's pool is
+        replaced by an equal one with the paced backend.
         """
         transport = httpx.AsyncHTTPTransport(trust_env=False, limits=self._limits)
         transport._pool = httpcore.AsyncConnectionPool(
--- a/hopstep/adapters/exchange_server.py
+++ b/hopstep/adapters/exchange_server.py
@@ -1,4 +1,4 @@
-"""The node's two listeners on one ``hypercorn`` server: clients, and questions of readiness."""
+"""The node's listeners on one ``hypercorn`` server: clients, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 AsgiApp = Callable[[Any, Any, Any], Awaitable[None]]
 
-FINISH_SECONDS = 0.5
-"""Time for connections to close after the shutdown; requests have ended or are cut then."""
+CONNECTION_CLOSE_SECONDS = 0.5
+"""Time for connections to close at shutdown; requests that are still running are cut off."""
 
 READY_STATUS = 200
 NOT_READY_STATUS = 503
 
 
 class OperatorsListeners(msgspec.Struct, frozen=True):
-    """What operators and load balancers ask.
+    """Listeners for operators and load balancers.
 
     Attributes:
         readiness_address: ``ip:port`` of the readiness listener.
         metrics_address: ``ip:port`` of the metrics listener; empty for none.
-        is_ready: Whether clients should be sent here.
+        is_ready: Returns whether load balancers should send clients here.
         render_metrics: Returns the metrics as text.
     """
 
@@ -37,13 +37,13 @@
 
 
 class ListenerSwitch:
-    """ASGI application that answers by the listener on which a request came."""
+    """ASGI application that dispatches requests by the listener that received them."""
 
     def __init__(self, clients: AsgiApp, operators: OperatorsListeners) -> None:
-        """Join the listeners.
+        """Combine the listeners.
 
         Args:
-            clients: Application for clients.
+            clients: Application of the client listeners.
             operators: The other listeners.
         """
         self._clients = clients
@@ -72,14 +72,14 @@
 
 
 async def _answer(send: Any, status: int, body: bytes) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     headers = [(b"content-length", str(len(body)).encode()), (b"content-type", b"text/plain")]
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": body, "more_body": False})
 
 
 async def _serve_lifespan(receive: Any, send: Any) -> None:
-    """Follow the server's start and stop, which need nothing."""
+    """Acknowledge the server's startup and shutdown, which need no work."""
     while True:
         message = await receive()
         await send({"type": f"{message['type']}.complete"})
@@ -101,18 +101,18 @@
     Args:
         app: Application for all listeners.
         addresses: ``ip:port`` of each listener.
-        listeners: Those of them that are open already; the server closes them.
+        listeners: Sockets that are already open; the server closes them.
         wait_shutdown: Returns when the listeners should close.
-        count_failure: Called for each connection that a fault has ended.
-        task_status: Told the bound addresses once the listeners are open.
+        count_failure: Called for each connection that failed.
+        task_status: Receives the bound addresses once the listeners are open.
     """
     config = ServerConfig(addresses[0], None)
     config.bind = [_binding(address, listeners) for address in addresses]
-    config.graceful_timeout = FINISH_SECONDS
+    config.graceful_timeout = CONNECTION_CLOSE_SECONDS
     await serve_app(app, config, wait_shutdown, count_failure, task_status=task_status)
 
 
 def _binding(address: str, listeners: Listeners) -> str:
-    """Return how the server names an open listener, or one that it has to open."""
+    """Return the ``hypercorn`` binding: a file descriptor if already open, else the address."""
     listener = listeners.get(address)
     return address if listener is None else f"fd://{listener.detach()}"
--- a/hopstep/adapters/http1_only.py
+++ b/hopstep/adapters/http1_only.py
@@ -1,6 +1,6 @@
-"""A server that speaks HTTP/1.1 and nothing else, whatever protocol a client asks to go over to.
+"""Restricts the HTTP server to HTTP/1.1 and ignores requests for a protocol upgrade.
 
-RFC 9110, section 7.8: a server may ignore ``Upgrade``. The request is then an ordinary one.
+RFC 9110, section 7.8: a server may ignore ``Upgrade``. The request is then handled normally.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class Http1OnlyProtocol(H11Protocol):
-    """Hypercorn's HTTP/1.1 protocol without its ways to HTTP/2 and WebSocket."""
+    """Hypercorn's HTTP/1.1 protocol without its upgrades to HTTP/2 and WebSocket."""
 
     async def _check_protocol(self, event: h11.Request) -> None:
-        """Stay with HTTP/1.1."""
+        """Skip the check for an upgrade."""
 
     async def _create_stream(self, request: h11.Request) -> None:
-        """Begin a request as if it hadn't asked for another protocol."""
+        """Begin a request without its ``Upgrade`` header."""
         headers = [(name, value) for name, value in request.headers if name != UPGRADE]
         if len(headers) != len(request.headers):
             request = h11.Request(
@@ -32,8 +32,8 @@
 
 
 def speak_http1_only() -> None:
-    """Have all servers of this process speak HTTP/1.1 only.
+    """Restrict all servers of this process to HTTP/1.1.
 
-    The server makes its protocols itself and has no setting for this.
+    The server creates its protocol objects itself and has no setting for this.
     """
     hypercorn.protocol.H11Protocol = Http1OnlyProtocol  # type: ignore[attr-defined]
--- a/hopstep/adapters/http_server.py
+++ b/hopstep/adapters/http_server.py
@@ -1,7 +1,7 @@
 """Serving the HTTP application by ``hypercorn``, with or without TLS.
 
-A connection that fails is logged and closed; the others, and the process, go on. The server's own
-way to run connections would end the process instead.
+A connection that fails is logged and closed; the other connections and the process continue. The
+server's own connection handling would end the process instead.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 from hopstep.logs import emit
 
 KEEP_ALIVE_SECONDS = 75.0
-"""Longer than common clients keep a connection, so that they close it and not this side."""
+"""Longer than common clients keep an idle connection, so that the client closes it first."""
 
 BACKLOG = 1024
 FINISH_SECONDS = 2.0
-"""Time for connections to close after the shutdown; requests have ended before it."""
+"""Time for connections to close at shutdown, after all requests have ended."""
 
 Listener = trio.SocketListener | trio.SSLListener[trio.SocketStream]
 CountFailure = Callable[[], None]
 
 
 def ignore_failure() -> None:
-    """Count no failed connection."""
+    """Ignore a failed connection."""
 
 
 class ServerConfig(Config):
-    """Hypercorn's configuration, with a TLS context that is made elsewhere."""
+    """Hypercorn's configuration, with a given TLS context."""
 
     def __init__(self, address: str, tls: ssl.SSLContext | None) -> None:
         """Configure one listener.
@@ -68,23 +68,23 @@
         return self._tls
 
 
-def _leaves(error: BaseException) -> Iterator[BaseException]:
-    """Yield the single errors of a group."""
+def _flatten(error: BaseException) -> Iterator[BaseException]:
+    """Yield the individual errors of a possibly nested exception group."""
     if isinstance(error, BaseExceptionGroup):
         for part in error.exceptions:
-            yield from _leaves(part)
+            yield from _flatten(part)
     else:
         yield error
 
 
 def _location(error: BaseException) -> str:
-    """Return where an error was raised; its text is withheld, for it may quote a request."""
+    """Return where an error was raised; its text isn't logged because it may quote a request."""
     frames = traceback.extract_tb(error.__traceback__)
     return f"{frames[-1].name}:{frames[-1].lineno}" if frames else ""
 
 
 class _Connections:
-    """Runs connections of one server, each for itself."""
+    """Runs the connections of one server and isolates their failures."""
 
     def __init__(self, app: ASGIFramework, config: Config, count_failure: CountFailure) -> None:
         self.state: LifespanState = {}
@@ -94,15 +94,15 @@
         self._count_failure = count_failure
 
     async def run(self, stream: trio.SocketStream | trio.SSLStream[trio.SocketStream]) -> None:
-        """Serve a connection to its end; log its failure."""
+        """Serve a connection until it closes; log its failure."""
         state = ConnectionState(self.state.copy())
-        # The server names the type of encrypted streams only, and takes both.
-        either = cast(trio.SSLStream[trio.SocketStream], stream)
+        # The server's type hints name encrypted streams only, but it accepts both.
+        any_stream = cast(trio.SSLStream[trio.SocketStream], stream)
         try:
-            await TCPServer(self.app, self._config, self.context, state, either).run()
+            await TCPServer(self.app, self._config, self.context, state, any_stream).run()
         except* Exception as errors:
             self._count_failure()
-            for error in _leaves(errors):
+            for error in _flatten(errors):
                 emit(
                     log_events.CONNECTION_FAILED,
                     error_type=type(error).__name__,
@@ -118,17 +118,17 @@
     *,
     task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until ``wait_shutdown`` returns and connections have had time to close.
+    """Serve until ``wait_shutdown`` returns and connections have closed or their time is up.
 
     Args:
         app: ASGI application.
         config: Listeners, and the time for connections to close.
         wait_shutdown: Returns when the listeners should close.
-        count_failure: Called for each connection that a fault has ended.
-        task_status: Told the bound addresses once the listeners are open.
+        count_failure: Called for each connection that failed.
+        task_status: Receives the bound addresses once the listeners are open.
     """
-    served = _Connections(app, config, count_failure)
-    lifespan = Lifespan(served.app, config, served.state)
+    server = _Connections(app, config, count_failure)
+    lifespan = Lifespan(server.app, config, server.state)
     async with trio.open_nursery() as lifespan_nursery:
         await lifespan_nursery.start(lifespan.handle_lifespan)
         await lifespan.wait_for_startup()
@@ -138,19 +138,19 @@
             async with trio.open_nursery() as accepting:
                 accepting.start_soon(
                     functools.partial(
-                        trio.serve_listeners, served.run, listeners, handler_nursery=connections
+                        trio.serve_listeners, server.run, listeners, handler_nursery=connections
                     )
                 )
                 await wait_shutdown()
                 accepting.cancel_scope.cancel()
-            await served.context.terminated.set()
+            await server.context.terminated.set()
             connections.cancel_scope.deadline = trio.current_time() + config.graceful_timeout
         await lifespan.wait_for_shutdown()
         lifespan_nursery.cancel_scope.cancel()
 
 
 def _open_listeners(config: Config) -> tuple[list[Listener], list[str]]:
-    """Return the listeners of a configuration, listening, and their URLs."""
+    """Open the listeners of a configuration; return them and their URLs."""
     sockets = config.create_sockets()
     tls = config.create_ssl_context()
     listeners: list[Listener] = []
@@ -181,7 +181,7 @@
         address: ``ip:port`` to listen on.
         tls: Context of a TLS listener; None for plain HTTP.
         wait_shutdown: Returns when the listener should close.
-        task_status: Told the bound addresses once the listener is open.
+        task_status: Receives the bound addresses once the listener is open.
     """
     config = ServerConfig(address, tls)
     await serve_app(app, config, wait_shutdown, task_status=task_status)
--- a/hopstep/adapters/key_value_store_http.py
+++ b/hopstep/adapters/key_value_store_http.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service over HTTP."""
+"""Client of the platform's key-value service over HTTP."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
     require_write_era,
 )
 
-NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
-"""Failures before the first byte of a request left this process."""
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+"""Failures before the first byte of a request was sent."""
 
 NO_EFFECT_CODES = frozenset(
     {ErrorCode.STORE_UNAVAILABLE, ErrorCode.STORE_RATE_LIMITED, ErrorCode.STORE_CONFLICT}
 )
-"""Codes by which the service itself says that nothing was written."""
+"""Error codes by which the service reports that nothing was written."""
 
 Result = TypeVar("Result")
 
@@ -45,7 +45,7 @@
 
 
 class _Answer(msgspec.Struct, Generic[Result], frozen=True):
-    """Result of an operation, and the era that the answer names."""
+    """Result of an operation, and the store's era as given in the answer."""
 
     result: Result
     era: int
@@ -54,9 +54,9 @@
 class HttpKeyValueStore(PlatformHttpClient, KeyValueStorePort):
     """Client of the key-value service; see ``PlatformHttpClient`` for its arguments.
 
-    When the service is down every method raises ``StoreError`` at once, or after the timeout
-    when it doesn't answer. A write that was sent and got no answer that proves the contrary
-    raises ``StoreOutcomeUnknownError``.
+    Every method raises ``StoreError``: at once when the service is down, after the timeout when
+    it doesn't answer. A write that was sent raises ``StoreOutcomeUnknownError`` unless the answer
+    proves that it had no effect.
     """
 
     async def get(self, key: str) -> StoredValue | None:
@@ -89,7 +89,7 @@
         require_write_era(expected_version, None, answer.era)
 
     async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
-        """Return changes after a place; see the port."""
+        """Return changes after a store position; see the port."""
         operation = wire.Watch(prefix, after.revision, wait_seconds)
         answer = await self._call(operation, _CHANGES, extra_seconds=wait_seconds)
         require_era(after.era, answer.era)
@@ -112,48 +112,48 @@
         decoder: msgspec.json.Decoder[Result],
         extra_seconds: float = 0.0,
     ) -> _Answer[Result]:
-        """Carry out one operation and decode its result."""
+        """Send one operation and decode its result."""
         timeout = httpx.Timeout(self._timeout_seconds, read=self._timeout_seconds + extra_seconds)
         content = msgspec.json.encode(operation)
         try:
-            # httpx bounds each read; the outer bound also ends an answer that trickles in.
+            # httpx limits each read only; the outer timeout limits the whole answer.
             with trio.fail_after(2 * self._timeout_seconds + extra_seconds):
                 response = await self._client.post(
                     self._base_url + wire.STORE_PATH, content=content, timeout=timeout
                 )
-        except NOT_SENT as error:
+        except NOT_SENT_ERRORS as error:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store can't be reached") from error
         except (httpx.HTTPError, trio.TooSlowError) as error:
-            raise _no_answer(operation) from error
+            raise _no_usable_answer(operation) from error
         if response.status_code != httpx.codes.OK:
             raise _failure(operation, response.content)
         try:
             result = decoder.decode(response.content)
         except msgspec.DecodeError as error:
-            raise _no_answer(operation) from error
+            raise _no_usable_answer(operation) from error
         return _Answer(result, _read_era(response.headers.get(wire.ERA_HEADER, "")))
 
 
 def _read_era(text: str) -> int:
-    """Return the era that a header names; ``UNTOLD_ERA`` without one, or for no number."""
+    """Return the era of a header's value; ``UNTOLD_ERA`` if it isn't a number."""
     return int(text) if text.isdecimal() and text.isascii() else UNTOLD_ERA
 
 
 def _failure(operation: wire.StoreOperation, content: bytes) -> StoreError:
-    """Return the error that a refusal's body stands for."""
+    """Return the error for the body of a refusal."""
     try:
         failure = msgspec.json.decode(content, type=wire.StoreFailure)
     except msgspec.DecodeError:
-        return _no_answer(operation)
+        return _no_usable_answer(operation)
     if failure.code not in NO_EFFECT_CODES:
-        return _no_answer(operation)
+        return _no_usable_answer(operation)
     if failure.code is ErrorCode.STORE_CONFLICT:
         return StoreConflictError(failure.code, failure.message)
     return StoreError(failure.code, failure.message)
 
 
-def _no_answer(operation: wire.StoreOperation) -> StoreError:
-    """Return the error of a call that was sent without a usable answer."""
+def _no_usable_answer(operation: wire.StoreOperation) -> StoreError:
+    """Return the error for a request that was sent and got no usable answer."""
     message = "the store gave no usable answer"
     if wire.is_write(operation):
         return StoreOutcomeUnknownError(ErrorCode.STORE_OUTCOME_UNKNOWN, message)
--- a/hopstep/adapters/key_value_store_wire.py
+++ b/hopstep/adapters/key_value_store_wire.py
@@ -1,9 +1,9 @@
 """Messages of the platform's key-value service over HTTP, as JSON.
 
 Every operation is one ``POST`` to ``STORE_PATH``; the field ``operation`` names it and bytes
-are base64. The answer of status 200 is the result alone, of the type that the operation's
-class documents. Every other status carries a ``StoreFailure``. All answers name the service's era
-in the header ``ERA_HEADER``, where it tells one.
+are base64. The body of a response with status 200 is the result, of the type that the operation's
+class documents. Every other status has a ``StoreFailure`` as its body. All responses carry the
+service's era in the header ``ERA_HEADER``, if the service has one.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A value as the service holds it.
+    """A stored value as the service sends it.
 
     Attributes:
         key: Key.
-        value: Bytes; empty where a watch shows that the key is gone.
+        value: Bytes; empty where a watch reports a deleted key.
         version: Store-wide revision of the last write, above 0.
     """
 
@@ -33,15 +33,15 @@
     version: int
 
     def read(self, era: int) -> StoredValue:
-        """Return the value as an answer of an era shows it."""
+        """Return the value with its store position in the given era."""
         return StoredValue(self.key, self.value, StorePlace(era, self.version))
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a watch shows.
+    """Result of a watch.
 
     Attributes:
-        revision: Store-wide revision up to which it reaches.
+        revision: Store-wide revision up to which changes are included.
         values: Changed values, oldest first.
     """
 
@@ -50,13 +50,13 @@
 
 
 class Get(msgspec.Struct, frozen=True, tag_field="operation", tag="get"):
-    """Read one key; answers ``Item | None``."""
+    """Read one key; the result is ``Item | None``."""
 
     key: str
 
 
 class List(msgspec.Struct, frozen=True, tag_field="operation", tag="list"):
-    """Read a page of keys; answers ``list[Item]``."""
+    """Read a page of keys; the result is ``list[Item]``."""
 
     prefix: str
     after_key: str = ""
@@ -64,7 +64,7 @@
 
 
 class CompareAndSwap(msgspec.Struct, frozen=True, tag_field="operation", tag="compare_and_swap"):
-    """Write one key; answers its new version as ``int``."""
+    """Write one key; the result is its new version as ``int``."""
 
     key: str
     expected_version: int
@@ -73,14 +73,14 @@
 
 
 class Delete(msgspec.Struct, frozen=True, tag_field="operation", tag="delete"):
-    """Delete one key; answers ``None``."""
+    """Delete one key; the result is ``None``."""
 
     key: str
     expected_version: int
 
 
 class Watch(msgspec.Struct, frozen=True, tag_field="operation", tag="watch"):
-    """Read changes; answers ``Changes``, after up to ``wait_seconds`` without any."""
+    """Read changes; the result is ``Changes``. Waits up to ``wait_seconds`` for the first one."""
 
     prefix: str
     after_revision: int
@@ -88,13 +88,13 @@
 
 
 class GrantLease(msgspec.Struct, frozen=True, tag_field="operation", tag="grant_lease"):
-    """Make a lease; answers its name as ``str``."""
+    """Grant a lease; the result is its name as ``str``."""
 
     time_to_live_seconds: float
 
 
 class KeepAlive(msgspec.Struct, frozen=True, tag_field="operation", tag="keep_alive"):
-    """Renew a lease; answers ``None``."""
+    """Renew a lease; the result is ``None``."""
 
     lease: str
 
@@ -107,7 +107,7 @@
 
 
 class StoreFailure(msgspec.Struct, frozen=True):
-    """Why an operation failed.
+    """Error of an operation.
 
     Attributes:
         code: Stable code of the store's errors.
@@ -119,5 +119,5 @@
 
 
 def is_write(operation: StoreOperation) -> bool:
-    """Return whether a lost answer leaves the operation's effect unknown."""
+    """Return whether the operation writes, so that its effect is unknown if the answer is lost."""
     return not isinstance(operation, Get | List | Watch)
--- a/hopstep/adapters/log_output.py
+++ b/hopstep/adapters/log_output.py
@@ -1,4 +1,4 @@
-"""Log lines to a pipe that may not be read: writing never blocks, and memory is bounded."""
+"""Log output to a pipe whose reader may stall: writes never block, and memory is bounded."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from collections import deque
 
 MAX_WAITING_BYTES = 1 << 20
-"""Lines beyond this are dropped, the newest first, until the reader goes on."""
+"""Bytes that wait for the reader; new lines beyond this are dropped until it reads again."""
 
 
 class NonBlockingOutput:
-    """A text stream over a file descriptor; what can't be written now waits or is dropped.
+    """A text stream over a file descriptor that queues or drops lines instead of blocking.
 
-    Regular files and terminals are written as they are. ``dropped`` counts lost lines.
+    Regular files and terminals are written directly. ``dropped`` counts lost lines.
     """
 
     def __init__(self, descriptor: int, max_waiting_bytes: int = MAX_WAITING_BYTES) -> None:
-        """Use a descriptor; a pipe or socket is switched to non-blocking writes.
+        """Wrap a descriptor; a pipe or socket is switched to non-blocking writes.
 
         Args:
             descriptor: Open for writing.
-            max_waiting_bytes: Most bytes that wait for the reader.
+            max_waiting_bytes: Largest number of bytes that wait for the reader.
         """
         self.dropped = 0
         self._descriptor = descriptor
@@ -34,7 +34,7 @@
             os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Take text; whole lines are written as far as the reader takes them."""
+        """Accept text; complete lines are written as far as the reader accepts them."""
         self._partial += text
         lines, newline, self._partial = self._partial.rpartition("\n")
         if newline:
@@ -43,11 +43,11 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write queued lines as far as the reader accepts them."""
         self._write_waiting()
 
     def _append(self, data: bytes) -> None:
-        """Queue lines, or drop them when too much waits."""
+        """Queue lines, or drop them when the queue is full."""
         if self._waiting_bytes + len(data) > self._max_waiting_bytes:
             self.dropped += data.count(b"\n")
             return
@@ -55,7 +55,7 @@
         self._waiting_bytes += len(data)
 
     def _write_waiting(self) -> None:
-        """Write until the reader takes no more."""
+        """Write queued lines until the reader accepts no more."""
         while self._waiting:
             data = self._waiting[0]
             try:
--- a/hopstep/adapters/machine_list_http.py
+++ b/hopstep/adapters/machine_list_http.py
@@ -1,4 +1,4 @@
-"""The platform's machine list over HTTP."""
+"""Client of the platform's machine list over HTTP."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Client of the machine list; see ``PlatformHttpClient`` for its arguments."""
 
     async def machines(self) -> list[Machine]:
-        """Return the list; raises ``StoreError`` when the platform gives no usable answer."""
+        """Return the machines; raises ``StoreError`` without a usable answer from the platform."""
         try:
             response = await self._client.get(
                 self._base_url + MACHINES_PATH, timeout=self._timeout_seconds
--- a/hopstep/adapters/node_codec.py
+++ b/hopstep/adapters/node_codec.py
@@ -1,8 +1,8 @@
-"""Messages between nodes as signed ``cbor2`` frames.
+"""Encoding of messages between nodes as signed CBOR frames.
 
-A frame is ``tag || cbor2([sender, payload])``. The tag is the keyed BLAKE2b of the rest under the
-sender's key, which its process drew and published in the store. Nothing is decoded beyond the
-sender's name before the tag is checked. Payloads that are long are compressed.
+A frame is ``tag || cbor2([sender, encoding, payload])``. The tag is the keyed BLAKE2b of the rest
+under the sender's key, which its process generated and published in the store. The payload isn't
+decoded before the tag is checked. Long payloads are compressed.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from hopstep.ports.node_exchange import NodeMessage, Received
 
 TAG_BYTES = 16
-COMPRESSED_FROM_BYTES = 1_024
+MIN_COMPRESSED_BYTES = 1_024
 MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
-"""A compressed payload that grows beyond this is rejected."""
+"""Decompression stops at this size, so that a larger payload is rejected."""
 
 PLAIN = 0
 COMPRESSED = 1
 
 
 class FrameError(Exception):
-    """A frame that can't be read, or that its sender hasn't signed."""
+    """A frame that is malformed or isn't signed by its sender."""
 
 
 def encode_frame(message: NodeMessage, sender: str, key: bytes) -> bytes:
@@ -38,15 +38,15 @@
     Args:
         message: The message.
         sender: Name of this node.
-        key: Its key.
+        key: Key of this node, which signs the frame.
     """
     payload = cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
-    form = PLAIN
-    if len(payload) >= COMPRESSED_FROM_BYTES:
+    encoding = PLAIN
+    if len(payload) >= MIN_COMPRESSED_BYTES:
         payload = zlib.compress(payload, 1)
-        form = COMPRESSED
-    rest = cbor2.dumps([sender, form, payload])
-    return _tag(key, rest) + rest
+        encoding = COMPRESSED
+    signed_part = cbor2.dumps([sender, encoding, payload])
+    return _tag(key, signed_part) + signed_part
 
 
 def decode_frame(frame: bytes, nodes: Mapping[str, NodeRecord]) -> Received:
@@ -57,28 +57,28 @@
         nodes: Registered nodes with their keys.
 
     Raises:
-        FrameError: When it is malformed or not signed by its sender.
+        FrameError: If it is malformed or not signed by its sender.
     """
-    tag, rest = frame[:TAG_BYTES], frame[TAG_BYTES:]
+    tag, signed_part = frame[:TAG_BYTES], frame[TAG_BYTES:]
     try:
-        sender, form, payload = cbor2.loads(rest)
+        sender, encoding, payload = cbor2.loads(signed_part)
         record = nodes.get(sender)
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
         raise FrameError("malformed") from error
-    if record is None or not hmac.compare_digest(tag, _tag(record.key, rest)):
+    if record is None or not hmac.compare_digest(tag, _tag(record.key, signed_part)):
         raise FrameError("not signed by a registered node")
     try:
-        document = cbor2.loads(_inflate(payload) if form == COMPRESSED else payload)
+        document = cbor2.loads(_decompress(payload) if encoding == COMPRESSED else payload)
         return Received(sender, msgspec.convert(document, NodeMessage))
     except (cbor2.CBORDecodeError, msgspec.ValidationError, zlib.error) as error:
         raise FrameError("malformed") from error
 
 
-def _inflate(payload: Any) -> bytes:
-    """Return a decompressed payload, up to the bound."""
+def _decompress(payload: Any) -> bytes:
+    """Decompress a payload, up to ``MAX_PAYLOAD_BYTES``."""
     return zlib.decompressobj().decompress(payload, MAX_PAYLOAD_BYTES)
 
 
-def _tag(key: bytes, rest: bytes) -> bytes:
-    """Return the tag of a frame."""
-    return hashlib.blake2b(rest, key=key, digest_size=TAG_BYTES).digest()
+def _tag(key: bytes, signed_part: bytes) -> bytes:
+    """Return the authentication tag of a frame's signed part."""
+    return hashlib.blake2b(signed_part, key=key, digest_size=TAG_BYTES).digest()
--- a/hopstep/adapters/node_datagrams.py
+++ b/hopstep/adapters/node_datagrams.py
@@ -1,4 +1,4 @@
-"""Messages between nodes over UDP."""
+"""Transport of messages between nodes over UDP."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class NodeDatagrams(NodeExchange):
-    """One UDP socket; make it with ``open``."""
+    """Node exchange over one UDP socket; created with ``open``."""
 
     def __init__(self, socket: trio.socket.SocketType, name: str, key: bytes) -> None:
-        """Use a bound socket.
+        """Wrap a bound socket.
 
         Args:
             socket: UDP socket.
             name: Name of this node.
-            key: Signs its messages.
+            key: Key that signs its messages.
         """
         self._socket = socket
         self._name = name
@@ -78,13 +78,13 @@
                 self._count_rejected(str(error))
                 await trio.lowlevel.checkpoint()
             except OSError:
-                # A datagram that was sent to a port where nobody listens any more comes back.
+                # An ICMP error for a datagram that was sent to a closed port.
                 await trio.lowlevel.checkpoint()
 
     def _count_rejected(self, reason: str) -> None:
-        """Log the first message that can't be read, and later ones each time their number doubles.
+        """Log the first rejected message, and later ones each time their number doubles.
 
-        Nodes that start or end, and nodes of other versions, may send many of them.
+        Nodes that start or stop, and nodes of other versions, may send many of them.
         """
         self._rejected[reason] += 1
         count = self._rejected[reason]
--- a/hopstep/adapters/peer_codec.py
+++ b/hopstep/adapters/peer_codec.py
@@ -2,7 +2,7 @@
 
 A frame is ``tag || length of key id || key id || CBOR header with payload``. The tag is the
 first 16 bytes of HMAC-SHA256 over the cluster name, a context and the rest of the frame, so
-frames of another cluster, of another use or with any changed byte are rejected. Nothing is
+frames from another cluster, for another use or with any changed byte are rejected. Nothing is
 decoded before the tag is checked.
 """
 
@@ -21,16 +21,16 @@
 from hopstep.exceptions import ErrorCode, PeerMessageError
 
 FORMAT = 1
-"""Version of the frame; another one is rejected."""
+"""Version of the frame format; frames of other versions are rejected."""
 
 TAG_BYTES = 16
-"""Bytes of the truncated HMAC: 128 bits, as RFC 2104 admits."""
+"""Bytes of the truncated HMAC: 128 bits, which RFC 2104 permits."""
 
 MAX_SKEW_SECONDS = 30.0
 """Largest difference between a frame's time and this node's clock."""
 
 REPLAY_WINDOW = 1024
-"""Sequence numbers below the highest that may still arrive, each once."""
+"""Number of sequence numbers below the highest that are still accepted, each once."""
 
 DATAGRAM_CONTEXT = b"datagram"
 """Context of frames sent over UDP."""
@@ -44,7 +44,7 @@
         incarnation: Its incarnation.
         sequence: Number of the frame within the incarnation.
         payload: Encoded content.
-        tag: Its authentication tag, by which an answer refers to it.
+        tag: Its authentication tag, which the answer's context includes.
     """
 
     sender: str
@@ -66,23 +66,23 @@
 
 
 class ReplayWindow:
-    """Sequence numbers seen from one sender's latest incarnation."""
+    """Tracks the sequence numbers seen from one sender's latest incarnation."""
 
-    __slots__ = ("_highest", "_seen", "incarnation", "last_at")
+    __slots__ = ("_highest", "_seen", "incarnation", "last_accepted_at")
 
     def __init__(self, incarnation: int) -> None:
-        """Start with nothing seen.
+        """Start without any sequence number seen.
 
         Args:
             incarnation: Incarnation that the numbers belong to.
         """
         self.incarnation = incarnation
-        self.last_at = 0.0
+        self.last_accepted_at = 0.0
         self._highest = 0
         self._seen = 0
 
     def admit(self, sequence: int) -> bool:
-        """Return whether ``sequence`` is new, and remember it."""
+        """Return whether ``sequence`` is new, and record it."""
         if sequence > self._highest:
             shift = min(sequence - self._highest, REPLAY_WINDOW)
             self._seen = ((self._seen << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
@@ -106,13 +106,13 @@
         keys: PeerKeys,
         wall_clock: Callable[[], float] = time_of_day_seconds,
     ) -> None:
-        """Start a new sequence.
+        """Start the sequence numbers of an incarnation.
 
         Args:
             cluster: Name of the cluster.
             sender: Own member name.
             incarnation: Own incarnation.
-            keys: Cluster keys; the first signs, all verify.
+            keys: Cluster keys; the first one signs, all of them verify.
             wall_clock: Unix time in seconds.
         """
         self._cluster = cluster.encode()
@@ -129,7 +129,7 @@
         self.incarnation = incarnation
 
     def encode(self, body: Body) -> bytes:
-        """Return the datagram of a message of this member."""
+        """Return the datagram for a message of this member."""
         return self.seal(encode_struct(body), DATAGRAM_CONTEXT)
 
     def decode(self, datagram: bytes) -> PeerMessage:
@@ -137,7 +137,7 @@
 
         Raises:
             PeerMessageError: When it is truncated, forged, replayed, too old, from another
-                cluster or not a known message.
+                cluster or of an unknown message type.
         """
         frame = self.open(datagram, DATAGRAM_CONTEXT)
         body = decode_struct(frame.payload, Body)
@@ -148,7 +148,7 @@
 
         Args:
             payload: Content.
-            context: What the frame is for; the receiver must expect the same.
+            context: Purpose of the frame; the receiver must expect the same one.
         """
         self._sequence += 1
         key_id, key = self._keys.signing()
@@ -170,12 +170,12 @@
         start = 1 + rest[0]
         key = self._keys.verifying(rest[1:start].decode("utf-8", "replace"))
         if key is None:
-            raise _rejected("its key id isn't known")
+            raise _rejected("its key id is unknown")
         if not hmac.compare_digest(tag, self._tag(key, context, rest)):
             raise _rejected("it is forged or from another cluster")
         header = decode_struct(rest[start:], _Header)
         if header.format != FORMAT:
-            raise _rejected("its format isn't known")
+            raise _rejected("its format is unknown")
         self._check_fresh(header)
         return Frame(header.sender, header.incarnation, header.sequence, header.payload, tag)
 
@@ -188,19 +188,21 @@
         if window is None or window.incarnation < header.incarnation:
             window = self._windows[header.sender] = ReplayWindow(header.incarnation)
         if window.incarnation > header.incarnation:
-            raise _rejected("it is of an earlier incarnation")
+            raise _rejected("it is from an earlier incarnation")
         if not window.admit(header.sequence):
             raise _rejected("it is replayed")
-        window.last_at = now
+        window.last_accepted_at = now
 
     def _sweep(self, now: float) -> None:
-        """Forget senders whose frames would be too old by now anyway."""
+        """Remove the windows of senders whose earlier frames are too old to be accepted."""
         if now - self._swept_at < MAX_SKEW_SECONDS:
             return
         self._swept_at = now
         oldest = now - 2 * MAX_SKEW_SECONDS
         self._windows = {
-            sender: window for sender, window in self._windows.items() if window.last_at >= oldest
+            sender: window
+            for sender, window in self._windows.items()
+            if window.last_accepted_at >= oldest
         }
 
     def _tag(self, key: bytes, context: bytes, data: bytes) -> bytes:
@@ -209,15 +211,15 @@
 
 
 def encode_struct(value: msgspec.Struct) -> bytes:
-    """Return a struct as CBOR."""
+    """Encode a struct as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(value, builtin_types=(bytes,)))
 
 
 def decode_struct(data: bytes, kind: Any) -> Any:
-    """Return the struct that ``data`` holds.
+    """Decode a struct from CBOR.
 
     Raises:
-        PeerMessageError: When it isn't CBOR or doesn't fit ``kind``.
+        PeerMessageError: If it isn't CBOR or doesn't match ``kind``.
     """
     try:
         return msgspec.convert(cbor2.loads(data), kind, builtin_types=(bytes,))
@@ -226,7 +228,7 @@
 
 
 def encoded_size(value: msgspec.Struct) -> int:
-    """Return the bytes of a struct on the wire."""
+    """Return the encoded size of a struct in bytes."""
     return len(encode_struct(value))
 
 
--- a/hopstep/adapters/peer_http.py
+++ b/hopstep/adapters/peer_http.py
@@ -1,7 +1,7 @@
 """Larger transfers between routers: HTTP POST of signed CBOR frames under ``/peer/v1/``.
 
-Both ways are signed by the codec of the datagrams, under other contexts. The answer's context
-holds the tag of the request, so an answer can't be passed off for another request's.
+Requests and answers are signed by the same codec as the datagrams, under other contexts. The
+answer's context includes the tag of the request, so it isn't accepted for another request.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 MEDIA_TYPE = "application/cbor"
 
 TIMEOUT_SECONDS = 2.0
-"""Longest wait for any one step of a call."""
+"""Longest wait for each step of a call (connect, write, read)."""
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-"""Longer answers are refused."""
+"""Longer answers are rejected."""
 
 
 class ConfigurationRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for what leads from a revision to the present one."""
+    """Requests the changes from a revision to the current one."""
 
     after_revision: int
 
 
 class PeerHttpHandler:
-    """Answers peers' calls."""
+    """Handles calls of peers."""
 
     def __init__(self, codec: PeerCodec, transfer: Callable[[int], ConfigurationTransfer]) -> None:
-        """Prepare.
+        """Store the collaborators.
 
         Args:
-            codec: Signs and checks.
-            transfer: Returns what leads a peer on from a revision.
+            codec: Signs answers and verifies requests.
+            transfer: Returns the transfer that brings a peer up to date from a revision.
         """
         self._codec = codec
         self._transfer = transfer
@@ -56,10 +56,10 @@
             body: Body of the request.
 
         Raises:
-            PeerMessageError: When the call isn't known or the body can't be trusted.
+            PeerMessageError: If the call is unknown or the body fails verification.
         """
         if name != CONFIGURATION_CALL:
-            raise _failed(f"there is no call {name[:32]!r}")
+            raise _failed(f"unknown call {name[:32]!r}")
         frame = self._codec.open(body, _request_context(name))
         request = decode_struct(frame.payload, ConfigurationRequest)
         transfer = self._transfer(request.after_revision)
@@ -73,28 +73,28 @@
         self,
         client: httpx.AsyncClient,
         codec: PeerCodec,
-        url_of: Callable[[str], str | None],
+        find_url: Callable[[str], str | None],
     ) -> None:
-        """Prepare.
+        """Store the collaborators.
 
         Args:
             client: HTTP client.
-            codec: Signs and checks.
-            url_of: Returns the base URL of a peer by its name, or None when it isn't known.
+            codec: Signs requests and verifies answers.
+            find_url: Returns the base URL of a peer by its name, or None if it is unknown.
         """
         self._client = client
         self._codec = codec
-        self._url_of = url_of
+        self._find_url = find_url
 
     async def fetch(self, peer: str, after_revision: int) -> ConfigurationTransfer:
-        """Return what leads from ``after_revision`` to the revision that ``peer`` holds.
+        """Return the changes from ``after_revision`` to the current revision of ``peer``.
 
         Raises:
-            PeerMessageError: When the peer can't be reached or its answer can't be trusted.
+            PeerMessageError: If the peer can't be reached or its answer fails verification.
         """
-        url = self._url_of(peer)
+        url = self._find_url(peer)
         if url is None:
-            raise _failed(f"peer {peer} isn't known")
+            raise _failed(f"peer {peer} is unknown")
         name = CONFIGURATION_CALL
         body = self._codec.seal(
             encode_struct(ConfigurationRequest(after_revision)), _request_context(name)
--- a/hopstep/adapters/peer_keys.py
+++ b/hopstep/adapters/peer_keys.py
@@ -1,4 +1,4 @@
-"""Cluster keys from a file, read again when it changes."""
+"""Cluster keys, from a file that is read again when it changes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from hopstep.logs import emit
 
 MIN_KEY_BYTES = 16
-"""Shorter keys are refused."""
+"""Shorter keys are rejected."""
 
 
 class PeerKeys:
-    """Keys by id: the first one signs, all verify."""
+    """Keys by id: the first one signs, all of them verify."""
 
     def __init__(self, keys: dict[str, bytes]) -> None:
-        """Hold fixed keys.
+        """Store the keys.
 
         Args:
             keys: Key bytes by id, in the order of the file; at least one.
@@ -26,27 +26,27 @@
         self._keys = keys
 
     def signing(self) -> tuple[str, bytes]:
-        """Return the id and key that sign."""
+        """Return the id and bytes of the signing key."""
         return next(iter(self._keys.items()))
 
     def verifying(self, key_id: str) -> bytes | None:
-        """Return the key of an id, or None when it isn't known."""
+        """Return the key of an id, or None if it is unknown."""
         return self._keys.get(key_id)
 
     @classmethod
     def derived(cls, cluster: str) -> PeerKeys:
         """Return a key derived from the cluster name, for clusters without a key file.
 
-        It keeps clusters apart but keeps nobody out: only for networks that do.
+        It separates clusters but gives no protection: only for networks that restrict access.
         """
         return cls({"none": hashlib.sha256(f"hopstep {cluster}".encode()).digest()})
 
 
 class FilePeerKeys(PeerKeys):
-    """Keys of a file with one ``id:hex`` a line.
+    """Keys from a file with one ``id:hex`` per line.
 
-    ``watched`` must be followed for a changed file to be taken; while it can't be read or is
-    wrong, the earlier keys stay in use.
+    A changed file is loaded only while ``watched`` is checked; while it can't be read or is
+    invalid, the earlier keys stay in use.
     """
 
     def __init__(self, path: Path) -> None:
@@ -56,7 +56,7 @@
             path: The file.
 
         Raises:
-            PeerMessageError: When the file can't be read or is wrong.
+            PeerMessageError: If the file can't be read or is invalid.
         """
         self.watched = WatchedFiles(
             (path,),
@@ -77,16 +77,16 @@
     try:
         return path.read_text(encoding="ascii")
     except OSError as error:
-        raise _wrong(f"can't read {path}: {error.strerror}") from error
+        raise _invalid_key_file(f"can't read {path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
-        raise _wrong(f"can't read {path}: expected ASCII text") from error
+        raise _invalid_key_file(f"can't read {path}: expected ASCII text") from error
 
 
 def parse_keys(text: str) -> dict[str, bytes]:
     """Return the keys of a key file.
 
     Raises:
-        PeerMessageError: Naming the line that isn't ``id:hex`` of at least 16 bytes.
+        PeerMessageError: Names the line that isn't ``id:hex`` of at least 16 bytes.
     """
     keys: dict[str, bytes] = {}
     for number, line in enumerate(text.splitlines(), start=1):
@@ -96,21 +96,21 @@
         key_id, _, digits = stripped.partition(":")
         keys[key_id] = _parse_key(number, key_id, digits, keys)
     if not keys:
-        raise _wrong("the key file holds no key")
+        raise _invalid_key_file("the key file holds no key")
     return keys
 
 
-def _parse_key(number: int, key_id: str, digits: str, known: dict[str, bytes]) -> bytes:
-    if not key_id or key_id in known:
-        raise _wrong(f"line {number}: expected a new key id before the colon")
+def _parse_key(number: int, key_id: str, digits: str, earlier_keys: dict[str, bytes]) -> bytes:
+    if not key_id or key_id in earlier_keys:
+        raise _invalid_key_file(f"line {number}: expected a new key id before the colon")
     try:
         key = bytes.fromhex(digits)
     except ValueError as error:
-        raise _wrong(f"line {number}: expected id:hex") from error
+        raise _invalid_key_file(f"line {number}: expected id:hex") from error
     if len(key) < MIN_KEY_BYTES:
-        raise _wrong(f"line {number}: expected a key of at least {MIN_KEY_BYTES} bytes")
+        raise _invalid_key_file(f"line {number}: expected a key of at least {MIN_KEY_BYTES} bytes")
     return key
 
 
-def _wrong(reason: str) -> PeerMessageError:
+def _invalid_key_file(reason: str) -> PeerMessageError:
     return PeerMessageError(ErrorCode.INVALID_SETTINGS, reason, "peers.key_file")
--- a/hopstep/adapters/platform_http.py
+++ b/hopstep/adapters/platform_http.py
@@ -1,11 +1,11 @@
-"""What the HTTP clients of the platform's services share."""
+"""Common base of the HTTP clients of the platform's services."""
 
 from __future__ import annotations
 
 import httpx
 
 DEFAULT_TIMEOUT_SECONDS = 2.0
-"""Longest wait for a connection and for an answer, beyond what a watch asks for."""
+"""Longest wait for a connection and for an answer, in addition to the wait of a watch."""
 
 
 class PlatformHttpClient:
--- a/hopstep/adapters/signed_peer_transport.py
+++ b/hopstep/adapters/signed_peer_transport.py
@@ -1,4 +1,4 @@
-"""What transports of signed datagrams have in common."""
+"""Common base of transports of signed datagrams."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class SignedPeerTransport(PeerTransport):
-    """A transport with a codec; subclasses carry the datagrams."""
+    """A transport with a codec; subclasses send and receive the datagrams."""
 
     def __init__(self, address: str, codec: PeerCodec) -> None:
-        """Prepare.
+        """Store address and codec.
 
         Args:
             address: Own ``ip:port``.
-            codec: Signs and checks datagrams.
+            codec: Signs and verifies datagrams.
         """
         self._address = address
         self._codec = codec
@@ -31,5 +31,5 @@
         self._codec.use_incarnation(incarnation)
 
     def encoded_size(self, value: msgspec.Struct) -> int:
-        """Return the bytes that a body or a part of one takes on the wire."""
+        """Return the encoded size, in bytes, of a body or a part of one."""
         return encoded_size(value)
--- a/hopstep/adapters/tls.py
+++ b/hopstep/adapters/tls.py
@@ -1,8 +1,8 @@
 """TLS contexts of the process, from files that may be replaced while it runs.
 
-Each file is read into a new context, which takes the place of the earlier one as a whole.
-Connections that were made under the earlier one go on under it; so a replacement cuts off no
-stream. Sessions of earlier contexts aren't resumed, so each new connection is checked anew.
+Each file is read into a new context, which replaces the earlier one as a whole. Existing
+connections keep the context that they were made with, so a replacement interrupts no stream.
+Sessions of earlier contexts aren't resumed, so each new connection is verified again.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 MINIMUM_VERSION = ssl.TLSVersion.TLSv1_2
 
 PROTOCOLS = ["http/1.1"]
-"""Application protocols that are offered; streams are tested over this one."""
+"""Application protocols that are offered in the handshake (ALPN)."""
 
 _CERTIFICATE = re.compile(
     "-----BEGIN CERTIFICATE-----.+?-----END CERTIFICATE-----", flags=re.DOTALL
@@ -43,7 +43,7 @@
 
 
 class LoadedContext(msgspec.Struct, frozen=True):
-    """A context and what it was made from.
+    """A context and the fingerprints of its certificates.
 
     Attributes:
         context: The context.
@@ -55,34 +55,34 @@
 
 
 class ReplaceableContext(ssl.SSLContext):
-    """Makes each connection under the context in force at that time.
+    """Opens each connection with the context that is current at that time.
 
-    Its own options count for nothing. Used otherwise than by ``wrap_bio``, which is what trio
-    uses, it has no certificate and trusts nobody, so that connections fail.
+    Its own options have no effect. Only ``wrap_bio``, which trio uses, is redirected: by other
+    methods it has no certificate and trusts no authority, so that connections fail.
     """
 
-    _in_force: Callable[[], ssl.SSLContext]
+    _current_context: Callable[[], ssl.SSLContext]
 
     @classmethod
-    def of(cls, watched: WatchedFiles[LoadedContext]) -> ReplaceableContext:
-        """Return the context of watched files."""
+    def from_watched(cls, watched: WatchedFiles[LoadedContext]) -> ReplaceableContext:
+        """Return a context that always uses the latest one of watched files."""
         replaceable = cls(ssl.PROTOCOL_TLS_CLIENT)
-        replaceable._in_force = lambda: watched.value.context
+        replaceable._current_context = lambda: watched.value.context
         return replaceable
 
     def wrap_bio(self, *args: Any, **kwargs: Any) -> ssl.SSLObject:
-        """Begin a connection under the context in force."""
-        return self._in_force().wrap_bio(*args, **kwargs)
+        """Begin a connection with the current context."""
+        return self._current_context().wrap_bio(*args, **kwargs)
 
 
 class TlsContexts(msgspec.Struct, frozen=True):
-    """Contexts of everything that may speak TLS; None is plain HTTP.
+    """Contexts for each use of TLS; None means plain HTTP.
 
     Attributes:
-        listener: For the listener, which callers and other routers connect to.
+        listener: For the listener that callers and other routers connect to.
         engines: For connections to engines.
         peers: For connections to other routers.
-        watched: Their files; to be followed.
+        watched: Their files, which must be checked for changes.
     """
 
     listener: ssl.SSLContext | None = None
@@ -103,15 +103,15 @@
         settings: Names of the files.
 
     Raises:
-        PortError: When a file can't be used; names the field and the file.
+        PortError: If a file can't be used; names the field and the file.
     """
     served = _watch_certificate(settings) if settings.certificate else None
     trusted = _watch_authorities(settings) if settings.trusted else None
-    outgoing = None if trusted is None else ReplaceableContext.of(trusted)
+    outgoing = None if trusted is None else ReplaceableContext.from_watched(trusted)
     return TlsContexts(
-        listener=None if served is None else ReplaceableContext.of(served),
+        listener=None if served is None else ReplaceableContext.from_watched(served),
         engines=outgoing if settings.engines else None,
-        peers=None if served is None else outgoing or _machine_authorities(),
+        peers=None if served is None else outgoing or _system_authorities(),
         watched=tuple(each for each in (served, trusted) if each is not None),
     )
 
@@ -123,7 +123,7 @@
         trusted: PEM file.
 
     Raises:
-        PortError: When the file can't be used; names the file.
+        PortError: If the file can't be used; names the file.
     """
     return _read_authorities(trusted).context
 
@@ -149,7 +149,7 @@
     loaded_event: LogEvent,
     rejected_event: LogEvent,
 ) -> WatchedFiles[LoadedContext]:
-    """Read files, the first of which holds the certificates, and log what becomes of them."""
+    """Watch files, the first of which has the certificates, and log each load and rejection."""
 
     def report(loaded: LoadedContext) -> None:
         emit(loaded_event, field=field, file=files[0], fingerprints=list(loaded.fingerprints))
@@ -165,36 +165,38 @@
 
 
 def _read_certificate(certificate: str, private_key: str) -> LoadedContext:
-    """Return a server's context."""
+    """Return the context of a server."""
     chain = _read_text(certificate, CERTIFICATE_FIELD)
     _read_text(private_key, PRIVATE_KEY_FIELD)
     fingerprints = _fingerprints(chain, certificate, CERTIFICATE_FIELD)
-    context = _with_limits(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER))
+    context = _with_common_options(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER))
     try:
-        # Without a password OpenSSL would ask for one at the terminal, and hold the process.
+        # Without a password OpenSSL would prompt for one at the terminal and block the process.
         context.load_cert_chain(certificate, private_key, password=lambda: "")
     except (ssl.SSLError, OSError) as error:
-        expectation = f"expected the certificate's key, in PEM without a passphrase ({_of(error)})"
+        expectation = (
+            f"expected the certificate's key, in PEM without a passphrase ({_reason(error)})"
+        )
         raise _unusable(PRIVATE_KEY_FIELD, private_key, expectation) from error
     return LoadedContext(context, fingerprints)
 
 
 def _read_authorities(trusted: str) -> LoadedContext:
-    """Return a client's context."""
+    """Return the context of a client."""
     text = _read_text(trusted, TRUSTED_FIELD)
     fingerprints = _fingerprints(text, trusted, TRUSTED_FIELD)
-    context = _with_limits(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT))
+    context = _with_common_options(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT))
     context.load_verify_locations(cadata=text)
     return LoadedContext(context, fingerprints)
 
 
-def _machine_authorities() -> ssl.SSLContext:
-    """Return a client's context that trusts what the machine trusts."""
-    return _with_limits(ssl.create_default_context())
+def _system_authorities() -> ssl.SSLContext:
+    """Return the context of a client that trusts the system's authorities."""
+    return _with_common_options(ssl.create_default_context())
 
 
-def _with_limits(context: ssl.SSLContext) -> ssl.SSLContext:
-    """Set what all contexts have in common."""
+def _with_common_options(context: ssl.SSLContext) -> ssl.SSLContext:
+    """Set the options that all contexts share."""
     context.minimum_version = MINIMUM_VERSION
     context.set_alpn_protocols(PROTOCOLS)
     return context
@@ -216,14 +218,14 @@
         ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT).load_verify_locations(cadata=text)
         encoded = [ssl.PEM_cert_to_DER_cert(block) for block in _CERTIFICATE.findall(text)]
     except (ssl.SSLError, ValueError) as error:
-        raise _unusable(field, path, f"expected PEM certificates ({_of(error)})") from error
+        raise _unusable(field, path, f"expected PEM certificates ({_reason(error)})") from error
     if not encoded:
         raise _unusable(field, path, "expected PEM certificates, got none")
     return tuple(hashlib.sha256(each).hexdigest() for each in encoded)
 
 
-def _of(error: Exception) -> str:
-    """Return the library's reason, which quotes nothing of the file."""
+def _reason(error: Exception) -> str:
+    """Return the library's error reason, which quotes nothing from the file."""
     return getattr(error, "reason", None) or type(error).__name__
 
 
--- a/hopstep/adapters/udp_peer_transport.py
+++ b/hopstep/adapters/udp_peer_transport.py
@@ -1,4 +1,4 @@
-"""Peer messages over UDP."""
+"""Transport of peer messages over UDP."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from hopstep.ports.peer_transport import ReceivedMessage
 
 HEADER_BYTES = 28
-"""IPv4 and UDP headers of a datagram."""
+"""Size of a datagram's IPv4 and UDP headers."""
 
 MAX_DATAGRAM_BYTES = 1_400
-"""Larger datagrams are never sent; they would be cut up on the way."""
+"""Larger datagrams are never sent because IP would fragment them."""
 
 _RECEIVE_BYTES = 65_535
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return IP number and port of ``ip:port``.
+    """Return IP address and port of ``ip:port``.
 
     Raises:
-        ValueError: When it isn't an IP number and a port.
+        ValueError: If it isn't an IP address and a port.
     """
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
@@ -35,19 +35,19 @@
 
 
 def join_address(host: str, port: int) -> str:
-    """Return ``ip:port``, with brackets around an IPv6 number."""
+    """Return ``ip:port``, with brackets around an IPv6 address."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 class UdpPeerTransport(SignedPeerTransport):
-    """One UDP socket; make it with ``open``."""
+    """Peer transport over one UDP socket; created with ``open``."""
 
     def __init__(self, socket: trio.socket.SocketType, codec: PeerCodec) -> None:
-        """Use a bound socket.
+        """Wrap a bound socket.
 
         Args:
             socket: UDP socket.
-            codec: Signs and checks datagrams.
+            codec: Signs and verifies datagrams.
         """
         host, port = socket.getsockname()[:2]
         super().__init__(join_address(host, port), codec)
@@ -59,10 +59,10 @@
 
         Args:
             address: ``ip:port``; port 0 lets the system choose.
-            codec: Signs and checks datagrams.
+            codec: Signs and verifies datagrams.
 
         Raises:
-            PortError: When the address is wrong or taken.
+            PortError: If the address is invalid or in use.
         """
         try:
             return cls(await _bind(*split_address(address)), codec)
@@ -72,7 +72,7 @@
             ) from error
 
     async def send(self, address: str, body: Body) -> int:
-        """Send a message; one that is too large or can't be sent is lost."""
+        """Send a message and return its bytes on the wire; 0 if it is too large or not sent."""
         datagram = self._codec.encode(body)
         if len(datagram) > MAX_DATAGRAM_BYTES:
             return 0
@@ -86,7 +86,7 @@
         try:
             datagram, source = await self._socket.recvfrom(_RECEIVE_BYTES)
         except ConnectionError as error:
-            # An ICMP answer to an earlier datagram: that peer isn't listening.
+            # An ICMP error for an earlier datagram: that peer isn't listening.
             raise PeerMessageError(
                 ErrorCode.PEER_MESSAGE_REJECTED, "a peer's port is closed"
             ) from error
@@ -99,7 +99,7 @@
 
 
 async def _bind(host: str, port: int) -> trio.socket.SocketType:
-    """Return a UDP socket bound to an IP number; a failed one is closed."""
+    """Return a UDP socket bound to an IP address; it is closed if binding fails."""
     family = trio.socket.AF_INET6 if ":" in host else trio.socket.AF_INET
     socket = trio.socket.socket(family, trio.socket.SOCK_DGRAM)
     try:
