--- a/emulator/platform/in_memory.py
+++ b/emulator/platform/in_memory.py
@@ -45,12 +45,12 @@
         """Return the value of ``key``; see the port."""
         effect = await self._call(wire.Get(key))
         item: wire.Item | None = effect.result
-        return item.read(effect.era) if item is not None else None
+        return item.to_stored_value(effect.era) if item is not None else None
 
     async def list(self, prefix: str, after_key: str = "", limit: int = 1000) -> list[StoredValue]:
         """Return a page of values; see the port."""
         effect = await self._call(wire.List(prefix, after_key, limit))
-        return [item.read(effect.era) for item in effect.result]
+        return [item.to_stored_value(effect.era) for item in effect.result]
 
     async def compare_and_swap(
         self,
@@ -77,7 +77,7 @@
         effect = await self._call(operation, extra_seconds=wait_seconds)
         require_era(after.era, effect.era)
         changes: wire.Changes = effect.result
-        values = tuple(item.read(effect.era) for item in changes.values)
+        values = tuple(item.to_stored_value(effect.era) for item in changes.values)
         return WatchBatch(StorePlace(effect.era, changes.revision), values)
 
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
--- a/hopstep/adapters/exchange_server.py
+++ b/hopstep/adapters/exchange_server.py
@@ -20,7 +20,7 @@
 NOT_READY_STATUS = 503
 
 
-class OperatorsListeners(msgspec.Struct, frozen=True):
+class OperatorListeners(msgspec.Struct, frozen=True):
     """Listeners for operators and load balancers.
 
     Attributes:
@@ -39,7 +39,7 @@
 class ListenerSwitch:
     """ASGI application that dispatches requests by the listener that received them."""
 
-    def __init__(self, clients: AsgiApp, operators: OperatorsListeners) -> None:
+    def __init__(self, clients: AsgiApp, operators: OperatorListeners) -> None:
         """Combine the listeners.
 
         Args:
--- a/hopstep/adapters/key_value_store_http.py
+++ b/hopstep/adapters/key_value_store_http.py
@@ -62,12 +62,12 @@
     async def get(self, key: str) -> StoredValue | None:
         """Return the value of ``key``; see the port."""
         answer = await self._call(wire.Get(key), _ITEM)
-        return answer.result.read(answer.era) if answer.result is not None else None
+        return answer.result.to_stored_value(answer.era) if answer.result is not None else None
 
     async def list(self, prefix: str, after_key: str = "", limit: int = 1000) -> list[StoredValue]:
         """Return a page of values; see the port."""
         answer = await self._call(wire.List(prefix, after_key, limit), _PAGE)
-        return [item.read(answer.era) for item in answer.result]
+        return [item.to_stored_value(answer.era) for item in answer.result]
 
     async def compare_and_swap(
         self,
@@ -93,7 +93,7 @@
         operation = wire.Watch(prefix, after.revision, wait_seconds)
         answer = await self._call(operation, _CHANGES, extra_seconds=wait_seconds)
         require_era(after.era, answer.era)
-        values = tuple(item.read(answer.era) for item in answer.result.values)
+        values = tuple(item.to_stored_value(answer.era) for item in answer.result.values)
         return WatchBatch(StorePlace(answer.era, answer.result.revision), values)
 
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
--- a/hopstep/adapters/key_value_store_wire.py
+++ b/hopstep/adapters/key_value_store_wire.py
@@ -32,7 +32,7 @@
     value: bytes
     version: int
 
-    def read(self, era: int) -> StoredValue:
+    def to_stored_value(self, era: int) -> StoredValue:
         """Return the value with its store position in the given era."""
         return StoredValue(self.key, self.value, StorePlace(era, self.version))
 
--- a/hopstep/exchange_node.py
+++ b/hopstep/exchange_node.py
@@ -12,7 +12,7 @@
 from hopstep.adapters.exchange_server import (
     AsgiApp,
     ListenerSwitch,
-    OperatorsListeners,
+    OperatorListeners,
     serve_exchanges,
 )
 from hopstep.early_listeners import Listeners
@@ -41,7 +41,7 @@
     """
     app = ListenerSwitch(
         clients,
-        OperatorsListeners(
+        OperatorListeners(
             settings.readiness_address,
             settings.metrics_address,
             lambda: services.is_ready,
