--- a/hopstep/adapters/http_api/answers.py
+++ b/hopstep/adapters/http_api/answers.py
@@ -1,8 +1,8 @@
-"""One running answer: its request runs in a task of the node, the response reads its parts.
+"""An answer in progress: a task of the node runs the request, the response reads its parts.
 
-The task belongs to the node, not to the caller's connection. When the caller leaves, the
-response is cancelled at once while the task still cancels at the engine and gives back what
-it holds, bounded by the dispatcher; the planned stop waits for it.
+The task belongs to the node, not to the caller's connection. When the caller disconnects, the
+response is cancelled at once, while the task still cancels the attempt at the engine and releases
+its resources, within the dispatcher's time limits; a planned stop waits for it.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class RunningAnswer:
-    """An answer that is being made."""
+    """An answer that is being generated."""
 
     def __init__(self, context: ApiContext, request: InferenceRequest) -> None:
-        """Prepare; ``run`` must be started as a task.
+        """Store the request; ``run`` must be started as a task.
 
         Args:
             context: The node.
@@ -37,7 +37,7 @@
         self._released = trio.Event()
 
     async def run(self) -> None:
-        """Hold the dispatcher's run until the response releases it."""
+        """Run the request in the dispatcher until the response releases it."""
         with self._context.lifecycle.active(), self._context.pacer.stream():
             try:
                 with self._scope:
@@ -48,21 +48,21 @@
             except ServiceError as error:
                 self._error = error
             except Exception as error:
-                self._error = self._crashed(error)
+                self._error = self._internal_error(error)
             finally:
                 self._entered.set()
 
     def release(self) -> None:
-        """Let the request end: it is answered, it failed, or its caller left."""
+        """Let the request end because it was answered, it failed or its caller disconnected."""
         self._released.set()
         if not self._entered.is_set():
             self._scope.cancel()
 
     async def read(self) -> AnswerPart:
-        """Wait for the next tokens and return them, with all that came since the last read.
+        """Wait for the next tokens and return all that arrived since the last read.
 
         Raises:
-            ServiceError: When the answer failed; every token before was returned.
+            ServiceError: If the answer failed; every token before the failure was returned.
         """
         await self._entered.wait()
         if self._parts is None:
@@ -74,10 +74,10 @@
         except ServiceError:
             raise
         except Exception as error:
-            raise self._crashed(error) from None
+            raise self._internal_error(error) from None
 
-    def _crashed(self, error: Exception) -> ServiceError:
-        """Turn a fault of hopstep's own into an error; its text may hold a prompt."""
+    def _internal_error(self, error: Exception) -> ServiceError:
+        """Log an unexpected exception without its text, which may quote a prompt."""
         trace = error.__traceback__
         while trace is not None and trace.tb_next is not None:
             trace = trace.tb_next
@@ -94,7 +94,7 @@
 
 
 def _ended_early() -> ServiceError:
-    """Return the error of an answer whose parts ended without a finish."""
+    """Return the error for an answer that ended without a finish reason."""
     return ServiceError(
         ErrorCode.STREAM_INTERRUPTED,
         "the answer was cut off",
--- a/hopstep/adapters/http_api/app.py
+++ b/hopstep/adapters/http_api/app.py
@@ -29,7 +29,7 @@
     """
     app = QuartTrio("hopstep")
     app.config["MAX_CONTENT_LENGTH"] = context.settings.max_body_bytes
-    # Streams last as long as their answers; the request's own deadline bounds them.
+    # A stream lasts as long as its answer, which the request's own deadline limits.
     app.config["RESPONSE_TIMEOUT"] = None
     app.register_blueprint(chat_blueprint(context))
     app.register_blueprint(completions_blueprint(context))
@@ -54,18 +54,18 @@
 
     @app.errorhandler(PeerMessageError)
     async def peer_error(_error: PeerMessageError) -> Response:
-        """Refuse a peer's call without a reason: the sender may be a forger."""
+        """Refuse a peer's call without a reason: the sender may not be a peer."""
         return Response(b"", status=PEER_REFUSED_STATUS)
 
     @app.errorhandler(RequestEntityTooLarge)
     async def too_large(_error: RequestEntityTooLarge) -> Response:
-        """Refuse a body that grew over the limit."""
+        """Refuse a body that exceeded the limit while it was read."""
         context.metrics.requests.labels("", ErrorCode.BODY_TOO_LARGE.value).inc()
         return _error_response(body_too_large(context.settings.max_body_bytes))
 
     @app.errorhandler(HTTPException)
     async def http_error(error: HTTPException) -> Response:
-        """Refuse an unknown path, a wrong method or a body that doesn't come."""
+        """Refuse an unknown path, a wrong method or a body that doesn't arrive in time."""
         message = f"{error.name.lower()}"
         response = _error_response(ServiceError(ErrorCode.NOT_FOUND, message))
         response.status_code = error.code or response.status_code
@@ -73,7 +73,7 @@
 
     @app.errorhandler(Exception)
     async def unexpected(error: Exception) -> Response:
-        """Hide a fault of hopstep's own; its text may hold a prompt."""
+        """Answer an unexpected exception without its text, which may quote a prompt."""
         emit(
             log_events.REQUEST_CRASHED,
             request_id="",
@@ -87,5 +87,5 @@
 
 
 def _error_response(error: ServiceError) -> Response:
-    """Return the response of an error."""
+    """Return the response for an error."""
     return Response(encode_error(error), status=http_status(error), headers=error_headers(error))
--- a/hopstep/adapters/http_api/authentication.py
+++ b/hopstep/adapters/http_api/authentication.py
@@ -1,7 +1,6 @@
-"""Bearer keys: the SHA-256 of a key names its tenant.
+"""Authentication by bearer keys: the SHA-256 of a key identifies its tenant.
 
-The configuration holds hashes only. A key lives no longer than the look-up, and is never
-logged.
+The configuration holds hashes only. A key is kept only during the look-up and is never logged.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 BEARER_PREFIX = b"bearer "
 
 ABSENT_HASH = "0" * 64
-"""Compared where no tenant has the hash, so that both cases do the same work."""
+"""Compared if no tenant has the hash, so that known and unknown keys take the same work."""
 
 
 def hash_key(key: bytes) -> str:
@@ -24,14 +23,14 @@
 
 
 class Authenticator:
-    """Finds tenants by key hash; follows the configuration."""
+    """Finds tenants by key hash, as of the latest configuration."""
 
     def __init__(self) -> None:
         """Start without tenants."""
         self._tenants: dict[str, Tenant] = {}
 
-    def follow(self, accepted: AcceptedConfiguration) -> None:
-        """Take the tenants of a new configuration."""
+    def update_tenants(self, accepted: AcceptedConfiguration) -> None:
+        """Replace the tenants by those of a new configuration."""
         self._tenants = {
             key_hash: tenant
             for tenant in accepted.configuration.tenants
@@ -45,7 +44,7 @@
             authorization: The header's value; empty if absent.
 
         Raises:
-            ServiceError: ``INVALID_KEY``, the same for an absent, a malformed and a wrong key.
+            ServiceError: ``INVALID_KEY``, for an absent, a malformed and an unknown key alike.
         """
         scheme, key = authorization[: len(BEARER_PREFIX)], authorization[len(BEARER_PREFIX) :]
         key_hash = hash_key(key.strip())
--- a/hopstep/adapters/http_api/bodies.py
+++ b/hopstep/adapters/http_api/bodies.py
@@ -1,4 +1,4 @@
-"""Typed bodies of the OpenAI-style interface: requests, answers and stream chunks."""
+"""Typed bodies of the OpenAI-style API: requests, responses and stream chunks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hopstep.exceptions import ErrorCode, ServiceError
 
 ERROR_PATH = re.compile(r" - at `\$\.?(?P<path>[^`]*)`$")
-"""Where the decoder says the fault is."""
+"""Matches the path of the invalid field in the decoder's message."""
 
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
 
@@ -19,14 +19,14 @@
     """Options of a streamed answer.
 
     Attributes:
-        include_usage: Whether a last chunk carries the usage.
+        include_usage: Whether a final chunk carries the usage.
     """
 
     include_usage: bool = False
 
 
 class Metadata(msgspec.Struct, frozen=True, rename={"request_class": "class"}):
-    """Caller's remarks; only the class is read.
+    """Metadata from the caller; only the class is used.
 
     Attributes:
         request_class: Request class, unless the header names one.
@@ -41,11 +41,11 @@
     Attributes:
         model: Model name.
         max_tokens: Longest answer in tokens.
-        max_completion_tokens: Newer name of ``max_tokens``; wins over it.
+        max_completion_tokens: Newer name of ``max_tokens``; takes precedence over it.
         n: Number of answers; only one is supported.
-        stream: Whether the answer comes as server-sent events.
+        stream: Whether the answer is sent as server-sent events.
         stream_options: Options of the stream.
-        metadata: Caller's remarks.
+        metadata: Metadata from the caller.
     """
 
     model: str
@@ -68,7 +68,7 @@
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """One piece of a message; only text is supported."""
+    """One part of a message; only text is supported."""
 
     type: Annotated[str, msgspec.Meta(pattern="^text$")]
     text: str
@@ -78,15 +78,15 @@
     """One chat message.
 
     Attributes:
-        role: Who speaks.
-        content: Text, whole or in pieces.
+        role: Author of the message, such as ``user``.
+        content: Text, as one string or in parts.
     """
 
     role: str
     content: str | list[ContentPart]
 
     def text(self) -> str:
-        """Return the whole text."""
+        """Return the complete text."""
         if isinstance(self.content, str):
             return self.content
         return "".join(part.text for part in self.content)
@@ -103,7 +103,7 @@
 
 
 class PromptTokensDetails(msgspec.Struct, frozen=True):
-    """Which prompt tokens came from a cache."""
+    """How many prompt tokens came from a cache."""
 
     cached_tokens: int
 
@@ -118,14 +118,14 @@
 
 
 class AnswerMessage(msgspec.Struct, frozen=True):
-    """The assistant's whole message."""
+    """The assistant's complete message."""
 
     role: str
     content: str
 
 
 class ChatChoice(msgspec.Struct, frozen=True):
-    """The one choice of a whole chat answer."""
+    """The one choice of a complete chat answer."""
 
     index: int
     message: AnswerMessage
@@ -133,7 +133,7 @@
 
 
 class TextChoice(msgspec.Struct, frozen=True):
-    """The one choice of a completion or of its chunks."""
+    """The one choice of a completion or of one of its chunks."""
 
     index: int
     text: str
@@ -141,7 +141,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a chat chunk adds."""
+    """Content that a chat chunk adds to the message."""
 
     role: str = ""
     content: str = ""
@@ -156,17 +156,17 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A whole answer, or one chunk of a streamed one.
+    """A complete answer, or one chunk of a streamed answer.
 
     Attributes:
-        id: Answer's identity.
-        object: Kind of body.
+        id: Identifier of the answer.
+        object: Type of the body, as in the OpenAI API.
         created: Unix time in seconds.
         model: Model name.
         choices: One choice; none in the chunk that carries the usage.
         usage: Token counts.
-        engines: Engines that made the answer, in order; with its end only. An extension that
-            other clients ignore.
+        engines: Engines that generated the answer, in order; only at its end. An extension that
+            standard clients ignore.
     """
 
     id: str
@@ -188,7 +188,7 @@
 
 
 class ModelListBody(msgspec.Struct, frozen=True):
-    """Answer of ``/v1/models``."""
+    """Response body of ``/v1/models``."""
 
     data: tuple[ModelBody, ...]
     object: str = "list"
@@ -201,7 +201,7 @@
     """Decode a request body.
 
     Raises:
-        ServiceError: ``MALFORMED_REQUEST`` that names the field at fault.
+        ServiceError: ``MALFORMED_REQUEST`` that names the invalid field.
     """
     try:
         return decoder.decode(data)
--- a/hopstep/adapters/http_api/chat.py
+++ b/hopstep/adapters/http_api/chat.py
@@ -1,4 +1,4 @@
-"""``/v1/chat/completions``."""
+"""Route ``/v1/chat/completions``."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     @blueprint.post("/v1/chat/completions")
     async def create_chat_completion() -> Response:
-        """Answer a chat."""
+        """Answer a chat request."""
         body = decode_body(await read_body(), DECODER)
         messages = tuple(ChatMessage(message.role, message.text()) for message in body.messages)
         generation, resolved = start_generation(context, body, render_chat(messages), "messages")
--- a/hopstep/adapters/http_api/completions.py
+++ b/hopstep/adapters/http_api/completions.py
@@ -1,4 +1,4 @@
-"""``/v1/completions`` and ``/v1/models``."""
+"""Routes ``/v1/completions`` and ``/v1/models``."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
     @blueprint.get("/v1/models")
     async def list_models() -> Response:
-        """List the models that the caller's tenant can reach."""
+        """List the models that are available to the caller's tenant."""
         models = _reachable_models(admitted_caller())
         body = ModelListBody(tuple(ModelBody(name) for name in models))
         return Response(msgspec.json.encode(body), content_type="application/json")
@@ -46,7 +46,7 @@
 
 
 def _reachable_models(caller: Caller) -> list[str]:
-    """Return the configured models that an engine inside the tenant's places serves."""
+    """Return the configured models served by an engine that the tenant's selector matches."""
     engines = caller.index.tenant_back_ends(caller.tenant, BackEndKind.ENGINE)
     served = {name for engine in engines for name in engine.models}
     return [name for name in caller.index.models if name in served]
--- a/hopstep/adapters/http_api/composition.py
+++ b/hopstep/adapters/http_api/composition.py
@@ -1,4 +1,4 @@
-"""Joins the HTTP API with a router's services, for the process and the simulation alike."""
+"""Connects the HTTP API with a router's services, for the process and the simulation alike."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
         settings: Settings of the node.
         services: Its services.
         incarnation: Identity of this start of the node.
-        registry: Takes the metrics.
+        registry: Registry for the metrics.
         pacer: Spaces the reads of streams.
         spawn: Starts a task of the node.
-        handle_peer: Answers peers' calls; None answers none.
+        handle_peer: Handles peers' calls; None if there are none.
     """
     authenticator = Authenticator()
-    services.holder.subscribe(authenticator.follow)
+    services.holder.subscribe(authenticator.update_tenants)
     health = NodeHealth(
         is_isolated=services.is_isolated,
         seconds_since_confirmed=services.synchronization.seconds_since_confirmed,
--- a/hopstep/adapters/http_api/context.py
+++ b/hopstep/adapters/http_api/context.py
@@ -1,4 +1,4 @@
-"""What the HTTP API needs of its node."""
+"""Dependencies of the HTTP API on its node."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     def run(
         self, request: InferenceRequest
     ) -> contextlib.AbstractAsyncContextManager[AsyncIterator[AnswerPart]]:
-        """Return the parts of an answer, in order and complete."""
+        """Return the parts of an answer, in order and without gaps."""
 
 
 PeerHandler = Callable[[str, bytes], Awaitable[bytes]]
-"""Takes the name of a peer call and its body, and returns the answer's body."""
+"""Receives the name and body of a peer's call and returns the body of the response."""
 
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
 """Starts a task that belongs to the node, not to a connection."""
@@ -37,10 +37,12 @@
     """How well the node is connected.
 
     Attributes:
-        is_isolated: Whether it has been cut off for too long to trust its placement.
-        seconds_since_confirmed: Age of the proof that its configuration was the latest.
-        member_count: Live members that it sees, itself included.
-        displaced_changes: Accepted changes that a restore of the store has taken away for good.
+        is_isolated: Returns whether it has been isolated for too long to rely on its placement.
+        seconds_since_confirmed: Returns the time since its configuration was confirmed as the
+            latest.
+        member_count: Returns the number of live members that it sees, including itself.
+        displaced_changes: Returns accepted changes that a restore of the store has removed for
+            good.
     """
 
     is_isolated: Callable[[], bool]
@@ -50,20 +52,20 @@
 
 
 class ApiContext(msgspec.Struct, frozen=True):
-    """What the HTTP API needs of its node.
+    """Dependencies of the HTTP API on its node.
 
     Attributes:
         settings: Settings of the node.
         incarnation: Identity of this start of the node.
         holder: Configuration in force.
         runner: Runs requests.
-        lifecycle: Counts active requests, refuses while stopping.
+        lifecycle: Counts active requests, and refuses new ones while stopping.
         authenticator: Finds tenants by key.
         metrics: Counters.
-        pacer: Counts streams, to space their reads.
+        pacer: Counts streams, to set the interval between their reads.
         health: How well the node is connected.
         spawn: Starts a task that belongs to the node, not to a connection.
-        handle_peer: Answers peers' calls below ``/peer/v1/``; None answers none.
+        handle_peer: Handles peers' calls under ``/peer/v1/``; None if there are none.
     """
 
     settings: RouterSettings
--- a/hopstep/adapters/http_api/errors.py
+++ b/hopstep/adapters/http_api/errors.py
@@ -9,7 +9,7 @@
 from hopstep.exceptions import ErrorCode, Execution, ServiceError
 
 MIN_RETRY_AFTER_SECONDS = 1
-"""``Retry-After`` holds whole seconds; 0 would invite an immediate repeat."""
+"""Whole seconds in ``Retry-After``; 0 would ask for an immediate retry."""
 
 DEFAULT_STATUS = 500
 
@@ -39,20 +39,20 @@
     ErrorCode.STOPPING: 503,
     ErrorCode.ISOLATED: 503,
 }
-"""HTTP status of each code that callers may meet; others are ``DEFAULT_STATUS``."""
+"""HTTP status of each code that callers may receive; others are ``DEFAULT_STATUS``."""
 
 
 class ErrorDetail(msgspec.Struct, frozen=True):
-    """What a caller learns of an error.
+    """Details of an error for the caller.
 
     Attributes:
         code: Stable code.
         message: One sentence for a person.
-        type: Group of the error, by the conventions of OpenAI-style clients.
-        param: Field at fault, or None.
-        execution: ``not_run`` only when proved, else ``unknown``.
-        retry_after_seconds: When to come back.
-        endpoints: Routers that may serve the request, on placement refusals.
+        type: Category of the error, as OpenAI-style clients expect.
+        param: Invalid field, or None.
+        execution: ``not_run`` only if proved, else ``unknown``.
+        retry_after_seconds: Time to wait before a retry.
+        endpoints: Addresses of routers that may serve the request, for refusals by placement.
     """
 
     code: str
@@ -76,7 +76,7 @@
 
 
 def retry_after(error: ServiceError) -> int:
-    """Return the whole seconds after which the caller may come back."""
+    """Return the whole seconds after which the caller may retry."""
     return max(MIN_RETRY_AFTER_SECONDS, math.ceil(error.retry_after_seconds))
 
 
@@ -98,8 +98,8 @@
 def error_headers(error: ServiceError) -> dict[str, str]:
     """Return the headers of an error response.
 
-    Clients of the common library repeat failed requests on their own; ``X-Should-Retry``
-    stops them where a repeat might run the request a second time.
+    The common client library retries failed requests by itself; ``X-Should-Retry`` stops it
+    where a retry might run the request a second time.
     """
     headers = {"Content-Type": "application/json", "Retry-After": str(retry_after(error))}
     if error.execution is Execution.UNKNOWN:
--- a/hopstep/adapters/http_api/gate.py
+++ b/hopstep/adapters/http_api/gate.py
@@ -1,7 +1,7 @@
-"""What is decided by a request's headers alone, before any of its body is read.
+"""Admission of requests by their headers alone, before any of the body is read.
 
-The framework starts to read the body as soon as it sees a request, so this is an ASGI layer
-around it: a request that is refused here has had no byte of its prompt read.
+The framework starts to read the body as soon as it receives a request, so this is an ASGI layer
+around it: no byte of the prompt is read of a request that is refused here.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 CALLER_PATHS = "/v1/"
 CALLER_KEY = "hopstep.caller"
-"""Where the admitted caller stands in the ASGI scope."""
+"""Key of the admitted caller in the ASGI scope."""
 
 ISOLATED_RETRY_AFTER_SECONDS = 2.0
 
@@ -35,14 +35,14 @@
     """A caller whose headers were accepted.
 
     Attributes:
-        tenant: Whose key it was.
-        index: Configuration by which the request is served, whatever comes meanwhile.
-        start: When the headers were read, by the node's clock in seconds.
+        tenant: Tenant that the bearer key belongs to.
+        index: Configuration that applies to the request, even if a newer one arrives.
+        received_at: Time at which the headers were read, by the node's clock in seconds.
     """
 
     tenant: Tenant
     index: ConfigurationIndex
-    start: float
+    received_at: float
 
 
 class HeaderGate:
@@ -59,7 +59,7 @@
         self._context = context
 
     async def __call__(self, scope: AsgiScope, receive: AsgiReceive, send: AsgiSend) -> None:
-        """Serve one ASGI connection."""
+        """Handle one ASGI connection."""
         if scope["type"] != "http" or not scope["path"].startswith(CALLER_PATHS):
             await self._app(scope, receive, send)
             return
@@ -84,7 +84,7 @@
         return Caller(tenant, index, trio.current_time())
 
     def _check_placement(self, index: ConfigurationIndex, tenant: Tenant) -> None:
-        """Raise when this router may not read the tenant's prompts."""
+        """Raise if this router may not read the tenant's prompts."""
         if not _router_admits(index, tenant, self._context):
             routers = index.tenant_back_ends(tenant, BackEndKind.ROUTER)
             raise ServiceError(
@@ -101,10 +101,10 @@
 
 
 def _router_admits(index: ConfigurationIndex, tenant: Tenant, context: ApiContext) -> bool:
-    """Return whether the router's labels let it read the tenant's prompts.
+    """Return whether the router's labels permit it to read the tenant's prompts.
 
     Both its settings and, where the configuration lists it, its configured labels must match:
-    operators can rule a router out, but not place it where its machine isn't.
+    operators can exclude a router, but can't place it where its machine isn't.
     """
     if not router_may_serve(tenant, context.settings.all_labels()):
         return False
@@ -115,22 +115,22 @@
 
 
 def _check_length(content_length: bytes, max_body_bytes: int) -> None:
-    """Raise ``BODY_TOO_LARGE`` when the declared length is over the limit."""
+    """Raise ``BODY_TOO_LARGE`` if the declared length exceeds the limit."""
     if content_length.isdigit() and int(content_length) > max_body_bytes:
         raise body_too_large(max_body_bytes)
 
 
 def body_too_large(max_body_bytes: int) -> ServiceError:
-    """Return the refusal of a body over the limit."""
+    """Return the error for a body over the limit."""
     return ServiceError(
         ErrorCode.BODY_TOO_LARGE, f"the body is over {max_body_bytes} bytes", field="body"
     )
 
 
 async def _send_error(send: AsgiSend, error: ServiceError) -> None:
-    """Send an error response without having read the body, and close the connection.
+    """Send an error response without reading the body, and close the connection.
 
-    The rest of the body may be long; closing spares reading it.
+    The rest of the body may be long; closing the connection avoids reading it.
     """
     body = encode_error(error)
     headers = error_headers(error) | {"Content-Length": str(len(body)), "Connection": "close"}
--- a/hopstep/adapters/http_api/generation.py
+++ b/hopstep/adapters/http_api/generation.py
@@ -1,4 +1,4 @@
-"""The path that chat and plain completions share: from a decoded body to its answer."""
+"""Handling that chat and plain completions share: from a decoded body to the response."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 ENGINE_HEADER = "X-Hopstep-Engine"
 ROUTER_HEADER = "X-Hopstep-Router"
 CLASS_KEY = "hopstep.class"
-"""Where the name of the resolved class stands in the ASGI scope."""
+"""Key of the resolved class's name in the ASGI scope."""
 
 OUTCOME_OK = "ok"
 OUTCOME_CALLER_LEFT = "caller_left"
 
 
 class Generation:
-    """One request on its way through the HTTP API.
+    """One request in the HTTP API, from its resolution to its outcome.
 
     Attributes:
         engines: Engines whose tokens were read so far, in order.
     """
 
     def __init__(self, context: ApiContext, caller: Caller, resolved: InferenceRequest) -> None:
-        """Prepare the request; nothing runs yet.
+        """Store the request; nothing runs yet.
 
         Args:
             context: The node.
@@ -55,10 +55,10 @@
         self._first_token_seconds = 0.0
 
     async def respond(self, renderer: AnswerRenderer, body: GenerationBody) -> Response:
-        """Return the response: whole, or a stream whose first part has already come.
+        """Return the response: complete, or a stream whose first part has already arrived.
 
         Raises:
-            ServiceError: When the answer failed before anything was sent.
+            ServiceError: If the answer failed before anything was sent.
         """
         self._context.spawn(self._answer.run)
         try:
@@ -66,9 +66,9 @@
             if body.stream:
                 include_usage = bool(body.stream_options and body.stream_options.include_usage)
                 return self._stream_response(first, renderer, include_usage)
-            return await self._whole_response(first, renderer)
+            return await self._complete_response(first, renderer)
         except ServiceError as error:
-            self.failed(error)
+            self.record_failed(error)
             raise
         except BaseException:
             self.abandon()
@@ -78,14 +78,14 @@
         """Return the next part and count it."""
         part = await self._answer.read()
         if not self._tokens:
-            self._first_token_seconds = trio.current_time() - self._caller.start
+            self._first_token_seconds = trio.current_time() - self._caller.received_at
         self._tokens += len(part.tokens)
         if part.engine and part.engine not in self.engines:
             self.engines += (part.engine,)
         return part
 
-    def completed(self) -> None:
-        """Record a whole answer."""
+    def record_completed(self) -> None:
+        """Record a complete answer."""
         self._answer.release()
         request_class = self._request.request_class.name
         metrics = self._context.metrics
@@ -102,8 +102,8 @@
             first_token_seconds=round(self._first_token_seconds, 6),
         )
 
-    def failed(self, error: ServiceError) -> None:
-        """Log a refusal or a failure."""
+    def record_failed(self, error: ServiceError) -> None:
+        """Record a refusal or a failure."""
         self._answer.release()
         fields = {
             "request_id": self._request.request_id,
@@ -116,13 +116,13 @@
         else:
             emit(log_events.ANSWER_FAILED, tokens=self._tokens, **fields)
 
-    def failed_in_stream(self, error: ServiceError) -> None:
-        """Record a failure whose status line has already been sent."""
+    def record_failed_stream(self, error: ServiceError) -> None:
+        """Record a failure after the status line was sent."""
         self._count(error.code.value)
-        self.failed(error)
+        self.record_failed(error)
 
     def abandon(self) -> None:
-        """Give the answer up because its caller left."""
+        """Abandon the answer because its caller disconnected."""
         self._answer.release()
         self._count(OUTCOME_CALLER_LEFT)
         emit(
@@ -133,24 +133,24 @@
         )
 
     def _count(self, outcome: str) -> None:
-        """Count one request that wasn't answered whole."""
+        """Count one request that wasn't answered completely."""
         self._context.metrics.requests.labels(self._request.request_class.name, outcome).inc()
 
-    async def _whole_response(self, first: AnswerPart, renderer: AnswerRenderer) -> Response:
-        """Return the whole answer, never a part of it."""
+    async def _complete_response(self, first: AnswerPart, renderer: AnswerRenderer) -> Response:
+        """Wait for the complete answer and return it; a failure returns no part of it."""
         texts = list(first.tokens)
         part = first
         while part.finish is None:
             part = await self.read()
             texts.extend(part.tokens)
-        self.completed()
-        body = renderer.whole("".join(texts), part, self.engines)
+        self.record_completed()
+        body = renderer.render_complete("".join(texts), part, self.engines)
         return Response(body, content_type="application/json", headers=self._headers())
 
     def _stream_response(
         self, first: AnswerPart, renderer: AnswerRenderer, include_usage: bool
     ) -> Response:
-        """Return the stream of an answer."""
+        """Return the response that streams an answer."""
         body = StreamBody(self, first, renderer, include_usage)
         headers = self._headers() | {"Cache-Control": "no-store"}
         response = Response(body, content_type="text/event-stream", headers=headers)
@@ -158,7 +158,7 @@
         return response
 
     def _headers(self) -> dict[str, str]:
-        """Return the headers that say who answered."""
+        """Return the headers that identify request, engine, router and class."""
         return {
             REQUEST_ID_HEADER: self._request.request_id,
             ENGINE_HEADER: self.engines[0] if self.engines else "",
@@ -177,13 +177,13 @@
         renderer: AnswerRenderer,
         include_usage: bool,
     ) -> None:
-        """Prepare the body.
+        """Store the first part; the rest is read while the body is sent.
 
         Args:
             generation: The request.
             first: Its first part.
             renderer: Renders its events.
-            include_usage: Whether a last chunk carries the usage.
+            include_usage: Whether a final chunk carries the usage.
         """
         self._generation = generation
         self._first = first
@@ -201,7 +201,7 @@
         exc_value: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Give the answer up unless it ended: its caller left."""
+        """Abandon the answer if it didn't end, as its caller disconnected."""
         if not self._ended:
             self._generation.abandon()
 
@@ -209,26 +209,26 @@
         """Yield events; a stream that fails ends with an error event, without ``[DONE]``."""
         part = self._first
         while part.finish is None:
-            yield self._renderer.chunk(part)
+            yield self._renderer.render_chunk(part)
             try:
                 part = await self._generation.read()
             except ServiceError as error:
                 self._ended = True
-                self._generation.failed_in_stream(error)
+                self._generation.record_failed_stream(error)
                 yield error_event(error)
                 return
         self._ended = True
-        self._generation.completed()
+        self._generation.record_completed()
         yield self._last_events(part)
 
     def _last_events(self, part: AnswerPart) -> bytes:
-        """Return the last chunk, the usage if asked for, and the end mark."""
-        usage = self._renderer.usage_chunk(part.usage) if self._include_usage else b""
-        return self._renderer.chunk(part, self._generation.engines) + usage + DONE_EVENT
+        """Return the last chunk, the usage if requested, and the end marker."""
+        usage = self._renderer.render_usage(part.usage) if self._include_usage else b""
+        return self._renderer.render_chunk(part, self._generation.engines) + usage + DONE_EVENT
 
 
 def asgi_scope() -> dict[str, Any]:
-    """Return the ASGI scope of the current request, with this module's own entries."""
+    """Return the ASGI scope of the current request, with the entries of this package."""
     return cast(dict[str, Any], request.scope)
 
 
@@ -248,7 +248,7 @@
     """Resolve the current request.
 
     Raises:
-        ServiceError: When a name is unknown or a bound is broken.
+        ServiceError: If a name is unknown or a limit is exceeded.
     """
     caller = admitted_caller()
     class_header = request.headers.get(CLASS_HEADER, "")
--- a/hopstep/adapters/http_api/metrics.py
+++ b/hopstep/adapters/http_api/metrics.py
@@ -8,7 +8,7 @@
 
 
 class ApiMetrics:
-    """Counters that the HTTP API moves; labels are bounded by the configuration."""
+    """Metrics of the HTTP API; the configuration limits the number of label values."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         """Register the metrics.
--- a/hopstep/adapters/http_api/operator.py
+++ b/hopstep/adapters/http_api/operator.py
@@ -1,4 +1,4 @@
-"""What operators ask a router: liveness, readiness, metrics, status."""
+"""Routes for operators: liveness, readiness, metrics, status."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class ReadinessBody(msgspec.Struct, frozen=True):
-    """Answer of ``/readyz``.
+    """Response body of ``/readyz``.
 
     Attributes:
-        ready: Whether callers should be sent here.
+        ready: Whether load balancers should send callers here.
         configuration_revision: Revision in force; 0 before the first.
-        stopping: Whether a planned stop goes on.
+        stopping: Whether a planned stop is in progress.
     """
 
     ready: bool
@@ -30,21 +30,21 @@
 
 
 class StatusBody(msgspec.Struct, frozen=True):
-    """Answer of ``/operator/status``.
+    """Response body of ``/operator/status``.
 
     Attributes:
         name: Node's name.
         incarnation: Identity of this start of the node.
         zone: Node's zone.
         revision: Configuration revision in force; 0 before the first.
-        confirmed_seconds: Age of the proof that this revision was the latest; -1 for none.
-        ready: Whether callers should be sent here.
-        stopping: Whether a planned stop goes on.
-        isolated: Whether the node has been cut off for too long.
-        active_requests: Requests whose answers aren't whole yet.
-        members: Live members that the node sees, itself included.
-        displaced: Accepted changes that a restore of the store has taken away for good, each with
-            the change that has its place.
+        confirmed_seconds: Time since this revision was confirmed as the latest; -1 if never.
+        ready: Whether load balancers should send callers here.
+        stopping: Whether a planned stop is in progress.
+        isolated: Whether the node has been isolated for too long to rely on its placement.
+        active_requests: Requests whose answers aren't complete yet.
+        members: Live members that the node sees, including itself.
+        displaced: Accepted changes that a restore of the store has removed for good, each with
+            the change that replaced it.
     """
 
     name: str
@@ -61,7 +61,7 @@
 
 
 def operator_blueprint(context: ApiContext) -> Blueprint:
-    """Return the operators' routes.
+    """Return the routes for operators.
 
     Args:
         context: The node.
@@ -70,12 +70,12 @@
 
     @blueprint.get("/livez")
     async def live() -> Response:
-        """Say that the process serves."""
+        """Report that the process responds."""
         return Response(b"ok\n", content_type="text/plain")
 
     @blueprint.get("/readyz")
     async def ready() -> Response:
-        """Say whether callers should be sent here."""
+        """Report whether load balancers should send callers here."""
         lifecycle = context.lifecycle
         body = ReadinessBody(lifecycle.ready, context.holder.revision, lifecycle.stopping)
         status = OK_STATUS if body.ready else NOT_READY_STATUS
@@ -90,7 +90,7 @@
 
     @blueprint.get("/operator/status")
     async def status() -> Response:
-        """Say how the node is doing."""
+        """Report the node's status."""
         return Response(msgspec.json.encode(_status(context)), content_type=JSON)
 
     return blueprint
--- a/hopstep/adapters/http_api/peer.py
+++ b/hopstep/adapters/http_api/peer.py
@@ -1,4 +1,4 @@
-"""Peers' calls over HTTP, passed on to the membership's handler."""
+"""Route for peers' calls over HTTP, which are passed to the given handler."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def peer_blueprint(handle: PeerHandler) -> Blueprint:
-    """Return the routes of peers' calls.
+    """Return the route for peers' calls.
 
     Args:
         handle: Verifies, decodes and answers a call; raises ``PeerMessageError``.
--- a/hopstep/adapters/http_api/rendering.py
+++ b/hopstep/adapters/http_api/rendering.py
@@ -1,4 +1,4 @@
-"""Bodies and stream events of an answer, for chat and for plain completions."""
+"""Rendering of answers to bodies and stream events, for chat and plain completions."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 
     Attributes:
         id_prefix: Start of the answer's id.
-        whole_object: ``object`` of a whole answer.
+        complete_object: ``object`` of a complete answer.
         chunk_object: ``object`` of a stream chunk.
     """
 
     id_prefix: str
-    whole_object: str
+    complete_object: str
     chunk_object: str
 
     def __init__(self, request: InferenceRequest) -> None:
-        """Prepare for one request.
+        """Store identity, model and creation time of one answer.
 
         Args:
             request: The resolved request.
@@ -51,36 +51,36 @@
         self._created = int(time_of_day_seconds())
         self._encoder = msgspec.json.Encoder()
 
-    def whole(self, text: str, last: AnswerPart, engines: tuple[str, ...]) -> bytes:
-        """Return the body of a whole answer.
+    def render_complete(self, text: str, last: AnswerPart, engines: tuple[str, ...]) -> bytes:
+        """Return the body of a complete answer.
 
         Args:
-            text: All of its text.
-            last: Its last part, with finish and usage.
-            engines: Engines that made it.
+            text: Its complete text.
+            last: Its last part, with finish reason and usage.
+            engines: Engines that generated it.
         """
         finish = (last.finish or AnswerFinish.STOP).value
-        choice = self._whole_choice(text, finish)
-        return self._encode(self.whole_object, (choice,), last.usage, engines)
+        choice = self._complete_choice(text, finish)
+        return self._encode(self.complete_object, (choice,), last.usage, engines)
 
-    def chunk(self, part: AnswerPart, engines: tuple[str, ...] = ()) -> bytes:
+    def render_chunk(self, part: AnswerPart, engines: tuple[str, ...] = ()) -> bytes:
         """Return the event of one part.
 
         Args:
             part: The part.
-            engines: Engines that made the answer, with its last part.
+            engines: Engines that generated the answer; only for its last part.
         """
         finish = part.finish.value if part.finish else None
         choice = self._chunk_choice("".join(part.tokens), finish)
         return _event(self._encode(self.chunk_object, (choice,), None, engines))
 
-    def usage_chunk(self, usage: AnswerUsage | None) -> bytes:
-        """Return the event that carries the usage alone."""
+    def render_usage(self, usage: AnswerUsage | None) -> bytes:
+        """Return the event that carries only the usage."""
         return _event(self._encode(self.chunk_object, (), usage))
 
     @abc.abstractmethod
-    def _whole_choice(self, text: str, finish: str) -> Choice:
-        """Return the choice of a whole answer."""
+    def _complete_choice(self, text: str, finish: str) -> Choice:
+        """Return the choice of a complete answer."""
 
     @abc.abstractmethod
     def _chunk_choice(self, text: str, finish: str | None) -> Choice:
@@ -104,16 +104,16 @@
     """Renders answers of ``/v1/chat/completions``."""
 
     id_prefix = "chatcmpl-"
-    whole_object = "chat.completion"
+    complete_object = "chat.completion"
     chunk_object = "chat.completion.chunk"
 
     def __init__(self, request: InferenceRequest) -> None:
-        """Prepare for one request; the first chunk names the role."""
+        """Store the request's data; only the first chunk states the role."""
         super().__init__(request)
         self._role = ASSISTANT
 
-    def _whole_choice(self, text: str, finish: str) -> Choice:
-        """Return the choice of a whole answer."""
+    def _complete_choice(self, text: str, finish: str) -> Choice:
+        """Return the choice of a complete answer."""
         return ChatChoice(0, AnswerMessage(ASSISTANT, text), finish)
 
     def _chunk_choice(self, text: str, finish: str | None) -> Choice:
@@ -126,11 +126,11 @@
     """Renders answers of ``/v1/completions``."""
 
     id_prefix = "cmpl-"
-    whole_object = "text_completion"
+    complete_object = "text_completion"
     chunk_object = "text_completion"
 
-    def _whole_choice(self, text: str, finish: str) -> Choice:
-        """Return the choice of a whole answer."""
+    def _complete_choice(self, text: str, finish: str) -> Choice:
+        """Return the choice of a complete answer."""
         return TextChoice(0, text, finish)
 
     def _chunk_choice(self, text: str, finish: str | None) -> Choice:
@@ -139,17 +139,17 @@
 
 
 def error_event(error: ServiceError) -> bytes:
-    """Return the event that ends an interrupted stream."""
+    """Return the event that ends a failed stream."""
     return _event(encode_error(error))
 
 
 def _event(data: bytes) -> bytes:
-    """Return one server-sent event."""
+    """Return the data as one server-sent event."""
     return b"data: " + data + b"\n\n"
 
 
 def _usage_body(usage: AnswerUsage | None) -> UsageBody | None:
-    """Return the token counts as callers know them."""
+    """Return the token counts in the format of the API."""
     if usage is None:
         return None
     return UsageBody(
--- a/hopstep/adapters/http_api/requests.py
+++ b/hopstep/adapters/http_api/requests.py
@@ -1,4 +1,4 @@
-"""From an admitted caller and a decoded body to a resolved request."""
+"""Resolution of a request from its admitted caller and decoded body."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """Resolve class, model and limits of a request.
 
     Args:
-        caller: Who asks, and under which configuration.
+        caller: Admitted caller and the configuration that applies.
         body: Decoded body.
         prompt: Rendered prompt.
         prompt_field: Field of the body that holds the prompt, for errors.
@@ -37,22 +37,24 @@
         idempotency_key: Value of ``IDEMPOTENCY_HEADER``; empty if absent.
 
     Raises:
-        ServiceError: When a name is unknown or a bound is broken; always ``NOT_RUN``.
+        ServiceError: If a name is unknown or a limit is exceeded; always ``NOT_RUN``.
     """
     model = _find_model(caller.index, body.model)
     request_class = _find_class(caller.index, caller.tenant, body, class_header)
     _check_prompt(prompt, prompt_field, model)
     _check_idempotency_key(idempotency_key)
-    wanted = body.max_completion_tokens or body.max_tokens or request_class.max_output_tokens
+    requested_tokens = (
+        body.max_completion_tokens or body.max_tokens or request_class.max_output_tokens
+    )
     return InferenceRequest(
         request_id=secrets.token_hex(REQUEST_ID_BYTES),
         tenant=caller.tenant,
         request_class=request_class,
         model=model,
         prompt=prompt,
-        max_tokens=min(wanted, request_class.max_output_tokens),
+        max_tokens=min(requested_tokens, request_class.max_output_tokens),
         idempotency_key=idempotency_key,
-        deadline=caller.start + request_class.deadline_seconds,
+        deadline=caller.received_at + request_class.deadline_seconds,
     )
 
 
@@ -70,8 +72,8 @@
     index: ConfigurationIndex, tenant: Tenant, body: GenerationBody, class_header: str
 ) -> RequestClass:
     """Return the class that the header, the body or the tenant's default names."""
-    in_body = body.metadata.request_class if body.metadata else ""
-    name = class_header or in_body or tenant.default_class
+    body_class = body.metadata.request_class if body.metadata else ""
+    name = class_header or body_class or tenant.default_class
     field = CLASS_HEADER if class_header else "metadata.class"
     request_class = index.classes.get(name)
     if request_class is None:
@@ -86,7 +88,7 @@
 
 
 def _check_prompt(prompt: str, field: str, model: Model) -> None:
-    """Raise when the prompt is empty or longer than the model takes."""
+    """Raise if the prompt is empty or longer than the model accepts."""
     tokens = count_tokens(prompt)
     if tokens == 0:
         raise ServiceError(ErrorCode.MALFORMED_REQUEST, "the prompt is empty", field=field)
@@ -99,7 +101,7 @@
 
 
 def _check_idempotency_key(key: str) -> None:
-    """Raise when the caller's key is too long to be kept."""
+    """Raise if the caller's idempotency key is too long."""
     if len(key) > MAX_IDEMPOTENCY_KEY_CHARACTERS:
         raise ServiceError(
             ErrorCode.MALFORMED_REQUEST,
--- a/hopstep/adapters/http_server.py
+++ b/hopstep/adapters/http_server.py
@@ -27,7 +27,7 @@
 """Longer than common clients keep an idle connection, so that the client closes it first."""
 
 BACKLOG = 1024
-FINISH_SECONDS = 2.0
+CONNECTION_CLOSE_SECONDS = 2.0
 """Time for connections to close at shutdown, after all requests have ended."""
 
 Listener = trio.SocketListener | trio.SSLListener[trio.SocketStream]
@@ -53,7 +53,7 @@
         self.bind = [address]
         self.backlog = BACKLOG
         self.keep_alive_timeout = KEEP_ALIVE_SECONDS
-        self.graceful_timeout = FINISH_SECONDS
+        self.graceful_timeout = CONNECTION_CLOSE_SECONDS
         self.include_server_header = False
         self.accesslog = None
         self.errorlog = None
--- a/hopstep/adapters/tls.py
+++ b/hopstep/adapters/tls.py
@@ -57,7 +57,7 @@
 class ReplaceableContext(ssl.SSLContext):
     """Opens each connection with the context that is current at that time.
 
-    Its own options have no effect. Only ``wrap_bio``, which trio uses, is redirected: by other
+    Its own options have no effect. Only ``wrap_bio``, which trio uses, is redirected; for other
     methods it has no certificate and trusts no authority, so that connections fail.
     """
 
--- a/tests/adapters/http_api/harness.py
+++ b/tests/adapters/http_api/harness.py
@@ -104,7 +104,7 @@
         self.isolated = False
         self.peer_calls: list[tuple[str, bytes]] = []
         authenticator = Authenticator()
-        self.holder.subscribe(authenticator.follow)
+        self.holder.subscribe(authenticator.update_tenants)
         if configured:
             self.holder.apply(AcceptedConfiguration(7, CONFIGURATION))
         settings = RouterSettings(
