--- a/tests/adapters/http_api/harness.py
+++ b/tests/adapters/http_api/harness.py
@@ -1,4 +1,4 @@
-"""An application over a scripted runner, under a virtual clock."""
+"""The HTTP application with a scripted request runner, under a virtual clock."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class ScriptedRunner:
-    """Answers every request with ``TOKENS``, after which it may fail or hang."""
+    """Answers every request with ``TOKENS``; may refuse it, or fail or hang after some of them."""
 
     def __init__(self) -> None:
         self.requests: list[InferenceRequest] = []
@@ -94,7 +94,7 @@
 
 
 class Harness:
-    """The application and what a test moves."""
+    """The application and the objects that tests change or inspect."""
 
     def __init__(self, nursery: trio.Nursery, configured: bool = True) -> None:
         self.nursery = nursery
--- a/tests/adapters/http_api/test_answers.py
+++ b/tests/adapters/http_api/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers: whole and streamed, interrupted, abandoned; and what the logs hold of them."""
+"""Answers: complete, streamed, interrupted and abandoned; and their log lines."""
 
 from __future__ import annotations
 
--- a/tests/adapters/http_api/test_bad_input.py
+++ b/tests/adapters/http_api/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: each kind has a stable code, names the field, and the process goes on."""
+"""Invalid input: each kind has a stable code and names the field; the process keeps serving."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 CHAT = "/v1/chat/completions"
 PLAIN = "/v1/completions"
-GOOD = {"model": "small", "prompt": "hello"}
+VALID_BODY = {"model": "small", "prompt": "hello"}
 MESSAGES = [{"role": "user", "content": "hello"}]
 
 
@@ -40,12 +40,16 @@
     Case("empty", b"", 400, ErrorCode.MALFORMED_REQUEST, "body"),
     Case("no model", {"prompt": "x"}, 400, ErrorCode.MALFORMED_REQUEST, "model"),
     Case("no prompt", {"model": "small"}, 400, ErrorCode.MALFORMED_REQUEST, "prompt"),
-    Case("empty prompt", GOOD | {"prompt": ""}, 400, ErrorCode.MALFORMED_REQUEST, "prompt"),
-    Case("wrong type", GOOD | {"prompt": 5}, 400, ErrorCode.MALFORMED_REQUEST, "prompt"),
-    Case("no tokens", GOOD | {"max_tokens": 0}, 400, ErrorCode.MALFORMED_REQUEST, "max_tokens"),
-    Case("two answers", GOOD | {"n": 2}, 400, ErrorCode.MALFORMED_REQUEST, "n"),
-    Case("unknown model", GOOD | {"model": "x"}, 404, ErrorCode.UNKNOWN_MODEL, "model"),
-    Case("long prompt", GOOD | {"prompt": "x" * 404}, 400, ErrorCode.PROMPT_TOO_LONG, "prompt"),
+    Case("empty prompt", VALID_BODY | {"prompt": ""}, 400, ErrorCode.MALFORMED_REQUEST, "prompt"),
+    Case("wrong type", VALID_BODY | {"prompt": 5}, 400, ErrorCode.MALFORMED_REQUEST, "prompt"),
+    Case(
+        "no tokens", VALID_BODY | {"max_tokens": 0}, 400, ErrorCode.MALFORMED_REQUEST, "max_tokens"
+    ),
+    Case("two answers", VALID_BODY | {"n": 2}, 400, ErrorCode.MALFORMED_REQUEST, "n"),
+    Case("unknown model", VALID_BODY | {"model": "x"}, 404, ErrorCode.UNKNOWN_MODEL, "model"),
+    Case(
+        "long prompt", VALID_BODY | {"prompt": "x" * 404}, 400, ErrorCode.PROMPT_TOO_LONG, "prompt"
+    ),
     Case(
         "image part",
         {"model": "small", "messages": [{"role": "u", "content": [{"type": "image"}]}]},
@@ -72,7 +76,7 @@
     ),
     Case(
         "unknown class in the header",
-        GOOD,
+        VALID_BODY,
         400,
         ErrorCode.UNKNOWN_CLASS,
         "X-Hopstep-Class",
@@ -80,24 +84,24 @@
     ),
     Case(
         "class not allowed",
-        GOOD | {"metadata": {"class": "batch"}},
+        VALID_BODY | {"metadata": {"class": "batch"}},
         403,
         ErrorCode.CLASS_NOT_ALLOWED,
         "metadata.class",
     ),
     Case(
         "long idempotency key",
-        GOOD,
+        VALID_BODY,
         400,
         ErrorCode.MALFORMED_REQUEST,
         "Idempotency-Key",
         header={"Idempotency-Key": "k" * 256},
     ),
-    Case("wrong key", GOOD, 401, ErrorCode.INVALID_KEY, "Authorization", key="wrong"),
-    Case("empty key", GOOD, 401, ErrorCode.INVALID_KEY, "Authorization", key=""),
+    Case("wrong key", VALID_BODY, 401, ErrorCode.INVALID_KEY, "Authorization", key="wrong"),
+    Case("empty key", VALID_BODY, 401, ErrorCode.INVALID_KEY, "Authorization", key=""),
     Case("body too large", b"x" * (MAX_BODY_BYTES + 1), 413, ErrorCode.BODY_TOO_LARGE, "body"),
-    Case("outside placement", GOOD, 421, ErrorCode.OUTSIDE_PLACEMENT, key=OUTSIDE_KEY),
-    Case("unknown path", GOOD, 404, ErrorCode.NOT_FOUND, path="/v1/embeddings"),
+    Case("outside placement", VALID_BODY, 421, ErrorCode.OUTSIDE_PLACEMENT, key=OUTSIDE_KEY),
+    Case("unknown path", VALID_BODY, 404, ErrorCode.NOT_FOUND, path="/v1/embeddings"),
 )
 
 
@@ -108,7 +112,7 @@
             with self.subTest(case.name):
                 await self._check(harness, case)
         self.assertEqual(harness.runner.requests, [])
-        answer = await harness.client.post(PLAIN, json=GOOD, headers=headers())
+        answer = await harness.client.post(PLAIN, json=VALID_BODY, headers=headers())
         self.assertEqual(answer.status_code, 200)
 
     async def _check(self, harness: Harness, case: Case) -> None:
@@ -127,13 +131,13 @@
         for value in ("", KEY, f"Basic {KEY}", "Bearer"):
             with self.subTest(value):
                 answer = await harness.client.post(
-                    PLAIN, json=GOOD, headers={"Authorization": value}
+                    PLAIN, json=VALID_BODY, headers={"Authorization": value}
                 )
                 self.assertEqual(answer.status_code, 401)
 
     @with_harness
     async def test_outside_placement_names_routers_inside(self, harness: Harness) -> None:
-        answer = await harness.client.post(PLAIN, json=GOOD, headers=headers(OUTSIDE_KEY))
+        answer = await harness.client.post(PLAIN, json=VALID_BODY, headers=headers(OUTSIDE_KEY))
         error = (await answer.get_json())["error"]
         self.assertEqual(error["endpoints"], ["127.0.0.1:9102"])
 
@@ -164,11 +168,11 @@
     @with_harness
     async def test_state_of_the_node(self, harness: Harness) -> None:
         harness.isolated = True
-        answer = await harness.client.post(PLAIN, json=GOOD, headers=headers())
+        answer = await harness.client.post(PLAIN, json=VALID_BODY, headers=headers())
         self.assertEqual((await answer.get_json())["error"]["code"], ErrorCode.ISOLATED)
         harness.isolated = False
         harness.lifecycle.stop()
-        answer = await harness.client.post(PLAIN, json=GOOD, headers=headers())
+        answer = await harness.client.post(PLAIN, json=VALID_BODY, headers=headers())
         self.assertEqual((await answer.get_json())["error"]["code"], ErrorCode.STOPPING)
         self.assertEqual(answer.headers["Connection"], "close")
         self.assertEqual((await harness.client.get("/readyz")).status_code, 503)
@@ -188,7 +192,7 @@
 class NotReadyTest(unittest.TestCase):
     def test_without_configuration(self) -> None:
         async def check(self: NotReadyTest, harness: Harness) -> None:
-            answer = await harness.client.post(PLAIN, json=GOOD, headers=headers())
+            answer = await harness.client.post(PLAIN, json=VALID_BODY, headers=headers())
             self.assertEqual((await answer.get_json())["error"]["code"], ErrorCode.NOT_READY)
             self.assertEqual((await harness.client.get("/readyz")).status_code, 503)
 
--- a/tests/adapters/test_engine_http.py
+++ b/tests/adapters/test_engine_http.py
@@ -1,4 +1,4 @@
-"""The engine contract over loopback HTTP, and what a broken peer proves."""
+"""The engine contract over loopback HTTP, and the errors for broken peers."""
 
 import contextlib
 import functools
@@ -37,7 +37,7 @@
 )
 
 UNREACHABLE = (ErrorCode.ENGINE_UNREACHABLE, Execution.UNKNOWN)
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def new_port():
@@ -81,7 +81,7 @@
 
 
 class EngineServerTest(unittest.TestCase):
-    """The stand-in itself: bad input, refusals in HTTP terms, loads by the weight store."""
+    """The emulated engine: invalid input, refusals as HTTP statuses, loads of weights."""
 
     def run_engine(self, test, store):
         async def body():
@@ -157,13 +157,13 @@
     TokenFrame("m", "i", 3, ("x",), FinishReason.STOP),
     TokenFrame("n", "i", 3, ("d",), FinishReason.LENGTH, Usage(4, 2, 0, 4)),
 )
-LINES = tuple(msgspec.json.encode(frame) for frame in FRAMES)
-WHOLE = HEAD + chunk(*LINES) + b"0\r\n\r\n"
+FRAME_LINES = tuple(msgspec.json.encode(frame) for frame in FRAMES)
+COMPLETE_RESPONSE = RESPONSE_HEAD + chunk(*FRAME_LINES) + b"0\r\n\r\n"
 
-# What the peer sends before it closes the connection, and the error.
+# Case, bytes that the peer sends before it closes the connection, and expected error.
 BROKEN_PEERS = (
     ("closes without an answer", b"", UNREACHABLE),
-    ("closes within the head", HEAD[:30], UNREACHABLE),
+    ("closes within the head", RESPONSE_HEAD[:30], UNREACHABLE),
     ("sends no HTTP", b"hello\r\n\r\n", UNREACHABLE),
     ("sends a status without a body", b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", UNREACHABLE),
     ("cuts a refusal", refusal("n")[:-4], UNREACHABLE),
@@ -175,22 +175,30 @@
         (ErrorCode.OVERLOADED, Execution.UNKNOWN),
     ),
     ("refuses as not run", refusal("n"), (ErrorCode.OVERLOADED, Execution.NOT_RUN)),
-    ("closes after the head", HEAD, INTERRUPTED),
-    ("ends before the last frame", HEAD + chunk(*LINES[:3]) + b"0\r\n\r\n", INTERRUPTED),
-    ("cuts the last frame", HEAD + chunk(LINES[0], LINES[3][:-1])[:-3], INTERRUPTED),
-    ("sends what isn't a frame", HEAD + chunk(b'{"nonce": 1}'), INTERRUPTED),
-    ("closes after the last frame", WHOLE[:-5], None),
-    ("answers whole", WHOLE, None),
+    ("closes after the head", RESPONSE_HEAD, INTERRUPTED),
+    (
+        "ends before the last frame",
+        RESPONSE_HEAD + chunk(*FRAME_LINES[:3]) + b"0\r\n\r\n",
+        INTERRUPTED,
+    ),
+    (
+        "cuts the last frame",
+        RESPONSE_HEAD + chunk(FRAME_LINES[0], FRAME_LINES[3][:-1])[:-3],
+        INTERRUPTED,
+    ),
+    ("sends what isn't a frame", RESPONSE_HEAD + chunk(b'{"nonce": 1}'), INTERRUPTED),
+    ("closes after the last frame", COMPLETE_RESPONSE[:-5], None),
+    ("answers whole", COMPLETE_RESPONSE, None),
 )
 
 
 class BrokenPeerTest(unittest.TestCase):
-    """A peer of plain sockets, which counts the requests that reach it."""
+    """Runs against a peer on plain sockets, which counts the requests that it receives."""
 
     async def receive(self, stream):
-        """Return one whole request; nothing when the connection is closed."""
+        """Return one complete request; empty if the connection is closed."""
         data = b""
-        while b"\r\n\r\n" not in data or len(data) < self.length(data):
+        while b"\r\n\r\n" not in data or len(data) < self.message_length(data):
             received = await stream.receive_some(65536)
             if not received:
                 return b""
@@ -198,13 +206,13 @@
         return data
 
     @staticmethod
-    def length(data):
+    def message_length(data):
         head, _, _ = data.partition(b"\r\n\r\n")
         match = re.search(rb"(?i)content-length: (\d+)", head)
         return len(head) + 4 + int(match[1] if match else 0)
 
     async def serve(self, nursery, answers, requests):
-        """Answer each request with the next of ``answers``; None stays silent."""
+        """Answer each request with the next of ``answers``; for None send nothing."""
 
         async def handle(stream):
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
@@ -285,7 +293,7 @@
                 await self.read(port, address)
             self.assertEqual((caught.exception.code, caught.exception.execution), INTERRUPTED)
 
-        self.run_against([(HEAD + chunk(LINES[0]), True)], test)
+        self.run_against([(RESPONSE_HEAD + chunk(FRAME_LINES[0]), True)], test)
 
     def test_pooled_connection_that_the_peer_closes_on_the_next_request(self):
         async def test(port, address):
@@ -295,11 +303,11 @@
             error = caught.exception
             self.assertEqual((error.code, error.execution), UNREACHABLE)
 
-        requests = self.run_against([(WHOLE, True), (b"", False)], test)
+        requests = self.run_against([(COMPLETE_RESPONSE, True), (b"", False)], test)
         self.assertEqual(len(requests), 2)
 
     def test_connection_is_kept_when_the_reader_stops_at_the_last_frame(self):
-        ends = []
+        connection_counts = []
 
         async def test(port, address):
             for _ in range(3):
@@ -308,21 +316,21 @@
                         if frame.finish_reason is FinishReason.LENGTH:
                             break
                 pools = port._transport._pools.values()
-                ends.append(sum(len(pool._pool.connections) for pool in pools))
+                connection_counts.append(sum(len(pool._pool.connections) for pool in pools))
 
-        self.run_against([(WHOLE, True)] * 3, test)
-        self.assertEqual(ends, [1, 1, 1])
+        self.run_against([(COMPLETE_RESPONSE, True)] * 3, test)
+        self.assertEqual(connection_counts, [1, 1, 1])
 
 
 class StreamDecoderTest(unittest.TestCase):
     def test_split_at_every_byte(self):
-        data = b"\n".join((LINES[0], b"", *LINES[1:])) + b"\n"
+        data = b"\n".join((FRAME_LINES[0], b"", *FRAME_LINES[1:])) + b"\n"
         joined = TokenFrame("n", "i", 0, ("a", "b", "é"), usage=Usage(4, 2))
         whole = [joined, FRAMES[2], FRAMES[3]]
         self.assertEqual(StreamDecoder("n", "engine").feed(data), whole)
-        for at in range(len(data) + 1):
+        for split_at in range(len(data) + 1):
             decoder = StreamDecoder("n", "engine")
-            frames = decoder.feed(data[:at]) + decoder.feed(data[at:])
+            frames = decoder.feed(data[:split_at]) + decoder.feed(data[split_at:])
             tokens = [token for frame in frames for token in frame.tokens]
             self.assertEqual(tokens, ["a", "b", "é", "x", "d"])
             self.assertTrue(decoder.finished)
@@ -335,7 +343,7 @@
             TokenFrame("m", "i", 2, ("c",)),
             TokenFrame("n", "j", 2, ("c",)),
         ):
-            data = LINES[0] + b"\n" + msgspec.json.encode(other) + b"\n"
+            data = FRAME_LINES[0] + b"\n" + msgspec.json.encode(other) + b"\n"
             self.assertEqual(StreamDecoder("n", "engine").feed(data), [FRAMES[0], other])
 
     def test_endless_line(self):
--- a/tests/adapters/test_engine_transport.py
+++ b/tests/adapters/test_engine_transport.py
@@ -1,4 +1,4 @@
-"""Paced reads: the answer's beginning never waits, later reads do, and nothing is lost."""
+"""Paced reads: the first reads of an answer aren't delayed, later ones are; nothing is lost."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 class PacedStreamTest(unittest.TestCase):
     def test_only_later_reads_wait(self) -> None:
         async def check() -> None:
-            pieces = [b"headers", b"first", b"second", b"third"]
-            stream = PacedStream(httpcore.AsyncMockStream(list(pieces)), lambda: PAUSE_SECONDS)
+            chunks = [b"headers", b"first", b"second", b"third"]
+            stream = PacedStream(httpcore.AsyncMockStream(list(chunks)), lambda: PAUSE_SECONDS)
             await stream.write(b"request")
-            for number, piece in enumerate(pieces, start=1):
+            for number, chunk in enumerate(chunks, start=1):
                 before = trio.current_time()
-                self.assertEqual(await stream.read(100), piece)
+                self.assertEqual(await stream.read(100), chunk)
                 waited = trio.current_time() - before
                 self.assertAlmostEqual(waited, PAUSE_SECONDS if number > UNPACED_READS else 0.0)
 
--- a/tests/adapters/test_golden_frames.py
+++ b/tests/adapters/test_golden_frames.py
@@ -1,7 +1,7 @@
-"""Messages and records that earlier versions wrote mean the same today, and the other way round.
+"""Compatibility of messages and stored records with earlier versions, in both directions.
 
-``golden/`` holds bytes as each landed form wrote them, under its first commit or its number.
-Whoever changes a form adds a file, and raises ``MESSAGE_FORM`` where older versions read less.
+``golden/`` has the bytes that each message format version wrote, named by its first commit or its
+number. A change of the format adds a file, and raises ``MESSAGE_FORM`` if older versions read less.
 """
 
 import json
@@ -55,17 +55,17 @@
 from hopstep.services.quarantine.records import StoredRequest
 
 GOLDEN = Path(__file__).parent / "golden"
-BEFORE_LIVES = "f985196"
-"""Names instances without their start; knows no usage and no requests that end instances."""
+BEFORE_INCARNATIONS = "f985196"
+"""Version that names instances without their start, and reports neither usage nor crashes."""
 
 BEFORE_LEAVING = "7781470"
-"""Knows no instances that leave by their own word, and tells no form."""
+"""Version without instances' shutdown notices, and without a message format version."""
 
 BEFORE_LIMITS = "form-1"
-"""Knows no limits of instances, and no permits to send to them."""
+"""Version without limits of instances and without permits to send to them."""
 
 BEFORE_ERAS = "form-2"
-"""Tells places in the store's history without their era."""
+"""Version whose store positions have no era."""
 
 NODES = {"a": NodeRecord("1.2.3.4:5", "z", b"key-a")}
 COMPRESSED = 1
@@ -131,7 +131,7 @@
 
 
 class UsageBeforeLimits(msgspec.Struct, frozen=True, array_like=True):
-    """``Usage`` as versions before the form 2 read it."""
+    """``Usage`` as read by versions before format 2."""
 
     name: str
     admitted: int
@@ -139,7 +139,7 @@
 
 
 class HintsBeforeLimits(msgspec.Struct, frozen=True, array_like=True):
-    """``Hints`` as versions before the form 2 read them."""
+    """``Hints`` as read by versions before format 2."""
 
     loads: tuple[InstanceLoad, ...] = ()
     segments: tuple[SegmentNews, ...] = ()
@@ -150,7 +150,7 @@
 
 
 class QueryBeforeLimits(msgspec.Struct, frozen=True, array_like=True, tag="RelayQuery"):
-    """``RelayQuery`` as versions before the form 2 read it."""
+    """``RelayQuery`` as read by versions before format 2."""
 
     number: int
     revision: int
@@ -160,7 +160,7 @@
 
 
 class HintsBeforeLeaving(msgspec.Struct, frozen=True, array_like=True):
-    """``Hints`` as versions before the form 1 read them."""
+    """``Hints`` as read by versions before format 1."""
 
     loads: tuple[InstanceLoad, ...] = ()
     segments: tuple[SegmentNews, ...] = ()
@@ -170,7 +170,7 @@
 
 
 class QueryBeforeLeaving(msgspec.Struct, frozen=True, array_like=True, tag="RelayQuery"):
-    """``RelayQuery`` as versions before the form 1 read it."""
+    """``RelayQuery`` as read by versions before format 1."""
 
     number: int
     revision: int
@@ -180,7 +180,7 @@
 
 
 class EntryBeforeEras(msgspec.Struct, frozen=True):
-    """``DirectoryEntry`` as versions before the form 3 told it."""
+    """``DirectoryEntry`` as written by versions before format 3."""
 
     key: str
     revision: int
@@ -188,14 +188,14 @@
 
 
 class RelayedBeforeEras(msgspec.Struct, frozen=True, array_like=True):
-    """``RelayedEntry`` as versions before the form 3 read it."""
+    """``RelayedEntry`` as read by versions before format 3."""
 
     entry: EntryBeforeEras
     age_ms: int
 
 
 class AnswerBeforeEras(msgspec.Struct, frozen=True, array_like=True, tag="RelayAnswer"):
-    """``RelayAnswer`` as versions before the form 3 read it."""
+    """``RelayAnswer`` as read by versions before format 3."""
 
     number: int
     after: int
@@ -207,7 +207,7 @@
 
 
 class NodeBeforeForms(msgspec.Struct, frozen=True):
-    """``NodeRecord`` as versions before the form 1 read it."""
+    """``NodeRecord`` as read by versions before format 1."""
 
     address: str
     zone: str = ""
@@ -215,26 +215,26 @@
     capacity: float = 1.0
 
 
-def golden(name):
+def read_golden(name):
     return json.loads((GOLDEN / f"{name}.json").read_text())
 
 
-def document(frame):
-    """Return what a frame carries, before any type is put on it."""
-    _sender, form, payload = cbor2.loads(frame[16:])
-    return cbor2.loads(zlib.decompress(payload) if form == COMPRESSED else payload)
+def payload_document(frame):
+    """Return the payload of a frame, decoded from CBOR but not converted to a message type."""
+    _sender, encoding, payload = cbor2.loads(frame[16:])
+    return cbor2.loads(zlib.decompress(payload) if encoding == COMPRESSED else payload)
 
 
 class GoldenFramesTest(unittest.TestCase):
     def decoded(self, name):
-        frames = golden(name)["frames"]
+        frames = read_golden(name)["frames"]
         return {
             kind: decode_frame(bytes.fromhex(frame), NODES).message
             for kind, frame in frames.items()
         }
 
-    def check_common(self, messages, life, engine):
-        """Check what every form says, field by field."""
+    def check_common(self, messages, instance, engine):
+        """Check the fields that every format version has."""
         query, answer = messages["query"], messages["answer"]
         self.assertEqual(
             (query.number, query.revision, query.feed, query.position), (2, 77, "feed", 12)
@@ -245,16 +245,16 @@
         self.assertEqual((answer.feed, answer.position, answer.silence_ms), ("f", 8, 40))
         self.assertTrue(all(relayed.age_ms == 20 for relayed in answer.entries))
         for hints in (query.hints, answer.hints, messages["digest"].hints):
-            self.assertEqual(hints.loads, (InstanceLoad(life, 3, 400, 1),))
-            self.assertEqual(hints.segments, (SegmentNews(life, (SEGMENT,), 20, (9,)),))
+            self.assertEqual(hints.loads, (InstanceLoad(instance, 3, 400, 1),))
+            self.assertEqual(hints.segments, (SegmentNews(instance, (SEGMENT,), 20, (9,)),))
             self.assertEqual(hints.loading, (LoadingEngine(engine, 900),))
         self.assertEqual(messages["digest"].number, 9)
         urgent = messages["urgent"]
-        self.assertEqual(urgent.prompts, (SentPrompt(SegmentNews(life, (SEGMENT,), 20), 800),))
+        self.assertEqual(urgent.prompts, (SentPrompt(SegmentNews(instance, (SEGMENT,), 20), 800),))
         self.assertEqual(urgent.loading, (LoadingEngine(engine, 900),))
 
     def test_frames_of_before_lives(self):
-        messages = self.decoded(BEFORE_LIVES)
+        messages = self.decoded(BEFORE_INCARNATIONS)
         self.check_common(messages, "i1", "i2")
         entries = tuple(relayed.entry for relayed in messages["answer"].entries)
         listed = InstanceListed(msgspec.structs.replace(INSTANCE, born_ms=0))
@@ -294,66 +294,76 @@
         self.assertEqual(messages["query"].hints, HINTS)
 
     def test_todays_frames_are_those_of_the_present_form(self):
-        frames = golden(f"form-{MESSAGE_FORM}")["frames"]
+        frames = read_golden(f"form-{MESSAGE_FORM}")["frames"]
         self.assertEqual(frames.keys(), MESSAGES.keys())
         for kind, message in MESSAGES.items():
             with self.subTest(kind):
                 kept = bytes.fromhex(frames[kind])
                 self.assertEqual(decode_frame(kept, NODES).message, message)
-                self.assertEqual(document(encode_frame(message, "a", b"key-a")), document(kept))
+                self.assertEqual(
+                    payload_document(encode_frame(message, "a", b"key-a")), payload_document(kept)
+                )
 
     def test_the_version_before_reads_todays_hints(self):
         frame = encode_frame(MESSAGES["query"], "a", b"key-a")
-        query = msgspec.convert(document(frame), QueryBeforeLimits)
+        query = msgspec.convert(payload_document(frame), QueryBeforeLimits)
         self.assertEqual((query.number, query.position), (2, 12))
         self.assertEqual(query.hints.leaving, HINTS.leaving)
         self.assertEqual(query.hints.usage, (UsageBeforeLimits("t1", 40, 7),))
 
     def test_the_version_before_reads_todays_answer(self):
         frame = encode_frame(MESSAGES["answer"], "a", b"key-a")
-        answer = msgspec.convert(document(frame), AnswerBeforeEras)
+        answer = msgspec.convert(payload_document(frame), AnswerBeforeEras)
         self.assertEqual((answer.after, answer.revision), (77, 80))
-        for relayed, told in zip(answer.entries, ENTRIES, strict=True):
-            self.assertEqual((relayed.entry.key, relayed.entry.revision), (told.key, told.revision))
+        for relayed, entry in zip(answer.entries, ENTRIES, strict=True):
+            self.assertEqual(
+                (relayed.entry.key, relayed.entry.revision), (entry.key, entry.revision)
+            )
         self.assertEqual(answer.entries[3].entry.change, ToldRecord("r", b"\x00\xff", 5))
 
     def test_versions_before_words_of_leaving_read_todays_hints(self):
         frame = encode_frame(MESSAGES["query"], "a", b"key-a")
-        query = msgspec.convert(document(frame), QueryBeforeLeaving)
+        query = msgspec.convert(payload_document(frame), QueryBeforeLeaving)
         self.assertEqual((query.number, query.position), (2, 12))
-        told = (HINTS.loads, HINTS.segments, HINTS.loading, (UsageBeforeLimits("t1", 40, 7),), 2)
-        self.assertEqual(query.hints, HintsBeforeLeaving(*told))
+        expected = (
+            HINTS.loads,
+            HINTS.segments,
+            HINTS.loading,
+            (UsageBeforeLimits("t1", 40, 7),),
+            2,
+        )
+        self.assertEqual(query.hints, HintsBeforeLeaving(*expected))
 
 
 class GoldenRecordsTest(unittest.TestCase):
     def test_records_of_earlier_forms(self):
-        forms = (
-            (BEFORE_LIVES, 0),
+        versions = (
+            (BEFORE_INCARNATIONS, 0),
             (BEFORE_LEAVING, 0),
             (BEFORE_LIMITS, 1),
             (BEFORE_ERAS, 2),
             (f"form-{MESSAGE_FORM}", MESSAGE_FORM),
         )
-        for name, form in forms:
+        for name, version in versions:
             with self.subTest(name):
-                records = golden(name)["records"]
+                records = read_golden(name)["records"]
                 node = decode_node(records["node"].encode())
-                knows_eras = form >= FORM_WITH_ERAS
-                era = ERA if knows_eras else UNTOLD_ERA
-                self.assertEqual(node, NodeRecord("1.2.3.4:5", "z", b"key-a", 1.5, form, era))
+                has_eras = version >= FORM_WITH_ERAS
+                era = ERA if has_eras else UNTOLD_ERA
+                self.assertEqual(node, NodeRecord("1.2.3.4:5", "z", b"key-a", 1.5, version, era))
                 holder = decode_holder(records["rollout"].encode())
-                era = ERA if knows_eras else None
+                era = ERA if has_eras else None
                 self.assertEqual(holder, RolloutHolder("a", "1.2.3.4:5", "77", era))
 
     def test_a_quarantined_request_of_the_version_before(self):
-        value = golden(BEFORE_LEAVING)["records"]["quarantine"]
+        value = read_golden(BEFORE_LEAVING)["records"]["quarantine"]
         stored = msgspec.json.decode(value, type=StoredRequest)
         self.assertEqual(
             stored, StoredRequest("t1", "r", (Crash("i1@5", "a"),), ("i0@1",), False, 1)
         )
 
     def test_todays_records_are_those_of_the_present_form(self):
-        kept = golden(f"form-{MESSAGE_FORM}")["records"]
+        kept = read_golden(f"form-{MESSAGE_FORM}")["records"]
         self.assertEqual({kind: value.decode() for kind, value in RECORDS.items()}, kept)
 
     def test_the_version_before_reads_todays_node(self):
--- a/tests/adapters/test_http_server.py
+++ b/tests/adapters/test_http_server.py
@@ -1,4 +1,4 @@
-"""A connection that fails ends alone: over real sockets, beside other requests and with a stop."""
+"""A failed connection doesn't affect others: over sockets, with concurrent requests and a stop."""
 
 import contextlib
 import unittest
@@ -8,15 +8,19 @@
 
 from hopstep.adapters.http_server import serve_http
 
-HEAD = {"type": "http.response.start", "status": 200, "headers": [(b"content-length", b"2")]}
-BODY = {"type": "http.response.body", "body": b"ok", "more_body": False}
+RESPONSE_START = {
+    "type": "http.response.start",
+    "status": 200,
+    "headers": [(b"content-length", b"2")],
+}
+RESPONSE_BODY = {"type": "http.response.body", "body": b"ok", "more_body": False}
 REQUEST = b"GET /%b HTTP/1.1\r\nHost: h\r\n\r\n"
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 class HttpServerTest(unittest.TestCase):
     def run_server(self, script):
-        """Serve on a free port beside ``script(port)``; return the log."""
+        """Serve on a free port while ``script(port)`` runs; return the log lines."""
 
         async def main():
             self.go_on = trio.Event()
@@ -25,7 +29,7 @@
                 bound = await nursery.start(
                     serve_http, self.answer, "127.0.0.1:0", None, self.stop.wait
                 )
-                with trio.fail_after(PATIENCE_SECONDS):
+                with trio.fail_after(TIMEOUT_SECONDS):
                     await script(int(bound[0].rpartition(":")[2]))
                 nursery.cancel_scope.cancel()
 
@@ -41,30 +45,30 @@
             return
         match scope["path"]:
             case "/head-cancelled":
-                await self.send_cancelled(send, HEAD)
+                await self.send_cancelled(send, RESPONSE_START)
             case "/body-cancelled":
-                await send(HEAD)
-                await self.send_cancelled(send, BODY)
+                await send(RESPONSE_START)
+                await self.send_cancelled(send, RESPONSE_BODY)
             case "/raises":
                 raise RuntimeError("a fault of the application")
             case "/slow":
                 await self.go_on.wait()
-                await self.send_whole(send)
+                await self.send_complete(send)
             case _:
-                await self.send_whole(send)
+                await self.send_complete(send)
 
-    async def send_whole(self, send):
-        await send(HEAD)
-        await send(BODY)
+    async def send_complete(self, send):
+        await send(RESPONSE_START)
+        await send(RESPONSE_BODY)
 
     async def send_cancelled(self, send, message):
-        """Cancel the server's own step, after it has counted the message as sent."""
+        """Cancel the server's send after it has recorded the message as sent."""
         with trio.CancelScope() as scope:
             scope.cancel()
             await send(message)
 
-    async def ask(self, port, path):
-        """Return all that comes back on a new connection until it ends or is whole."""
+    async def request(self, port, path):
+        """Return the bytes of a new connection until it ends or the response is complete."""
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         received = b""
         async with stream:
@@ -77,19 +81,19 @@
                     received += bytes(data)
         return received
 
-    def check_alone(self, path):
-        """Let one request fail; another under way, and later ones, must be served."""
+    def check_isolated(self, path):
+        """Let one request fail; a concurrent one and a later one must be served."""
         answers = {}
 
         async def script(port):
             async def slow():
-                answers["slow"] = await self.ask(port, b"slow")
+                answers["slow"] = await self.request(port, b"slow")
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(slow)
                 await trio.sleep(0.05)
-                answers["failed"] = await self.ask(port, path)
-                answers["later"] = await self.ask(port, b"")
+                answers["failed"] = await self.request(port, path)
+                answers["later"] = await self.request(port, b"")
                 self.go_on.set()
 
         lines = self.run_server(script)
@@ -99,16 +103,16 @@
         return lines
 
     def test_a_head_that_was_counted_and_not_sent_ends_its_own_connection_only(self):
-        lines = self.check_alone(b"head-cancelled")
+        lines = self.check_isolated(b"head-cancelled")
         failed = [line for line in lines if line["number"] == "HS2006"]
         self.assertEqual([line["error_type"] for line in failed], ["LocalProtocolError"])
         self.assertTrue(failed[0]["location"])
 
     def test_a_piece_that_was_counted_and_not_sent_ends_its_own_connection_only(self):
-        self.check_alone(b"body-cancelled")
+        self.check_isolated(b"body-cancelled")
 
     def test_a_fault_of_the_application_ends_its_own_connection_only(self):
-        self.check_alone(b"raises")
+        self.check_isolated(b"raises")
 
     def test_a_stop_lets_requests_end_and_closes_idle_connections(self):
         async def script(port):
--- a/tests/adapters/test_node_codec.py
+++ b/tests/adapters/test_node_codec.py
@@ -1,4 +1,4 @@
-"""Frames between nodes: whole messages in, the same ones out; anything else is rejected."""
+"""Frames between nodes: messages decode as they were encoded; anything else is rejected."""
 
 import random
 import unittest
@@ -105,12 +105,12 @@
 
     def test_a_signed_frame_with_unknown_content_is_rejected(self):
         for payload in (cbor2.dumps(["Other", 1]), cbor2.dumps({"x": 1}), b"\xff"):
-            rest = cbor2.dumps(["a", node_codec.PLAIN, payload])
+            signed_part = cbor2.dumps(["a", node_codec.PLAIN, payload])
             with self.assertRaises(FrameError):
-                decode_frame(node_codec._tag(b"key-a", rest) + rest, NODES)
+                decode_frame(node_codec._tag(b"key-a", signed_part) + signed_part, NODES)
 
     def test_a_payload_that_grows_without_end_is_rejected(self):
         payload = zlib.compress(cbor2.dumps(["x" * (2 * node_codec.MAX_PAYLOAD_BYTES)]))
-        rest = cbor2.dumps(["a", node_codec.COMPRESSED, payload])
+        signed_part = cbor2.dumps(["a", node_codec.COMPRESSED, payload])
         with self.assertRaises(FrameError):
-            decode_frame(node_codec._tag(b"key-a", rest) + rest, NODES)
+            decode_frame(node_codec._tag(b"key-a", signed_part) + signed_part, NODES)
--- a/tests/adapters/test_peer_codec.py
+++ b/tests/adapters/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams that must be taken, and those that must be rejected."""
+"""Datagrams that must be accepted, those that must be rejected, and key files."""
 
 import pathlib
 import tempfile
@@ -164,12 +164,12 @@
             path.write_text(f"old:{KEY.hex()}\n")
             keys = FilePeerKeys(path)
             path.write_text(f"# rolled\nnew:{OTHER_KEY.hex()}\nold:{KEY.hex()}\n")
-            # Half of the file: valid, but still being written.
-            whole = path.read_text()
-            path.write_text(whole[: -len(KEY) - 1])
+            # The file is still being written; its first part is already valid.
+            complete = path.read_text()
+            path.write_text(complete[: -len(KEY) - 1])
             self.assertEqual(list(parse_keys(path.read_text())), ["new", "old"])
             keys.watched.check()
-            path.write_text(whole)
+            path.write_text(complete)
             keys.watched.check()
             self.assertEqual(keys.signing(), ("old", KEY))
             keys.watched.check()
--- a/tests/adapters/test_peer_http.py
+++ b/tests/adapters/test_peer_http.py
@@ -1,4 +1,4 @@
-"""Transfers between routers over HTTP, and answers that must not be taken."""
+"""Transfers between routers over HTTP, and answers that must be rejected."""
 
 import unittest
 
@@ -40,11 +40,11 @@
 
 class PeerHttpTest(unittest.TestCase):
     def setUp(self):
-        self.asked = []
+        self.requested_revisions = []
         self.handler = PeerHttpHandler(codec("b"), self.transfer)
 
     def transfer(self, after_revision):
-        self.asked.append(after_revision)
+        self.requested_revisions.append(after_revision)
         return TRANSFER
 
     async def answer(self, request):
@@ -69,12 +69,12 @@
 
     def test_transfers_arrive_whole(self):
         self.assertEqual(self.fetch(), TRANSFER)
-        self.assertEqual(self.asked, [6])
+        self.assertEqual(self.requested_revisions, [6])
 
     def test_callers_that_are_not_to_be_trusted_get_nothing(self):
         with self.assertRaises(PeerMessageError):
             self.fetch(own=codec("a", cluster="d"))
-        self.assertEqual(self.asked, [])
+        self.assertEqual(self.requested_revisions, [])
 
     def test_answers_that_are_not_to_be_trusted(self):
         stored = []
@@ -84,8 +84,8 @@
             return httpx.Response(200, content=stored[0].content)
 
         async def truncated(request):
-            whole = await self.answer(request)
-            return httpx.Response(200, content=whole.content[:-1])
+            complete = await self.answer(request)
+            return httpx.Response(200, content=complete.content[:-1])
 
         async def broken(request):
             raise httpx.ConnectError("refused")
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS of the listener and towards engines, with files that are replaced or broken."""
+"""TLS of the listener and of connections to engines, with replaced or invalid files."""
 
 from __future__ import annotations
 
@@ -33,13 +33,17 @@
 
 ANY_PORT = f"{LOOPBACK}:0"
 TEST_TIMEOUT_SECONDS = 30
-PATIENT_SECONDS = 5.0
+ENGINE_TIMEOUT_SECONDS = 5.0
 IDLE_SECONDS = 0.05
 POLL_SECONDS = 0.01
 ANSWER = expected_tokens(REQUEST.prompt, REQUEST.max_tokens)
 NOT_RUN = (ErrorCode.ENGINE_UNREACHABLE, Execution.NOT_RUN)
-HEAD = {"type": "http.response.start", "status": 200, "headers": [(b"content-length", b"10")]}
-FIRST, LAST = b"first", b"-last"
+RESPONSE_START = {
+    "type": "http.response.start",
+    "status": 200,
+    "headers": [(b"content-length", b"10")],
+}
+FIRST_PART, LAST_PART = b"first", b"-last"
 
 
 def address_of(binds: list[str]) -> str:
@@ -57,7 +61,7 @@
         return [line for line in self.logs if line["number"] == number]
 
     async def wait_logged(self, number: str, count: int) -> None:
-        while len(self.logged(number)) < count:  # noqa: ASYNC110 - the loop of another task
+        while len(self.logged(number)) < count:  # noqa: ASYNC110 - logged by another task
             await trio.sleep(POLL_SECONDS)
 
     def run_bounded(self, check) -> None:
@@ -125,7 +129,7 @@
 
 
 class ListenerTest(TlsTest):
-    """A listener whose answer stops in its middle until it is told to go on."""
+    """Runs a listener whose answer pauses between two parts until ``go_on`` is set."""
 
     @contextlib.asynccontextmanager
     async def listener(self):
@@ -144,10 +148,10 @@
                 await receive()
                 await send({"type": f"lifespan.{kind}.complete"})
             return
-        await send(HEAD)
-        await send({"type": "http.response.body", "body": FIRST, "more_body": True})
+        await send(RESPONSE_START)
+        await send({"type": "http.response.body", "body": FIRST_PART, "more_body": True})
         await self.go_on.wait()
-        await send({"type": "http.response.body", "body": LAST})
+        await send({"type": "http.response.body", "body": LAST_PART})
 
     async def read_until(self, stream: trio.SSLStream, end: bytes) -> None:
         data = b""
@@ -162,16 +166,16 @@
                 before = await self.files.served_fingerprint(address)
                 stream = await self.files.connect(address)
                 await stream.send_all(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-                await self.read_until(stream, FIRST)
+                await self.read_until(stream, FIRST_PART)
                 issued = self.files.issue()
                 self.assertNotEqual(issued, before)
                 await self.wait_logged("HS1020", 2)
                 self.assertEqual(await self.files.served_fingerprint(address), issued)
                 self.go_on.set()
-                await self.read_until(stream, LAST)
-                # Also the next request of the same connection.
+                await self.read_until(stream, LAST_PART)
+                # The next request of the same connection also keeps the earlier certificate.
                 await stream.send_all(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-                await self.read_until(stream, FIRST + LAST)
+                await self.read_until(stream, FIRST_PART + LAST_PART)
                 under = fingerprint(stream.getpeercert(binary_form=True))
                 self.assertEqual(under, before)
                 await trio.aclose_forcefully(stream)
@@ -216,9 +220,9 @@
         async def check() -> None:
             async with self.listener() as address:
                 host, _, port = address.rpartition(":")
-                for rubbish in (b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", b"\x16\x03\x01\xff", b""):
+                for invalid in (b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", b"\x16\x03\x01\xff", b""):
                     plain = await trio.open_tcp_stream(host, int(port))
-                    await plain.send_all(rubbish)
+                    await plain.send_all(invalid)
                     await plain.aclose()
                 await self.files.served_fingerprint(address)
 
@@ -228,12 +232,12 @@
 class EngineTest(TlsTest):
     @contextlib.asynccontextmanager
     async def engine(self):
-        """An engine over TLS, and the port by which this side's settings reach it."""
+        """Start an engine over TLS; yield a client with this side's settings, and its address."""
         own = load_tls(self.files.settings(served=False))
         port = HttpEngine(
-            idle_timeout_seconds=PATIENT_SECONDS,
-            call_timeout_seconds=PATIENT_SECONDS,
-            connect_timeout_seconds=PATIENT_SECONDS,
+            idle_timeout_seconds=ENGINE_TIMEOUT_SECONDS,
+            call_timeout_seconds=ENGINE_TIMEOUT_SECONDS,
+            connect_timeout_seconds=ENGINE_TIMEOUT_SECONDS,
             ssl_context=own.engines,
         )
         async with trio.open_nursery() as nursery, contextlib.aclosing(port):
@@ -244,17 +248,17 @@
             yield port, address_of(await nursery.start(serve, ANY_PORT, trio.sleep_forever))
             nursery.cancel_scope.cancel()
 
-    async def ask(self, port: HttpEngine, address: str, nonce: str) -> str:
+    async def generate(self, port: HttpEngine, address: str, nonce: str) -> str:
         """Return the answer to one request."""
         request = msgspec.structs.replace(REQUEST, nonce=nonce)
         async with port.generate(address, request) as frames:
             return "".join([token async for frame in frames for token in frame.tokens])
 
-    async def ask_until(self, port: HttpEngine, address: str, *, answered: bool) -> None:
-        """Ask until new connections are made, or refused, as the present authorities say."""
+    async def generate_until(self, port: HttpEngine, address: str, *, answered: bool) -> None:
+        """Send requests until one is answered, or refused, as the current authorities require."""
         for nonce in self.nonces:
             try:
-                answer = await self.ask(port, address, nonce)
+                answer = await self.generate(port, address, nonce)
             except EngineError as error:
                 self.assertEqual((error.code, error.execution), NOT_RUN)
                 self.refused.add(nonce)
@@ -264,11 +268,11 @@
                 self.assertEqual(answer, "".join(ANSWER))
                 if answered:
                     return
-            # Longer than idle connections are kept, so that the next one is new.
+            # Longer than idle connections are kept, so that the next request opens a new one.
             await trio.sleep(IDLE_SECONDS)
 
     async def runs(self, address: str) -> set[str]:
-        """Return the nonces that the engine ran."""
+        """Return the nonces of the requests that the engine ran."""
         context = ssl.create_default_context(cafile=str(self.files.directory / "own.pem"))
         async with httpx.AsyncClient(trust_env=False, verify=context) as client:
             response = await client.get(f"https://{address}{ADMIN_RUNS_PATH}")
@@ -283,11 +287,11 @@
 
         async def check() -> None:
             async with self.engine() as (port, address):
-                await self.ask_until(port, address, answered=True)
+                await self.generate_until(port, address, answered=True)
                 self.files.trust(other)
-                await self.ask_until(port, address, answered=False)
+                await self.generate_until(port, address, answered=False)
                 self.files.trust(other, own)
-                await self.ask_until(port, address, answered=True)
+                await self.generate_until(port, address, answered=True)
                 self.assertTrue(self.refused)
                 self.assertFalse(self.refused & await self.runs(address))
 
@@ -300,7 +304,7 @@
                 serve = functools.partial(serve_engine, CONFIG, WEIGHTS)
                 plain = await nursery.start(serve, ANY_PORT, trio.sleep_forever)
                 with self.assertRaises(EngineError) as raised:
-                    await self.ask(port, plain[0].removeprefix("http://"), "n")
+                    await self.generate(port, plain[0].removeprefix("http://"), "n")
                 error = raised.exception
                 self.assertEqual((error.code, error.execution), NOT_RUN)
                 nursery.cancel_scope.cancel()
