--- a/tests/adapters/test_engine_http.py
+++ b/tests/adapters/test_engine_http.py
@@ -326,15 +326,15 @@
     def test_split_at_every_byte(self):
         data = b"\n".join((FRAME_LINES[0], b"", *FRAME_LINES[1:])) + b"\n"
         joined = TokenFrame("n", "i", 0, ("a", "b", "é"), usage=Usage(4, 2))
-        whole = [joined, FRAMES[2], FRAMES[3]]
-        self.assertEqual(StreamDecoder("n", "engine").feed(data), whole)
+        expected_frames = [joined, FRAMES[2], FRAMES[3]]
+        self.assertEqual(StreamDecoder("n", "engine").feed(data), expected_frames)
         for split_at in range(len(data) + 1):
             decoder = StreamDecoder("n", "engine")
             frames = decoder.feed(data[:split_at]) + decoder.feed(data[split_at:])
             tokens = [token for frame in frames for token in frame.tokens]
             self.assertEqual(tokens, ["a", "b", "é", "x", "d"])
             self.assertTrue(decoder.finished)
-            self.assertEqual(frames[-2:], whole[-2:])
+            self.assertEqual(frames[-2:], expected_frames[-2:])
 
     def test_only_exact_successors_are_joined(self):
         for other in (
--- a/tests/adapters/test_golden_frames.py
+++ b/tests/adapters/test_golden_frames.py
@@ -315,9 +315,9 @@
         frame = encode_frame(MESSAGES["answer"], "a", b"key-a")
         answer = msgspec.convert(payload_document(frame), AnswerBeforeEras)
         self.assertEqual((answer.after, answer.revision), (77, 80))
-        for relayed, entry in zip(answer.entries, ENTRIES, strict=True):
+        for relayed, sent_entry in zip(answer.entries, ENTRIES, strict=True):
             self.assertEqual(
-                (relayed.entry.key, relayed.entry.revision), (entry.key, entry.revision)
+                (relayed.entry.key, relayed.entry.revision), (sent_entry.key, sent_entry.revision)
             )
         self.assertEqual(answer.entries[3].entry.change, ToldRecord("r", b"\x00\xff", 5))
 
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -248,17 +248,17 @@
             yield port, address_of(await nursery.start(serve, ANY_PORT, trio.sleep_forever))
             nursery.cancel_scope.cancel()
 
-    async def generate(self, port: HttpEngine, address: str, nonce: str) -> str:
+    async def fetch_answer(self, port: HttpEngine, address: str, nonce: str) -> str:
         """Return the answer to one request."""
         request = msgspec.structs.replace(REQUEST, nonce=nonce)
         async with port.generate(address, request) as frames:
             return "".join([token async for frame in frames for token in frame.tokens])
 
-    async def generate_until(self, port: HttpEngine, address: str, *, answered: bool) -> None:
+    async def request_until(self, port: HttpEngine, address: str, *, answered: bool) -> None:
         """Send requests until one is answered, or refused, as the current authorities require."""
         for nonce in self.nonces:
             try:
-                answer = await self.generate(port, address, nonce)
+                answer = await self.fetch_answer(port, address, nonce)
             except EngineError as error:
                 self.assertEqual((error.code, error.execution), NOT_RUN)
                 self.refused.add(nonce)
@@ -287,11 +287,11 @@
 
         async def check() -> None:
             async with self.engine() as (port, address):
-                await self.generate_until(port, address, answered=True)
+                await self.request_until(port, address, answered=True)
                 self.files.trust(other)
-                await self.generate_until(port, address, answered=False)
+                await self.request_until(port, address, answered=False)
                 self.files.trust(other, own)
-                await self.generate_until(port, address, answered=True)
+                await self.request_until(port, address, answered=True)
                 self.assertTrue(self.refused)
                 self.assertFalse(self.refused & await self.runs(address))
 
@@ -304,7 +304,7 @@
                 serve = functools.partial(serve_engine, CONFIG, WEIGHTS)
                 plain = await nursery.start(serve, ANY_PORT, trio.sleep_forever)
                 with self.assertRaises(EngineError) as raised:
-                    await self.generate(port, plain[0].removeprefix("http://"), "n")
+                    await self.fetch_answer(port, plain[0].removeprefix("http://"), "n")
                 error = raised.exception
                 self.assertEqual((error.code, error.execution), NOT_RUN)
                 nursery.cancel_scope.cancel()
