--- a/hopstep/adapters/tls.py
+++ b/hopstep/adapters/tls.py
@@ -35,7 +35,7 @@
 MINIMUM_VERSION = ssl.TLSVersion.TLSv1_2
 
 PROTOCOLS = ["http/1.1"]
-"""Application protocols that are offered in the handshake (ALPN)."""
+"""Application protocols offered by ALPN; only this one is tested with streams."""
 
 _CERTIFICATE = re.compile(
     "-----BEGIN CERTIFICATE-----.+?-----END CERTIFICATE-----", flags=re.DOTALL
