--- a/hopstep/platform/__init__.py
+++ b/hopstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: names, formats and calls of its wire. Nothing here decides."""
+"""Adapters to the users' platform: names, formats and calls of its protocols, without policy."""
--- a/hopstep/platform/cache_events.py
+++ b/hopstep/platform/cache_events.py
@@ -1,4 +1,4 @@
-"""Cache events of the platform's stores and engines."""
+"""Reads the cache events of the platform's cache stores and engines."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
 
 ANSWER_SECONDS = 0.7
+"""Longest wait for a response, in seconds, beyond the wait for events."""
+
 MILLISECONDS = 1_000
 OK = 200
 
@@ -47,7 +49,7 @@
 
         Args:
             client: HTTP client, owned by the caller.
-            on_unknown: Told of what answers say that nothing reads.
+            on_unknown: Called for each unrecognized value in a response.
         """
         self._client = client
         self._vocabulary = Vocabulary(on_unknown)
@@ -90,5 +92,5 @@
 
 
 def _read(event: _Event) -> CacheEvent:
-    """Return one event; what is dropped whole keeps no tokens."""
+    """Return one event; 0 tokens mean that the segment was dropped."""
     return CacheEvent(event.salt, event.segment_id, event.tokens, event.model)
--- a/hopstep/platform/directory.py
+++ b/hopstep/platform/directory.py
@@ -1,4 +1,4 @@
-"""The directory of operators and instances in the platform's store."""
+"""Reads what operators and instances publish in the platform's store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     read_instance,
     read_weights,
 )
-from hopstep.platform.rejections import FAULTS, explain
+from hopstep.platform.rejections import DECODING_ERRORS, rejection_of
 from hopstep.platform.vocabulary import Vocabulary
 from hopstep.ports.key_value_store import KeyValueStorePort, StoredValue
 from hopstep.ports.serving_directory import (
@@ -34,18 +34,19 @@
 )
 from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
 
-EVERYTHING = ""
+ALL_KEYS = ""
+"""Prefix of all keys."""
 
-READ_AS: Mapping[type, tuple[WordPlace, type[msgspec.Struct]]] = {
+DOCUMENT_TYPES: Mapping[type, tuple[WordPlace, type[msgspec.Struct]]] = {
     ConfigurationPublished: (WordPlace.CONFIGURATION, ConfigurationDocument),
     InstanceListed: (WordPlace.ENTRY, EntryDocument),
     WeightsPublished: (WordPlace.WEIGHTS, WeightsDocument),
 }
-"""What documents are read as, by what they stand for."""
+"""Kind and type of the document behind each change whose unrecognized fields are reported."""
 
 
 class PlatformDirectory(ServingDirectory):
-    """Reads all keys by one listing and one watch; when the store is down it raises its errors."""
+    """Reads all keys by one listing and one watch; raises the store's errors when it is down."""
 
     def __init__(
         self, store: KeyValueStorePort, on_unknown: UnknownWordListener = ignore_unknown
@@ -54,27 +55,27 @@
 
         Args:
             store: The platform's store.
-            on_unknown: Told of fields that nothing reads.
+            on_unknown: Called for each unrecognized field of a document.
         """
         self._store = store
         self._vocabulary = Vocabulary(on_unknown)
 
     async def snapshot(self) -> DirectoryBatch:
         """Return all entries; see the port."""
-        listing = await self._store.listing(EVERYTHING)
+        listing = await self._store.listing(ALL_KEYS)
         return DirectoryBatch(listing.place, self._read_all(listing.values))
 
     async def reconnect(self) -> None:
-        """Leave the store's connections; see the port."""
+        """Close the idle connections to the store; see the port."""
         await self._store.reconnect()
 
     async def changes(self, after: StorePlace, wait_seconds: float) -> DirectoryBatch:
         """Return changes; see the port."""
-        batch = await self._store.watch(EVERYTHING, after, wait_seconds)
+        batch = await self._store.watch(ALL_KEYS, after, wait_seconds)
         return DirectoryBatch(batch.place, self._read_all(batch.values))
 
     def _read_all(self, values: tuple[StoredValue, ...]) -> tuple[DirectoryEntry, ...]:
-        """Return the entries that stored values stand for."""
+        """Return the entries that stored values describe."""
         entries = []
         for value in values:
             change = read_change(value)
@@ -84,15 +85,15 @@
         return tuple(entries)
 
     def _note_fields(self, value: StoredValue, change: DirectoryChange) -> None:
-        """Tell of the fields of a document that was read and that nothing knows."""
-        read = READ_AS.get(type(change))
+        """Report the unrecognized fields of a document that was read."""
+        read = DOCUMENT_TYPES.get(type(change))
         if read is not None:
             place, shape = read
             self._vocabulary.note_fields(place, value.key, value.value, shape)
 
 
 def read_change(value: StoredValue) -> DirectoryChange | None:
-    """Return the change that one value stands for, whatever its bytes; None for keys of others."""
+    """Return the change that one value describes, for any bytes; None for operators' other keys."""
     key = value.key
     if key.startswith(names.INSTANCES_PREFIX):
         return _read_entry(key.removeprefix(names.INSTANCES_PREFIX), value.value)
@@ -101,8 +102,8 @@
             return ConfigurationPublished(read_configuration(value.value))
         if key.startswith(names.WEIGHTS_PREFIX):
             return WeightsPublished(read_weights(value.value))
-    except FAULTS as error:
-        rejection = explain(error)
+    except DECODING_ERRORS as error:
+        rejection = rejection_of(error)
         return Unreadable(key, rejection.reason, rejection.field, rejection.detail)
     if key.startswith(names.OPERATORS_PREFIX):
         return None
@@ -110,11 +111,11 @@
 
 
 def _read_entry(instance_id: str, value: bytes) -> DirectoryChange:
-    """Return the change that an instance's key stands for."""
+    """Return the change that the value of an instance's key describes."""
     if not value:
         return InstanceRemoved(instance_id)
     try:
         return InstanceListed(read_instance(instance_id, value))
-    except FAULTS as error:
-        rejection = explain(error)
+    except DECODING_ERRORS as error:
+        rejection = rejection_of(error)
         return InstanceRejected(instance_id, rejection.reason, rejection.field, rejection.detail)
--- a/hopstep/platform/documents.py
+++ b/hopstep/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents of the operators and instances, and how they read as hopstep's own types."""
+"""Documents that operators and instances write, and their conversion to hopstep's types."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 MILLISECONDS = 1_000.0
 
 MAX_SLOTS = 65_536
-"""A thousand times what the largest engines work on at once."""
+"""Upper bound of an entry's ``slots``: a thousand times the slots of the largest engines."""
 
 MAX_NUMBER = 2**53
-"""Whole numbers that every reader of JSON has."""
+"""Largest integer that every JSON parser represents exactly."""
 
 INSTANCE_ID = re.compile(r"[!-~]{1,200}")
-"""Ids are sent in a header; keys have at most 200 bytes."""
+"""Ids are sent in a header, and keys have at most 200 bytes."""
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
-_Start = Annotated[int, msgspec.Meta(ge=1, le=MAX_NUMBER)]
+_UnixMilliseconds = Annotated[int, msgspec.Meta(ge=1, le=MAX_NUMBER)]
 _Amount = Annotated[float, msgspec.Meta(ge=0, le=MAX_NUMBER)]
 _Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_NUMBER)]
 
@@ -146,7 +146,7 @@
     uncached_tokens: _Count = 0
 
     def read(self) -> Tenant:
-        """Return the tenant; a rate of 0 is no quota."""
+        """Return the tenant; a rate of 0 means no quota."""
         quota = TenantQuota(
             per_second=self.rate_per_s,
             burst=self.burst_size,
@@ -178,7 +178,7 @@
 
 
 class EntryDocument(msgspec.Struct, frozen=True, rename="camel"):
-    """An instance's entry; every instance writes all fields that have no default here."""
+    """An instance's entry; every instance writes the fields that have no default."""
 
     service: _Text
     address: str
@@ -190,7 +190,7 @@
     call_sequence: _Count
     stage: str = ""
     models: tuple[_ListedModel, ...] = ()
-    born: _Start | msgspec.UnsetType = msgspec.UNSET
+    born: _UnixMilliseconds | msgspec.UnsetType = msgspec.UNSET
 
 
 class WeightsDocument(msgspec.Struct, frozen=True, rename="camel"):
@@ -217,10 +217,10 @@
 
 
 def read_instance(instance_id: str, value: bytes) -> Instance:
-    """Return an instance's entry; anybody may have written it.
+    """Return an instance's entry, which isn't trusted: any client may have written it.
 
     Raises:
-        Exception: One of ``rejections.FAULTS``.
+        Exception: One of ``rejections.DECODING_ERRORS``.
     """
     if not INSTANCE_ID.fullmatch(instance_id):
         raise FieldValueError("", "expected an id of visible ASCII characters")
@@ -239,13 +239,13 @@
 
 
 def _read_address(text: str) -> str:
-    """Return an address by IP number, with a port that can be called."""
+    """Return an address of an IP address and a port above 0."""
     try:
         address = parse_address(text)
     except ValidationError as error:
         raise FieldValueError("address", error.message[:MAX_DETAIL]) from error
     if not address.port:
-        raise FieldValueError("address", "expected a port from 1 on")
+        raise FieldValueError("address", "expected a port above 0")
     return str(address)
 
 
--- a/hopstep/platform/front.py
+++ b/hopstep/platform/front.py
@@ -1,4 +1,4 @@
-"""Clients' requests over HTTP, as an ASGI application, turned into exchanges and back."""
+"""ASGI application that passes clients' HTTP requests to the service, and its answers back."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
     ErrorCode.BODY_TOO_LARGE: 413,
     ErrorCode.RATE_LIMITED: 429,
 }
-"""Statuses of refusals for what the request itself is or asks for."""
+"""Statuses of refusals whose cause is the request itself."""
 
-COME_BACK_STATUSES = frozenset({429, REFUSED_STATUS})
-"""Statuses that tell when to come back."""
+RETRY_AFTER_STATUSES = frozenset({429, REFUSED_STATUS})
+"""Statuses of refusals that carry ``Retry-After``."""
 
 
-CRASHED = ServiceError(
+INTERNAL_ERROR = ServiceError(
     ErrorCode.INTERNAL, "a fault in this node", execution=Execution.UNKNOWN, retry_after_seconds=0.0
 )
-"""Answer to a request that a fault of the node's own has ended."""
+"""Answer to a request that failed with an unexpected exception in this node."""
 
 
 class ExchangeFront:
     """ASGI application for clients."""
 
     def __init__(self, service: ExchangeHandler, is_stopping: Callable[[], bool]) -> None:
-        """Serve by a service.
+        """Pass requests to a service.
 
         Args:
             service: Serves requests.
-            is_stopping: Whether clients should leave their connections.
+            is_stopping: Returns whether clients should close their connections.
         """
         self._service = service
         self._is_stopping = is_stopping
@@ -62,12 +62,12 @@
         head = _read_head(scope, received_at)
         answer = AsgiAnswer(send, head.request_id, self._is_stopping)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_cancel_on_leaving, receive, nursery.cancel_scope, answer)
+            nursery.start_soon(_cancel_on_disconnect, receive, nursery.cancel_scope, answer)
             await self._serve(head, body, answer)
             nursery.cancel_scope.cancel()
 
     async def _serve(self, head: RequestHead, body: bytes, answer: AsgiAnswer) -> None:
-        """Serve, or answer with the error."""
+        """Serve one request; answer with the error if that fails before an answer has started."""
         try:
             await self._service.serve(head, body, answer)
         except ServiceError as error:
@@ -75,20 +75,20 @@
         except Exception:
             if answer.started:
                 raise
-            await answer.refuse(CRASHED)
+            await answer.refuse(INTERNAL_ERROR)
             raise
 
 
 class AsgiAnswer(ClientAnswer):
-    """An answer over HTTP."""
+    """An HTTP response to a client."""
 
     def __init__(self, send: Send, request_id: str, is_stopping: Callable[[], bool]) -> None:
         """Answer one request.
 
         Args:
-            send: The server's callable.
-            request_id: Id that refusals carry.
-            is_stopping: Whether the client should leave its connection.
+            send: ASGI callable of the server.
+            request_id: Id that refusals repeat.
+            is_stopping: Returns whether the client should close its connection.
         """
         self._send = send
         self._request_id = request_id
@@ -116,12 +116,12 @@
         await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
     async def refuse(self, error: ServiceError) -> None:
-        """Send an answer of the node's own."""
+        """Answer with an error of this node."""
         status = _status(error)
         fields: list[tuple[bytes, bytes]] = []
         if self._request_id:
             fields.append((names.REQUEST_ID, self._request_id.encode()))
-        if status in COME_BACK_STATUSES:
+        if status in RETRY_AFTER_STATUSES:
             wait = f"{error.retry_after_seconds:.3f}".encode()
             fields.append((names.RETRY_AFTER, wait))
         body = error.code.value.encode()
@@ -132,7 +132,7 @@
 
 
 def _status(error: ServiceError) -> int:
-    """Return the status of an answer of the node's own."""
+    """Return the HTTP status for an error of this node."""
     status = STATUS_BY_CODE.get(error.code)
     if status is not None:
         return status
@@ -142,7 +142,7 @@
 
 
 async def _read_body(receive: Receive, max_bytes: Callable[[], int]) -> bytes | None:
-    """Return the whole body, or None when the client left; a long one is cut behind the bound."""
+    """Return the body, truncated past the limit; None when the client disconnected."""
     body = bytearray()
     while True:
         message = await receive()
@@ -154,11 +154,13 @@
             return bytes(body)
 
 
-async def _cancel_on_leaving(receive: Receive, scope: trio.CancelScope, answer: AsgiAnswer) -> None:
-    """Cancel a request when its client leaves.
+async def _cancel_on_disconnect(
+    receive: Receive, scope: trio.CancelScope, answer: AsgiAnswer
+) -> None:
+    """Cancel a request when its client disconnects.
 
-    The server also reports the end of a whole answer, while it still closes the connection or
-    prepares it for the next request; that must not be cut short.
+    The server also reports a disconnect after a complete response, while it still closes the
+    connection or prepares it for the next request; that must not be cancelled.
     """
     while True:
         message = await receive()
@@ -175,16 +177,16 @@
     path = target.decode("latin-1")
     if scope["query_string"]:
         target += b"?" + scope["query_string"]
-    patience = _number(found.get(names.DEADLINE))
+    timeout_ms = _number(found.get(names.DEADLINE))
     return RequestHead(
         request_id=_text(found, names.REQUEST_ID),
         method=scope["method"].encode(),
         host=_text(found, b"host"),
         path=path,
         target=target,
-        headers=_passed_on(scope["headers"]),
+        headers=_forwarded(scope["headers"]),
         key=_text(found, names.API_KEY),
-        patience_seconds=patience / MILLISECONDS if patience is not None else None,
+        patience_seconds=timeout_ms / MILLISECONDS if timeout_ms is not None else None,
         prompt=_read_prompt(found),
         resume_after=_text(found, names.LAST_EVENT),
         received_at=received_at,
@@ -192,39 +194,39 @@
     )
 
 
-def _passed_on(headers: list[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that an instance gets as they came."""
+def _forwarded(headers: list[tuple[bytes, bytes]]) -> Headers:
+    """Return the headers that are forwarded to an instance unchanged."""
     connections = (value for name, value in headers if name == b"connection")
     tokens = b",".join(connections).lower().split(b",")
-    dropped = names.PER_CONNECTION | names.SET_BY_US | {token.strip() for token in tokens}
+    dropped = names.PER_CONNECTION | names.NOT_FORWARDED | {token.strip() for token in tokens}
     return tuple((name, value) for name, value in headers if name not in dropped)
 
 
 def _read_prompt(found: dict[bytes, bytes]) -> Prompt | None:
-    """Return what a request says of its prompt; None when it names no model."""
+    """Return the description of a request's prompt; None when it names no model."""
     model = _text(found, names.MODEL)
     if not model:
         return None
     segments = _read_segments(_text(found, names.PROMPT_SEGMENTS))
     usage = _text(found, names.TOKEN_USAGE).split(",")
-    prompt_tokens = _whole(usage[0]) or sum(segment.tokens for segment in segments)
-    answer_tokens = _whole(usage[1]) if len(usage) > 1 else 0
+    prompt_tokens = _count(usage[0]) or sum(segment.tokens for segment in segments)
+    answer_tokens = _count(usage[1]) if len(usage) > 1 else 0
     return Prompt(model, segments, prompt_tokens, answer_tokens)
 
 
 def _read_usage(found: dict[bytes, bytes]) -> int | None:
-    """Return the tokens of the prompt and of the longest answer; None when neither is told."""
+    """Return the tokens of prompt and longest answer; None when neither is given."""
     text = _text(found, names.TOKEN_USAGE)
-    return sum(_whole(part) for part in text.split(",")[:2]) if text else None
+    return sum(_count(part) for part in text.split(",")[:2]) if text else None
 
 
 def _read_segments(text: str) -> tuple[PromptSegment, ...]:
-    """Return the segments of ``ID:TOKENS`` by commas; those that can't be read are left out."""
+    """Return the segments of comma-separated ``ID:TOKENS``; parts without an id are skipped."""
     segments = []
     for part in text.split(","):
         segment_id, _, tokens = part.strip().partition(":")
         if segment_id:
-            segments.append(PromptSegment(segment_id, _whole(tokens)))
+            segments.append(PromptSegment(segment_id, _count(tokens)))
     return tuple(segments)
 
 
@@ -234,13 +236,13 @@
 
 
 def _number(value: bytes | None) -> float | None:
-    """Return a header's number; None when it is missing or none."""
+    """Return a header's number; None when it is missing or not a number."""
     try:
         return float(value) if value is not None else None
     except ValueError:
         return None
 
 
-def _whole(text: str) -> int:
-    """Return a whole number, or 0."""
+def _count(text: str) -> int:
+    """Return a non-negative integer; 0 for any other text."""
     return int(text) if text.strip().isdecimal() else 0
--- a/hopstep/platform/http_client.py
+++ b/hopstep/platform/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls by ``httpcore``: one pool for each address, and what is proved when a call fails."""
+"""HTTP calls by ``httpcore``: a connection pool per address, and whether a request was sent."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from hopstep.ports.instance_calls import SendProof
 
 SENDING_EVENT = "http11.send_request_headers.started"
-"""Trace event of ``httpcore`` before the first byte of a request is written."""
+"""Trace event of ``httpcore`` right before the first byte of a request is written."""
 
 IDLE_SECONDS = 4.0
-"""Time after which an idle connection isn't used again."""
+"""Seconds after which an idle connection isn't used again."""
 
 MAX_CONNECTIONS = 512
+"""Connections to one address."""
 
 
 class HttpCall(msgspec.Struct, frozen=True):
@@ -30,9 +31,9 @@
         method: HTTP method.
         target: Raw path and query.
         headers: All headers but the framing of the body.
-        body: Whole body.
+        body: Complete body.
         connect_seconds: Longest wait for a connection.
-        read_seconds: Longest wait for each piece of the answer; None for no limit.
+        read_seconds: Longest wait for each read of the response; None for no limit.
     """
 
     address: str
@@ -45,29 +46,29 @@
 
 
 class SendWithdrawnError(Exception):
-    """A call that was no longer to be sent when its connection was ready."""
+    """A call was withdrawn before its connection was ready, and wasn't sent."""
 
 
 class SendTrace:
-    """Follows the library's trace of one call."""
+    """Trace callback of ``httpcore`` for one call: records when its request is sent."""
 
     def __init__(
         self, proof: SendProof | None = None, may_send: Callable[[], bool] = lambda: True
     ) -> None:
-        """Start before the first byte.
+        """Start with nothing sent.
 
         Args:
-            proof: Told when the first byte may leave; a new one if None.
-            may_send: Asked right before that.
+            proof: Marked as sent when the first byte may be written; a new one if None.
+            may_send: Called right before that; False withdraws the call.
         """
         self.proof = proof or SendProof()
         self._may_send = may_send
 
     async def __call__(self, event: str, _details: dict[str, Any]) -> None:
-        """Take one event of the trace.
+        """Process one trace event.
 
         Raises:
-            SendWithdrawnError: When the call isn't to be sent any more.
+            SendWithdrawnError: When ``may_send`` returns False.
         """
         if event != SENDING_EVENT:
             return
@@ -77,17 +78,17 @@
 
 
 class HttpClient:
-    """Pools of connections, one for each address."""
+    """Connection pools, one for each address."""
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Start without any connection."""
         self._pools: dict[str, httpcore.AsyncConnectionPool] = {}
         self._active: Counter[str] = Counter()
         self._used_at: dict[str, float] = {}
 
     @contextlib.asynccontextmanager
     async def open(self, call: HttpCall, trace: SendTrace) -> AsyncIterator[httpcore.Response]:
-        """Send a call and give its answer as it comes; leaving early closes the connection."""
+        """Send a call and yield its response; an early exit closes the connection."""
         host, _, port = call.address.rpartition(":")
         url = httpcore.URL(scheme=b"http", host=host.encode(), port=int(port), target=call.target)
         headers = list(call.headers)
@@ -101,7 +102,7 @@
             content=call.body,
             extensions={"timeout": timeout, "trace": trace},
         )
-        await self._leave_unused(call.address)
+        await self._drop_if_unused(call.address)
         self._active[call.address] += 1
         try:
             response = await self._pool(call.address).handle_async_request(request)
@@ -112,10 +113,10 @@
         finally:
             self._active[call.address] -= 1
 
-    async def _leave_unused(self, address: str) -> None:
-        """Close connections that have been idle for too long.
+    async def _drop_if_unused(self, address: str) -> None:
+        """Close connections that have been idle for longer than ``IDLE_SECONDS``.
 
-        The library counts that by a clock which stands still while the machine is suspended.
+        The library measures that by a clock that stops while the machine is suspended.
         """
         now = trio.current_time()
         if now - self._used_at.get(address, now) > IDLE_SECONDS:
@@ -123,7 +124,7 @@
         self._used_at[address] = now
 
     async def listens(self, address: str, seconds: float) -> bool | None:
-        """Return whether an address takes a new connection; None when nothing says so.
+        """Return whether an address accepts a new connection; None when that stays unknown.
 
         Args:
             address: ``ip:port``.
@@ -141,18 +142,18 @@
         return None
 
     def idle_addresses(self) -> set[str]:
-        """Return the addresses with a pool on which no call is under way."""
+        """Return the addresses whose pool has no call in progress."""
         return {address for address in self._pools if not self._active[address]}
 
     async def drop_idle(self, address: str) -> None:
-        """Close the idle connections of an address; calls under way on others go on."""
+        """Close the idle connections of an address; calls on busy ones continue."""
         pool = self._pools.get(address)
         for connection in pool.connections if pool is not None else ():
             if connection.is_idle():
                 await connection.aclose()
 
     async def forget(self, address: str) -> None:
-        """Close the pool of an address; calls under way on it fail."""
+        """Close the pool of an address; its calls in progress fail."""
         self._active.pop(address, None)
         self._used_at.pop(address, None)
         pool = self._pools.pop(address, None)
--- a/hopstep/platform/instances.py
+++ b/hopstep/platform/instances.py
@@ -1,4 +1,4 @@
-"""Requests and orders to instances over HTTP."""
+"""Requests and weights orders to instances over HTTP."""
 
 from __future__ import annotations
 
@@ -36,6 +36,8 @@
 
 CONNECT_SECONDS = 0.4
 ORDER_SECONDS = 0.4
+"""Longest duration of an order or a report, in seconds."""
+
 MILLISECONDS = 1_000
 MISDIRECTED = 421
 NO_BODY_STATUSES = (204, 304)
@@ -47,7 +49,7 @@
     False: InstanceSign.ENDED,
     None: InstanceSign.NO_ANSWER,
 }
-"""By whether an instance's address takes connections. A port is closed as its process ends."""
+"""By whether an instance's address accepts connections; a port is closed as its process ends."""
 
 ORDER_OUTCOMES = {
     200: OrderOutcome.HOLDS_ALREADY,
@@ -80,13 +82,13 @@
 
 
 class HttpInstanceAnswer(InstanceAnswer):
-    """An answer over HTTP."""
+    """An instance's HTTP response."""
 
     def __init__(self, response: httpcore.Response) -> None:
-        """Read the head.
+        """Read the head of a response.
 
         Args:
-            response: Response of the library.
+            response: The library's response.
         """
         found = {name.lower(): value for name, value in response.headers}
         self.status = response.status
@@ -122,7 +124,7 @@
 
         Args:
             client: HTTP client, owned by the caller.
-            on_unknown: Told of what answers say that nothing reads.
+            on_unknown: Called for each unrecognized value in a response.
         """
         self._client = client
         self._vocabulary = Vocabulary(on_unknown)
@@ -154,11 +156,11 @@
             yield HttpInstanceAnswer(response)
 
     async def look(self, instance: Instance) -> InstanceSign:
-        """Look at an instance; see the port."""
+        """Try to connect to an instance; see the port."""
         return SIGNS[await self._client.listens(instance.address, CONNECT_SECONDS)]
 
     def idle_addresses(self) -> set[str]:
-        """Return the addresses without requests under way; see the port."""
+        """Return the addresses without requests in progress; see the port."""
         return self._client.idle_addresses()
 
     async def drop_idle(self, address: str) -> None:
@@ -206,7 +208,7 @@
         return EngineReport(report.busy, report.call_sequence, versions, report.born)
 
     def _note_headers(self, instance: Instance, response: httpcore.Response) -> None:
-        """Tell of headers that nothing reads."""
+        """Report the unrecognized headers of a response."""
         self._vocabulary.note_headers(
             WordPlace.ANSWER_HEAD, instance.address, response.status, response.headers
         )
@@ -220,7 +222,7 @@
         proof: SendProof,
         hear: NoticeListener,
     ) -> tuple[int, bytes] | None:
-        """Make a call beside the requests; return status and body, or None."""
+        """Make a control call, which isn't a client's request; return status and body, or None."""
         headers = [
             (b"host", instance.address.encode()),
             (names.EXPECT_INSTANCE, instance.instance_id.encode()),
@@ -271,10 +273,10 @@
 
 
 def _is_own_answer(response: httpcore.Response, call: InstanceCall) -> bool:
-    """Return whether the instance that a request was sent to answers this request.
+    """Return whether a response is the called instance's answer to this request.
 
-    An answer that repeats the request's id does; so does a refusal without an id. A surplus answer
-    names another request, and 421 may come from whoever has the address now.
+    It is if it repeats the request's id, or is a refusal without an id. A surplus response names
+    another request, and 421 may come from another instance that has the address now.
     """
     found = {name.lower(): value for name, value in response.headers}
     answered = found.get(names.REQUEST_ID)
@@ -286,28 +288,28 @@
 
 
 def _request_notice(response: httpcore.Response) -> InstanceNotice:
-    """Return what the instance's own answer to a request says of it."""
+    """Return what an instance announces in its own answer to a request."""
     found = {name.lower() for name, _value in response.headers}
     kind = AnswerKind.REQUEST if names.REQUEST_ID in found else AnswerKind.REFUSAL
     return read_notice(response.status, response.headers, kind)
 
 
 def _is_control_answer(response: httpcore.Response) -> bool:
-    """Return whether an answer is to a call beside the requests, of the instance it was sent to.
+    """Return whether a response is the called instance's answer to a control call.
 
-    Such calls have no id, so one with an id is a surplus answer to an earlier request.
+    Control calls have no id, so a response with an id is a surplus one to an earlier request.
     """
     found = {name.lower() for name, _value in response.headers}
     return names.REQUEST_ID not in found and response.status != MISDIRECTED
 
 
 def _check_head(response: httpcore.Response, call: InstanceCall) -> None:
-    """Raise unless an answer's head belongs to a request that the instance ran."""
+    """Raise unless a response's head shows that the instance ran this request."""
     found = {name.lower(): value for name, value in response.headers}
     answered = found.get(names.REQUEST_ID)
     if answered is not None and answered != call.request.request_id.encode():
         raise InstanceCallError(
-            ErrorCode.EXECUTION_UNKNOWN, "an answer to another request came", Execution.UNKNOWN
+            ErrorCode.EXECUTION_UNKNOWN, "the response is to another request", Execution.UNKNOWN
         )
     if names.NOT_EXECUTED in found or response.status == MISDIRECTED:
         code = ErrorCode.OVERLOADED
@@ -324,12 +326,12 @@
         )
     if answered is None:
         raise InstanceCallError(
-            ErrorCode.EXECUTION_UNKNOWN, "an answer without an id came", Execution.UNKNOWN
+            ErrorCode.EXECUTION_UNKNOWN, "the response has no request id", Execution.UNKNOWN
         )
 
 
 def _no_answer(proof: SendProof) -> InstanceCallError:
-    """Return the error of a request without an answer."""
+    """Return the error of a request that got no response."""
     if proof.sent:
         return InstanceCallError(ErrorCode.EXECUTION_UNKNOWN, "no answer came", Execution.UNKNOWN)
     return InstanceCallError(
@@ -338,7 +340,7 @@
 
 
 def _number(value: bytes) -> int:
-    """Return a header's whole number; 0 for none."""
+    """Return a header's integer; 0 when it has none."""
     try:
         return int(value)
     except ValueError:
--- a/hopstep/platform/names.py
+++ b/hopstep/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of headers, paths and keys on the platform's wire."""
+"""Names of headers, paths, keys and values in the platform's protocols."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 API_KEY = b"x-api-key"
 KEEP_ALIVE = b"keep-alive"
 
-SET_BY_US = frozenset(
+NOT_FORWARDED = frozenset(
     {
         DEADLINE,
         TENANT,
@@ -45,7 +45,7 @@
         b"hold",
     }
 )
-"""Request headers of a client that never reach an instance as they came."""
+"""Request headers that are set by hopstep or removed, never forwarded from a client."""
 
 PER_CONNECTION = frozenset(
     {
@@ -62,7 +62,7 @@
         b"content-length",
     }
 )
-"""Headers that concern one connection only, or its framing."""
+"""Hop-by-hop headers, and those of the body's framing."""
 
 READINESS_PATH = "/readiness"
 ORDER_PATH = "/order"
--- a/hopstep/platform/notices.py
+++ b/hopstep/platform/notices.py
@@ -1,4 +1,4 @@
-"""Reads what an instance says of itself in the head of an answer."""
+"""Reads what an instance announces in response headers."""
 
 from __future__ import annotations
 
@@ -9,31 +9,35 @@
 from hopstep.domain.retry_after_header import rest_seconds, unix_seconds
 from hopstep.platform import names
 
-LEAVES = b"1"
-TURNED_AWAY = 503
-"""Status of an answer whose ``Retry-After`` is about the instance as a whole."""
+LEAVING_VALUE = b"1"
+"""Value of the header by which an instance announces that it shuts down."""
+
+UNAVAILABLE = 503
+"""Status of a response whose ``Retry-After`` applies to the instance as a whole."""
 
 
 def read_notice(
     status: int, headers: Iterable[tuple[bytes, bytes]], kind: AnswerKind
 ) -> InstanceNotice:
-    """Return what an answer's head says of its instance.
+    """Return what an instance announces in the head of a response.
 
     Args:
         status: HTTP status.
-        headers: All headers of the answer.
-        kind: What the answer is to.
+        headers: All headers of the response.
+        kind: Kind of call that the response is to.
     """
     pairs = [(name.lower(), value.strip()) for name, value in headers]
-    leaving = (names.LEAVING, LEAVES) in pairs
+    leaving = (names.LEAVING, LEAVING_VALUE) in pairs
     dates = _texts(pairs, names.DATE)
     date = dates[0] if dates else ""
-    rest = rest_seconds(_texts(pairs, names.RETRY_AFTER), date) if status == TURNED_AWAY else 0.0
-    return InstanceNotice(leaving, rest, _limit_word(pairs, date, kind))
+    rest = rest_seconds(_texts(pairs, names.RETRY_AFTER), date) if status == UNAVAILABLE else 0.0
+    return InstanceNotice(leaving, rest, _limit_notice(pairs, date, kind))
 
 
-def _limit_word(pairs: list[tuple[bytes, bytes]], date: str, kind: AnswerKind) -> LimitWord | None:
-    """Return what a head says of the instance's limit; None for what can't be read."""
+def _limit_notice(
+    pairs: list[tuple[bytes, bytes]], date: str, kind: AnswerKind
+) -> LimitWord | None:
+    """Return what a head announces of the instance's limit; None when that can't be read."""
     values = _texts(pairs, names.LIMIT)
     per_second = limit_per_second(values) if values else None
     if values and per_second is None:
@@ -42,5 +46,5 @@
 
 
 def _texts(pairs: list[tuple[bytes, bytes]], name: bytes) -> list[str]:
-    """Return the values of all fields of a name."""
+    """Return the values of all headers of a name."""
     return [value.decode("latin-1") for found, value in pairs if found == name]
--- a/hopstep/platform/rejections.py
+++ b/hopstep/platform/rejections.py
@@ -1,4 +1,4 @@
-"""Why a document of others can't be read, from what the decoder says."""
+"""Turns a decoder's error into the reason why a document is rejected."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from hopstep.ports.serving_directory import RejectReason
 
 FIELD_PATH = re.compile(r" - at `\$\.?(?P<path>[^`]*)`$")
-"""Where the decoder says the fault is."""
+"""Path of the faulty field in the decoder's message."""
 
 MISSING_FIELD = re.compile(r"missing required field `(?P<name>[^`]+)`")
 WRONG_TYPE = re.compile(r"^Expected `[^`]+`, got ")
 
 MAX_DETAIL = 200
-"""Characters of a log line: the decoder may repeat a part of the document."""
+"""Characters; bounds log lines, as the decoder may repeat a part of the document."""
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """Why a document isn't taken.
+    """Why a document is rejected.
 
     Attributes:
         reason: Kind of fault.
@@ -33,7 +33,7 @@
 
 
 class FieldValueError(Exception):
-    """A field with a value that means nothing.
+    """A field has an invalid value.
 
     Args:
         field: Name of the field.
@@ -46,12 +46,12 @@
         self.detail = detail
 
 
-FAULTS = (msgspec.DecodeError, FieldValueError, UnicodeDecodeError, RecursionError)
-"""What decoding the bytes of others may raise."""
+DECODING_ERRORS = (msgspec.DecodeError, FieldValueError, UnicodeDecodeError, RecursionError)
+"""Exceptions that decoding a document may raise."""
 
 
-def explain(error: Exception) -> Rejection:
-    """Return what one of ``FAULTS`` says of a document."""
+def rejection_of(error: Exception) -> Rejection:
+    """Return the rejection for one of ``DECODING_ERRORS``."""
     if isinstance(error, FieldValueError):
         return Rejection(RejectReason.FIELD_VALUE, error.field, error.detail)
     detail = str(error)[:MAX_DETAIL]
--- a/hopstep/platform/store.py
+++ b/hopstep/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as hopstep's key-value port."""
+"""Client of the platform's metadata store, for the key-value port."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 CONNECT_SECONDS = 1.0
 ANSWER_SECONDS = 2.0
-"""Longest wait for an answer, beyond what a watch asks for."""
+"""Longest wait for a response, in seconds, beyond the wait time of a watch."""
 
 MILLISECONDS = 1_000
 GET = b"GET"
@@ -57,7 +57,7 @@
     deleted: bool = False
 
     def read(self, era: int) -> StoredValue:
-        """Return the stored value as an answer of an era shows it."""
+        """Return the stored value, as part of a response of the given era."""
         value = b"" if self.deleted else _decode_value(self.value)
         return StoredValue(self.private_key, value, StorePlace(era, self.revision))
 
@@ -103,7 +103,7 @@
 
 
 class _Answer(msgspec.Struct, frozen=True):
-    """Status, body and era of a call."""
+    """Status, body and era of a response."""
 
     status: int
     body: bytes
@@ -118,8 +118,8 @@
 
     While the store is down every call raises ``StoreError``, at once or after
     ``ANSWER_SECONDS``. A write that was sent and not answered raises
-    ``StoreOutcomeUnknownError``; it may still be done seconds later. After any call without an
-    answer its connection is closed.
+    ``StoreOutcomeUnknownError``; it may still take effect seconds later. The connection of a call
+    without a response is closed.
     """
 
     def __init__(
@@ -134,8 +134,8 @@
         Args:
             address: ``ip:port`` of the store.
             client: HTTP client, owned by the caller.
-            answer_seconds: Longest wait for an answer, beyond what a watch asks for.
-            on_unknown: Told of what answers say that nothing reads.
+            answer_seconds: Longest wait for a response, beyond the wait time of a watch.
+            on_unknown: Called for each unrecognized value in a response.
         """
         self._vocabulary = Vocabulary(on_unknown)
         self._address = address
@@ -191,7 +191,9 @@
         query = {"pathPrefix": prefix, "after": after.revision, "waitMs": wait}
         answer = await self._call(GET, names.STORE_WATCH, query, extra_seconds=wait_seconds)
         if answer.status == GONE:
-            raise StoreHistoryLostError(ErrorCode.STORE_HISTORY_LOST, "the history is gone")
+            raise StoreHistoryLostError(
+                ErrorCode.STORE_HISTORY_LOST, "the store no longer has these changes"
+            )
         batch = self._decode(answer, _Events)
         require_era(after.era, answer.era)
         values = tuple(item.read(answer.era) for item in batch.events)
@@ -208,11 +210,11 @@
         answer = await self._call(POST, names.STORE_RENEW + lease.name)
         require_lease_era(lease, answer.era)
         if answer.status == NOT_FOUND:
-            raise StoreConflictError(ErrorCode.STORE_CONFLICT, "the lease is over")
+            raise StoreConflictError(ErrorCode.STORE_CONFLICT, "the lease has expired")
         _require_ok(answer)
 
     async def reconnect(self) -> None:
-        """Leave idle connections; see the port. Calls under way keep theirs until they end."""
+        """Close idle connections; see the port. Calls in progress keep theirs until they end."""
         await self._client.drop_idle(self._address)
 
     async def end_lease(self, lease: StoreLease) -> None:
@@ -220,7 +222,7 @@
         await self._call(DELETE, names.STORE_LEASE_END + lease.name)
 
     async def _page(self, prefix: str, after_key: str) -> tuple[_Range, int]:
-        """Return one page of a range, and the era of its answer."""
+        """Return one page of a range, and the era of the response."""
         query: dict[str, object] = {"pathPrefix": prefix}
         if after_key:
             query["after"] = after_key
@@ -228,15 +230,17 @@
         return self._decode(answer, _Range), answer.era
 
     async def _transact(self, transaction: _Transaction) -> StorePlace:
-        """Carry out a transaction and return its place."""
+        """Carry out a transaction and return its store position."""
         body = msgspec.json.encode(transaction)
         answer = await self._call(POST, names.STORE_TRANSACTION, body=body)
         if answer.status in (CONDITION_FAILED, NOT_FOUND):
-            raise StoreConflictError(ErrorCode.STORE_CONFLICT, "the condition doesn't hold")
+            raise StoreConflictError(
+                ErrorCode.STORE_CONFLICT, "a condition of the write doesn't hold"
+            )
         return StorePlace(answer.era, self._decode(answer, _Written).revision)
 
     def _decode(self, answer: _Answer, document: type[Document]) -> Document:
-        """Return the document of an answer, and tell of its fields that nothing reads."""
+        """Return the document of a response, and report its unrecognized fields."""
         decoded = _decode(answer, document)
         place = WordPlace.STORE_ANSWER
         self._vocabulary.note_fields(place, self._address, answer.body, document)
@@ -250,7 +254,7 @@
         body: bytes = b"",
         extra_seconds: float = 0.0,
     ) -> _Answer:
-        """Make one call; refusals that say so raise ``StoreError``."""
+        """Make one call; raise ``StoreError`` when the store is unavailable or limits the rate."""
         target = f"{path}?{urlencode(query)}" if query else path
         headers = ((b"host", self._address.encode()), (b"content-type", b"application/json"))
         call = HttpCall(
@@ -270,14 +274,14 @@
         except trio.TooSlowError as error:
             raise _no_answer(method, trace.proof.sent) from error
         if answer.status == TOO_MANY:
-            raise StoreError(ErrorCode.STORE_RATE_LIMITED, "the store refuses by its rate limit")
+            raise StoreError(ErrorCode.STORE_RATE_LIMITED, "the store's rate limit is exceeded")
         if answer.status == UNAVAILABLE:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store is unavailable")
         return answer
 
 
 def _read_era(headers: Sequence[tuple[bytes, bytes]]) -> int:
-    """Return the era that an answer names; ``UNTOLD_ERA`` when it names none, or no number."""
+    """Return the era that a response names; ``UNTOLD_ERA`` when there is no such number."""
     for name, value in headers:
         if name.lower() == names.STORE_ERA and value.isdigit():
             return int(value)
@@ -285,9 +289,9 @@
 
 
 def _decode_value(text: str) -> bytes:
-    """Return the bytes of a value; a text that is no base64 stands for itself.
+    """Return the bytes of a value; text that isn't base64 is returned as its own bytes.
 
-    Its reader rejects it then as it does other bytes without meaning, and the items beside it hold.
+    Its reader then rejects that one value, and the other items of the response are still read.
     """
     try:
         return base64.b64decode(text, validate=True)
@@ -305,26 +309,26 @@
 
 
 def _no_answer(method: bytes, sent: bool) -> StoreError:
-    """Return the error of a call without an answer."""
+    """Return the error of a call that got no response."""
     if method == GET or not sent:
-        return StoreError(ErrorCode.STORE_UNAVAILABLE, "the store gave no answer")
+        return StoreError(ErrorCode.STORE_UNAVAILABLE, "the store didn't respond")
     return StoreOutcomeUnknownError(
-        ErrorCode.STORE_OUTCOME_UNKNOWN, "the store gave no answer to a write"
+        ErrorCode.STORE_OUTCOME_UNKNOWN, "the store didn't respond to a write"
     )
 
 
 def _require_ok(answer: _Answer) -> None:
     """Raise unless a call succeeded."""
     if answer.status != OK:
-        message = f"the store answered {answer.status}"
+        message = f"the store responded with status {answer.status}"
         raise StoreError(ErrorCode.STORE_UNAVAILABLE, message)
 
 
 def _decode(answer: _Answer, document: type[Document]) -> Document:
-    """Return the document of an answer."""
+    """Return the document of a response."""
     _require_ok(answer)
     try:
         return msgspec.json.decode(answer.body, type=document)
     except msgspec.DecodeError as error:
-        message = f"the store's answer can't be read: {error}"
+        message = f"the store's response can't be decoded: {error}"
         raise StoreError(ErrorCode.STORE_UNAVAILABLE, message) from error
--- a/hopstep/platform/vocabulary.py
+++ b/hopstep/platform/vocabulary.py
@@ -1,6 +1,6 @@
-"""What the adapters read of what others say, and what they leave unread on purpose.
+"""Headers and fields that the adapters read, and those that they ignore on purpose.
 
-A word on neither list is told to whoever listens, so that operators see a new one on its first day.
+One on neither list is reported to a listener, so that operators notice new ones at once.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import msgspec
 
 from hopstep.platform import names
-from hopstep.platform.rejections import FAULTS
+from hopstep.platform.rejections import DECODING_ERRORS
 from hopstep.ports.unknown_words import UnknownWord, UnknownWordListener, WordPlace
 
 READ_HEADERS = frozenset(
@@ -28,12 +28,12 @@
         names.VERSIONS,
     }
 )
-"""Headers of answers that decide something here."""
+"""Response headers of instances and cache stores that are read."""
 
 UNREAD_HEADERS: Mapping[bytes, str] = {
-    b"content-type": "of the body, which is passed on as it is",
-    b"content-encoding": "of the body, which is passed on as it is",
-    b"content-language": "of the body, which is passed on as it is",
+    b"content-type": "of the body, which is forwarded unchanged",
+    b"content-encoding": "of the body, which is forwarded unchanged",
+    b"content-language": "of the body, which is forwarded unchanged",
     b"cache-control": "for the client",
     b"vary": "for the client",
     b"etag": "for the client",
@@ -41,84 +41,84 @@
     b"expires": "for the client",
     b"location": "for the client",
     b"set-cookie": "for the client",
-    b"server": "names a program, and says nothing of its state",
+    b"server": "names a program, not its state",
 }
-"""Headers that are passed on or dropped without being read, with the reason. Those that concern one
-connection (``names.PER_CONNECTION``) belong to the HTTP library."""
+"""Headers that are forwarded or dropped without being read, with the reason. Hop-by-hop headers
+(``names.PER_CONNECTION``) are left to the HTTP library."""
 
 UNREAD_STORE_HEADERS: Mapping[bytes, str] = {
     b"content-type": "always JSON",
     b"date": "clocks of two machines differ",
-    b"server": "names a program, and says nothing of its state",
-    names.RETRY_AFTER: "the store's pages give it no meaning; callers back off by themselves",
+    b"server": "names a program, not its state",
+    names.RETRY_AFTER: "the store's documentation gives it no meaning; callers back off anyway",
 }
-"""The same for answers of the store."""
+"""Headers of the store's responses that aren't read, with the reason."""
 
 READ_STORE_HEADERS = frozenset({names.STORE_ERA})
-"""Headers of the store's answers that are read."""
+"""Headers of the store's responses that are read."""
 
 KNOWN_HEADERS: Mapping[WordPlace, Set[bytes]] = {
     WordPlace.ANSWER_HEAD: READ_HEADERS | UNREAD_HEADERS.keys() | names.PER_CONNECTION,
     WordPlace.STORE_HEAD: READ_STORE_HEADERS | UNREAD_STORE_HEADERS.keys() | names.PER_CONNECTION,
 }
 
-NOT_USED = "what it is for isn't used here"
-SEEN_OTHERWISE = "known from what this node sends and hears itself"
-BY_REQUESTS = "an instance's health shows in its answers"
+NOT_USED = "hopstep doesn't use the feature"
+KNOWN_OTHERWISE = "known from the node's own requests and the responses to them"
+HEALTH_BY_REQUESTS = "an instance's health shows in its responses"
 
 UNREAD_FIELDS: Mapping[WordPlace, Mapping[str, str]] = {
     WordPlace.CONFIGURATION: {
-        "routes.stickySessions": "prompts meet where their segments are kept",
-        "routes.targetGapMs": "events are passed on as they come",
-        "services.healthCheckPath": BY_REQUESTS,
+        "routes.stickySessions": "prompts are routed by cached segments instead",
+        "routes.targetGapMs": "events are forwarded as they arrive",
+        "services.healthCheckPath": HEALTH_BY_REQUESTS,
         "services.protocol": "instances speak HTTP/1.1",
         "services.tlsEnabled": "instances speak plain HTTP",
-        "services.maxConcurrent": "readers of events are shared out among nodes, one an engine",
-        "services.engine.maxConcurrent": "as above",
+        "services.maxConcurrent": "one node reads the events of each engine",
+        "services.engine.maxConcurrent": "one node reads the events of each engine",
         "services.engine.backups": NOT_USED,
         "services.engine.migrations": NOT_USED,
         "services.engine.stride": NOT_USED,
         "services.engine.pinDurationMs": NOT_USED,
         "services.engine.holdMs": NOT_USED,
         "services.engine.handle_s": NOT_USED,
-        "limits.maxHeaderBytes": "the HTTP library has its own bound",
-        "limits.headerTimeoutMs": "the HTTP library has its own bound",
-        "limits.idleTimeoutMs": "the HTTP library has its own bound",
+        "limits.maxHeaderBytes": "the HTTP library has its own limit",
+        "limits.headerTimeoutMs": "the HTTP library has its own limit",
+        "limits.idleTimeoutMs": "the HTTP library has its own limit",
     },
     WordPlace.ENTRY: {"models.adapters": "no route names an adapter"},
     WordPlace.REPORT: {
-        "stage": "all engines read and write",
+        "stage": "all engines both prefill and decode",
         "models.adapters": "no route names an adapter",
-        "queuedRequests": SEEN_OTHERWISE,
-        "activeRequests": SEEN_OTHERWISE,
-        "kvUsed": SEEN_OTHERWISE,
-        "kvTotal": SEEN_OTHERWISE,
+        "queuedRequests": KNOWN_OTHERWISE,
+        "activeRequests": KNOWN_OTHERWISE,
+        "kvUsed": KNOWN_OTHERWISE,
+        "kvTotal": KNOWN_OTHERWISE,
         "handledPrefixes": NOT_USED,
         "pinned": NOT_USED,
         "held": NOT_USED,
     },
     WordPlace.STORE_ANSWER: {
-        "atRevision": "of a single item; its own revision counts",
+        "atRevision": "of a single item, whose own revision is used",
         "items.createdRevision": NOT_USED,
         "items.leaseId": NOT_USED,
         "events.createdRevision": NOT_USED,
         "events.leaseId": NOT_USED,
         "createdRevision": NOT_USED,
         "leaseId": NOT_USED,
-        "ttlMs": "the lease runs for what was asked, or longer",
+        "ttlMs": "the lease lasts for the requested time or longer",
     },
 }
-"""Fields that are left unread, with the reason."""
+"""Fields that aren't read, with the reason."""
 
 
 class Vocabulary:
-    """Tells a listener of words that nothing here reads."""
+    """Reports unrecognized headers and fields to a listener."""
 
     def __init__(self, listener: UnknownWordListener) -> None:
         """Use a listener.
 
         Args:
-            listener: Told of each unknown word, each time.
+            listener: Called for each unrecognized value, also for repeated ones.
         """
         self._listener = listener
 
@@ -129,29 +129,29 @@
         status: int,
         headers: Iterable[tuple[bytes, bytes]],
     ) -> None:
-        """Tell of the unknown headers of an answer."""
+        """Report the unrecognized headers of a response."""
         known = KNOWN_HEADERS[place]
         for name, _value in headers:
             if name.lower() not in known:
-                known_as = name.lower().decode("latin-1")
-                self._listener(UnknownWord(place, known_as, source, status))
+                text = name.lower().decode("latin-1")
+                self._listener(UnknownWord(place, text, source, status))
 
     def note_fields(
         self, place: WordPlace, source: str, value: bytes, shape: type[msgspec.Struct]
     ) -> None:
-        """Tell of the unknown fields of a document that was read.
+        """Report the unrecognized fields of a document that was read.
 
         Args:
-            place: What the document is.
+            place: Kind of the document.
             source: Address or key that it came from.
             value: Its JSON.
-            shape: Type that it was read as.
+            shape: Type that it was decoded as.
         """
         unread = UNREAD_FIELDS.get(place, {})
         try:
             document = msgspec.json.decode(value)
-        except FAULTS:
-            # What was read has none, and unknown parts may be nested too deeply to look at.
+        except DECODING_ERRORS:
+            # Unrecognized parts may be nested too deeply for a decoder without a type.
             return
         for path in unknown_fields(document, shape):
             if path not in unread:
@@ -159,11 +159,11 @@
 
 
 class _Shape(msgspec.Struct):
-    """What a part of a document may hold.
+    """Known structure of a part of a document.
 
     Attributes:
-        fields: Its fields by name; None for what isn't an object.
-        items: What each item of it holds; None for what isn't a list.
+        fields: Structure of its fields by name; None unless it is an object.
+        items: Structure of each item; None unless it is a list.
     """
 
     fields: dict[str, _Shape] | None = None
@@ -171,12 +171,12 @@
 
 
 def unknown_fields(document: Any, shape: type[msgspec.Struct]) -> set[str]:
-    """Return the paths of the fields that a type doesn't have, without the numbers of items."""
+    """Return the paths of the fields that a type doesn't have, without list indexes."""
     return set(_unknown(document, _shape_of(shape), ""))
 
 
 def _unknown(value: Any, shape: _Shape, path: str) -> Iterator[str]:
-    """Yield the paths of unknown fields below a value."""
+    """Yield the paths of the unknown fields within a value."""
     if isinstance(value, list) and shape.items is not None:
         for item in value:
             yield from _unknown(item, shape.items, path)
@@ -192,12 +192,12 @@
 
 @functools.cache
 def _shape_of(struct: type[msgspec.Struct]) -> _Shape:
-    """Return what a document of a type may hold."""
+    """Return the known structure of a type."""
     return _read_shape(msgspec.inspect.type_info(struct))
 
 
 def _read_shape(known: msgspec.inspect.Type) -> _Shape:
-    """Return what a part of a type may hold."""
+    """Return the known structure of a part of a type."""
     if isinstance(known, msgspec.inspect.StructType):
         if known.array_like:
             return _Shape()
--- a/hopstep/platform/weights_lines.py
+++ b/hopstep/platform/weights_lines.py
@@ -1,4 +1,4 @@
-"""Finds the weights version that an event of a stream tells in its first line."""
+"""Finds the weights version that a server-sent event carries in its first line."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 EVENT_BOUNDARY = b"\n\n"
 MAX_LINE_BYTES = 64
-"""A line with a version is shorter; so much of the last piece is looked at again with the next."""
+"""Upper bound of a line with a version; this much data is searched again with the next chunk."""
 
 _LINE = re.compile(EVENT_BOUNDARY + names.VERSIONS + rb": *([0-9]{1,15})\r?\n")
 
 
 class WeightsLines:
-    """Follows one stream, whose pieces may end anywhere."""
+    """Searches one stream, whose chunks may end anywhere."""
 
     def __init__(self) -> None:
-        """Start a stream: its first event has a boundary before it."""
-        self._last = EVENT_BOUNDARY
+        """Start as if a boundary came before the first event."""
+        self._tail = EVENT_BOUNDARY
 
     def feed(self, data: bytes) -> int:
-        """Return the last version that a whole line tells in what has come; 0 for none."""
-        seen = self._last + data
-        self._last = seen[-MAX_LINE_BYTES:]
+        """Return the last version in a complete line of the data received so far; 0 for none."""
+        seen = self._tail + data
+        self._tail = seen[-MAX_LINE_BYTES:]
         if names.VERSIONS not in seen:
             return 0
         found = _LINE.findall(seen)
