--- a/hopstep/ports/__init__.py
+++ b/hopstep/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Abstract interfaces to everything outside the process."""
+"""Abstract interfaces to systems outside the process."""
--- a/hopstep/ports/cache_events.py
+++ b/hopstep/ports/cache_events.py
@@ -1,4 +1,4 @@
-"""Port to the events of caches: what cache stores and engines keep."""
+"""Port to cache events of cache stores and engines: segments stored and dropped."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
     Attributes:
         epoch: Changes when the store or engine restarts empty.
-        position: Where the next call goes on.
+        position: Position from which the next call continues.
         lost: Whether events are missing before these.
         events: Oldest first.
-        born_ms: Unix time in milliseconds of the start of who tells them; 0 when it tells none.
+        born_ms: Unix time in milliseconds at which the sender started; 0 when it names none.
     """
 
     epoch: int
@@ -29,7 +29,7 @@
 
 
 class CacheEvents(abc.ABC):
-    """Reads events."""
+    """Reads cache events."""
 
     @abc.abstractmethod
     async def read(
@@ -39,12 +39,12 @@
         wait_seconds: float,
         hear: NoticeListener = ignore_notice,
     ) -> CacheEventBatch | None:
-        """Return events after a position, waiting for some; None without a usable answer.
+        """Return events after a position, waiting for some; None without a usable response.
 
         Args:
             address: ``ip:port`` of a cache store or an engine.
-            position: Where the last batch ended; 0 at first.
+            position: Position at the end of the last batch; 0 at first.
             wait_seconds: Longest wait for events.
-            hear: Told what the answer's head says of whoever has the address; the batch tells
-                whose life that is.
+            hear: Called with the notice in the response's headers. It is about the instance that
+                has the address now; ``born_ms`` of the batch names its incarnation.
         """
--- a/hopstep/ports/engine.py
+++ b/hopstep/ports/engine.py
@@ -1,7 +1,7 @@
 """Port to inference engines.
 
 Engines batch continuously, cache prompt prefixes per salt, honour priorities, resume and
-cancel streams, publish cache events late and with gaps, report load with a lag and take
+cancel streams, publish cache events late and with gaps, report load with a lag and accept
 fenced orders.
 """
 
@@ -69,7 +69,7 @@
     """One attempt.
 
     Attributes:
-        nonce: Unique name of the attempt; comes back on every frame.
+        nonce: Unique name of the attempt; repeated in every frame.
         model: Model name.
         prompt: Rendered prompt text.
         max_tokens: Longest output.
@@ -77,8 +77,8 @@
         cache_salt: Salt of all block keys: tenant and weights version.
         weights_version: Precondition: the engine refuses with other weights.
         incarnation: Precondition: the engine refuses in another incarnation; empty if the
-            attempt doesn't count on cached state.
-        continued_text: Tokens that an earlier attempt delivered; generation goes on after them.
+            attempt doesn't depend on cached state.
+        continued_text: Tokens that an earlier attempt delivered; generation continues after them.
         kv_cache_store: Address of a KV cache store that may be read for missing blocks and
             written with computed ones; empty for none.
     """
@@ -100,7 +100,7 @@
 
     Attributes:
         nonce: The attempt that they belong to.
-        incarnation: Incarnation of the engine that made them.
+        incarnation: Incarnation of the engine that generated them.
         sequence: Index of the first token in the answer, counted from the start of the answer
             (continued tokens included).
         tokens: Texts of the tokens; may be empty on the last frame.
@@ -117,7 +117,7 @@
 
 
 class CancelOutcome(enum.StrEnum):
-    """What an engine says of a cancelled nonce; it will not start it afterwards."""
+    """State in which an engine found a cancelled nonce; it will not start it afterwards."""
 
     NOT_STARTED = "not_started"
     CANCELLED = "cancelled"
@@ -125,7 +125,7 @@
 
 
 class AttemptStatus(enum.StrEnum):
-    """Where an attempt stands at an engine, in one incarnation."""
+    """State of an attempt at an engine, in one incarnation."""
 
     NOT_SEEN = "not_seen"
     QUEUED = "queued"
@@ -135,12 +135,12 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True):
-    """A fenced order; an engine refuses a fence below the highest that it took.
+    """A fenced order; an engine refuses a fence below the highest that it has accepted.
 
     Attributes:
         fence: Configuration revision that the order follows.
-        weights: Weights version to load by model; empty leaves them.
-        role: Role to take; None leaves it.
+        weights: Weights version to load by model; empty for no change.
+        role: Role to take; None for no change.
     """
 
     fence: int
@@ -151,14 +151,14 @@
 class EnginePort(abc.ABC):
     """Calls to one engine, by its ``ip:port`` address.
 
-    Every method raises ``EngineError``; its ``execution`` is ``NOT_RUN`` only when proved.
+    Every method raises ``EngineError``; its ``execution`` is ``NOT_RUN`` only when that is proved.
     """
 
     @abc.abstractmethod
     def generate(
         self, address: str, request: GenerateRequest
     ) -> contextlib.AbstractAsyncContextManager[AsyncIterator[TokenFrame]]:
-        """Start an attempt and return its frames as they come, unchecked.
+        """Start an attempt and return its frames as they arrive, unchecked.
 
         Entering raises ``EngineError`` when the engine refuses or can't be reached. A stream
         that ends without a frame with ``finish_reason`` was cut off; iteration raises
@@ -169,10 +169,10 @@
     def resume(
         self, address: str, nonce: str, incarnation: str, next_sequence: int
     ) -> contextlib.AbstractAsyncContextManager[AsyncIterator[TokenFrame]]:
-        """Go on with a running or finished attempt from token ``next_sequence``.
+        """Continue a running or finished attempt from token ``next_sequence``.
 
         Raises ``EngineError`` with ``PRECONDITION_FAILED`` when the incarnation differs or
-        the nonce isn't known.
+        the nonce is unknown.
         """
 
     @abc.abstractmethod
@@ -180,25 +180,25 @@
         """Cancel an attempt; afterwards the engine never starts that nonce.
 
         Raises ``EngineError`` with ``PRECONDITION_FAILED`` in another incarnation: then
-        nothing is proved of the earlier one.
+        nothing is proved about the earlier one.
         """
 
     @abc.abstractmethod
     async def fence_nonce(self, address: str, nonce: str, incarnation: str) -> AttemptStatus:
-        """Keep a nonce that was never seen from ever starting, or return its status.
+        """Prevent a nonce that was never seen from ever starting, or return its status.
 
-        ``NOT_SEEN`` means that the nonce had never arrived and is now refused for as long as
-        this incarnation lives: it is proved not to run. An attempt that is fenced or was
-        cancelled before its start answers ``NOT_SEEN`` again, so a repeated call is safe;
-        ``CANCELLED`` is one that had started. Any other status changes nothing.
+        ``NOT_SEEN`` means that the nonce had never arrived and is refused until this incarnation
+        ends: it is proved not to run. For an attempt that is fenced or was cancelled before its
+        start it is returned again, so a repeated call is safe; ``CANCELLED`` is an attempt that
+        had started. Any other status changes nothing.
 
         Raises ``EngineError`` with ``PRECONDITION_FAILED`` in another incarnation: then
-        nothing is proved of the earlier one.
+        nothing is proved about the earlier one.
         """
 
     @abc.abstractmethod
     async def probe(self, address: str) -> EngineFacts:
-        """Return what the engine says of itself."""
+        """Return the engine's report of its own state."""
 
     @abc.abstractmethod
     async def cache_events(
@@ -211,7 +211,7 @@
 
     @abc.abstractmethod
     async def order(self, address: str, order: EngineOrder) -> EngineFacts:
-        """Give a fenced order; returns at once, loading goes on in the engine.
+        """Send a fenced order; returns at once, while the engine loads in the background.
 
         Raises ``EngineError`` with ``PRECONDITION_FAILED`` when the fence is too low.
         """
--- a/hopstep/ports/exchange_front.py
+++ b/hopstep/ports/exchange_front.py
@@ -1,4 +1,4 @@
-"""Port between clients' HTTP and the service that serves routed exchanges."""
+"""Port between the HTTP server for clients and the service that handles their exchanges."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """A request as it was read, before anything is decided.
+    """A client's request without its body, as it was read.
 
     Attributes:
-        request_id: Unique for each attempt of a client; empty when it is missing.
+        request_id: Unique for each attempt of a client; empty when missing.
         method: HTTP method.
-        host: Host that it was sent to.
+        host: Value of the ``Host`` header.
         path: Path as it was sent.
         target: Raw path and query.
-        headers: Headers that are passed on.
+        headers: Headers that are forwarded.
         key: API key; empty for none.
-        patience_seconds: How long the client waits; None when it doesn't say.
-        prompt: What it says of its prompt.
-        resume_after: Last event that the client has.
-        received_at: When its head was read.
-        usage_tokens: Tokens of its prompt and longest answer; None when it doesn't say.
+        patience_seconds: Timeout of the client, from the start; None when it names none.
+        prompt: Description of its prompt; None when it names no model.
+        resume_after: Id of the last event that the client has; empty for none.
+        received_at: Clock time in seconds at which its head was read.
+        usage_tokens: Tokens of its prompt and longest answer; None when it names none.
     """
 
     request_id: str
@@ -42,7 +42,7 @@
 
 
 class ClientAnswer(abc.ABC):
-    """The answer as the client gets it."""
+    """The response to a client."""
 
     @abc.abstractmethod
     async def start(self, status: int, headers: Headers, length: int | None) -> None:
@@ -50,24 +50,24 @@
 
     @abc.abstractmethod
     async def send(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """End the answer as whole; without this call it ends as cut off."""
+        """End the response as complete; without this call the client sees it cut off."""
 
 
 class ExchangeHandler(abc.ABC):
-    """Serves requests."""
+    """Handles clients' requests."""
 
     @abc.abstractmethod
     def max_body_bytes(self) -> int:
-        """Return the longest body that is read into memory."""
+        """Return the size of the longest body that is read into memory, in bytes."""
 
     @abc.abstractmethod
     async def serve(self, head: RequestHead, body: bytes, answer: ClientAnswer) -> None:
         """Serve one request.
 
         Raises:
-            ServiceError: When nothing of an answer was sent.
+            ServiceError: When the request failed before any part of a response was sent.
         """
--- a/hopstep/ports/instance_calls.py
+++ b/hopstep/ports/instance_calls.py
@@ -1,4 +1,4 @@
-"""Port to instances of services: requests passed to them, and their answers."""
+"""Port to instances of services: forwarded requests, and their responses."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class InstanceCallError(PortError):
-    """An instance gave no whole answer.
+    """A request to an instance got no complete response.
 
     Args:
         code: Stable code.
         message: One sentence.
-        execution: Not run only when that is proved.
-        sent: Whether any byte of the request may have left.
-        stale_version: Whether the instance itself says that its weights have another version.
-        replaced: Whether another incarnation answers at its address, so that it has ended.
-        withdrawn: Whether nothing was sent because ``InstanceCall.may_send`` said so.
+        execution: ``NOT_RUN`` only when that is proved.
+        sent: Whether any byte of the request may have been sent.
+        stale_version: Whether the instance itself refused because its weights have another version.
+        replaced: Whether another incarnation answered at its address, so that it has terminated.
+        withdrawn: Whether nothing was sent because ``InstanceCall.may_send`` returned False.
     """
 
     def __init__(
@@ -48,10 +48,10 @@
 
 
 def withdrawn_call() -> InstanceCallError:
-    """Return the error of a call that wasn't sent because ``InstanceCall.may_send`` said so."""
+    """Return the error of a call that ``InstanceCall.may_send`` kept from being sent."""
     return InstanceCallError(
         ErrorCode.OVERLOADED,
-        "the instance leaves or wants rest",
+        "the instance is shutting down or backing off",
         Execution.NOT_RUN,
         sent=False,
         withdrawn=True,
@@ -59,10 +59,10 @@
 
 
 class SendProof(msgspec.Struct):
-    """Tells what has left while a call is under way.
+    """Shows, while a call is in progress, whether its request was sent.
 
     Attributes:
-        sent: Whether any byte of the request may have left.
+        sent: Whether any byte of the request may have been sent.
     """
 
     sent: bool = False
@@ -72,19 +72,19 @@
     """One attempt of a request.
 
     Attributes:
-        instance: Where it goes; another incarnation at its address must not run it.
+        instance: Its target; another incarnation at its address must not run it.
         request: The request.
-        remaining_seconds: Time after which the instance should stop.
+        remaining_seconds: Time in seconds after which the instance should stop.
         priority: 0 (first) to 9; None for none.
         resume_after: Last event that the client has; empty for a new stream.
         expected_version: Weights version that the instance must have; 0 for any.
-        cache_salt: Text under which segments are kept; empty for none.
-        cache_source: ``ip:port`` from which kept segments are brought; empty for none.
-        cache_target: ``ip:port`` of a cache store that gets the segments; empty for none.
-        proof: Set by the adapter as the request leaves.
-        hear: Told what the instance's own answer says of it, also when that is a refusal.
-        may_send: Asked right before the first byte leaves, which may be long after the choice:
-            while a connection is made the instance may say that it leaves or wants rest.
+        cache_salt: Salt of the cached segments; empty for none.
+        cache_source: ``ip:port`` from which cached segments are imported; empty for none.
+        cache_target: ``ip:port`` of a cache store that segments are exported to; empty for none.
+        proof: Set by the adapter as the request is sent.
+        hear: Called with the notice in the instance's own response, also if that is a refusal.
+        may_send: Called right before the first byte is sent; False withdraws the call. While its
+            connection is made the instance may announce a shutdown or a backoff.
     """
 
     instance: Instance
@@ -102,13 +102,13 @@
 
 
 class InstanceAnswer(abc.ABC):
-    """The head of an answer, and its body as it comes.
+    """The head of a response, and its body as it arrives.
 
     Attributes:
         status: HTTP status.
-        headers: Headers that are passed back.
-        signed: Whether the answer carries the instance's signature.
-        weights_version: Version that the answer names, in its head or with an event that has come
+        headers: Headers that are forwarded to the client.
+        signed: Whether the response carries the instance's signature.
+        weights_version: Version that the response names, in its head or with an event received
             since; 0 for none.
     """
 
@@ -122,7 +122,7 @@
         """Yield the body.
 
         Raises:
-            InstanceCallError: When it broke off or isn't proved whole.
+            InstanceCallError: When it was cut off or isn't proved complete.
         """
 
 
@@ -134,21 +134,21 @@
         """Send a request; leaving the context early cancels it at the instance.
 
         Raises:
-            InstanceCallError: When there is no answer to this request, or the instance says
+            InstanceCallError: When there is no response to this request, or the instance states
                 that it hasn't run it.
         """
 
     @abc.abstractmethod
     async def look(self, instance: Instance) -> InstanceSign:
-        """Return whether something listens at an instance's address, or it has surely ended."""
+        """Try to connect to an instance; return whether it listens or has surely terminated."""
 
     @abc.abstractmethod
     def idle_addresses(self) -> set[str]:
-        """Return the addresses with connections on which no request is under way."""
+        """Return the addresses with connections but without requests in progress."""
 
     @abc.abstractmethod
     async def drop_idle(self, address: str) -> None:
-        """Make later requests to an address on new connections: idle ones may be silent."""
+        """Close the idle connections to an address, which may have become unresponsive."""
 
     @abc.abstractmethod
     async def forget(self, address: str) -> None:
--- a/hopstep/ports/key_value_store.py
+++ b/hopstep/ports/key_value_store.py
@@ -3,9 +3,9 @@
 The service is small, rate-limited, and has outages. When it is down every method raises
 ``StoreError`` at once or after the adapter's timeout; nothing blocks for longer.
 
-It may come back from a copy that is some seconds old: what was written since is gone, leases too,
-and revisions and leases are given out again. Versions and leases therefore carry the era of the
-answer that named them; a condition is checked by the service against the revision alone.
+It may be restored from a backup that is some seconds old: later writes and leases are lost, and
+their revisions and lease names are assigned again. Versions and leases therefore carry the era of
+the response that named them; the service checks a condition against the revision alone.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
     Attributes:
         key: Key.
         value: Bytes.
-        version: Place of the last write to this key, after ``ABSENT``. Its era is that of the
-            answer: the write itself may have been made in an earlier one.
+        version: Store position of the last write to this key, after ``ABSENT``. Its era is that
+            of the response: the write itself may have been made in an earlier one.
     """
 
     key: str
@@ -39,10 +39,10 @@
 
 
 class WatchBatch(msgspec.Struct, frozen=True):
-    """Changed keys since a place; deleted keys have an empty value.
+    """Changed keys since a store position; deleted keys have an empty value.
 
     Attributes:
-        place: Place up to which the batch reaches.
+        place: Store position up to which the batch reaches.
         values: Changed values, oldest first. A watch may lose changes: readers list again
             from time to time.
     """
@@ -52,12 +52,12 @@
 
 
 class StoreListing(msgspec.Struct, frozen=True):
-    """All values below a prefix, with the place from which a watch goes on.
+    """All values below a prefix, with the store position from which a watch continues.
 
     Attributes:
-        place: No change after it is missing from a watch that starts here; values may already
-            hold later ones.
-        values: Values by key.
+        place: Store position; a watch that starts here shows every later change, of which
+            ``values`` may already contain some.
+        values: Values in the order of their keys.
     """
 
     place: StorePlace
@@ -69,13 +69,13 @@
 
     All methods raise ``StoreError`` (no effect: unavailable or rate-limited). Writes raise
     ``StoreConflictError`` when the expected version differs and ``StoreOutcomeUnknownError``
-    when the answer was lost after sending, or when the service was restored from a copy between
-    what the write relies on and the write.
+    when the response was lost after sending, or when the service was restored from a backup between
+    the read or grant that the write relies on and the write.
     """
 
     @abc.abstractmethod
     async def get(self, key: str) -> StoredValue | None:
-        """Return the value of ``key`` or None; may be stale after an outage."""
+        """Return the value of ``key``, or None; it may be stale after an outage."""
 
     @abc.abstractmethod
     async def list(self, prefix: str, after_key: str = "", limit: int = 1000) -> list[StoredValue]:
@@ -107,21 +107,21 @@
 
     @abc.abstractmethod
     async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
-        """Return changes below ``prefix`` after a place, waiting up to ``wait_seconds``.
+        """Return changes below ``prefix`` after a store position, waiting up to ``wait_seconds``.
 
         Raises:
-            StoreHistoryLostError: When the service doesn't have the place, or has forgotten these
-                changes; list again.
+            StoreHistoryLostError: When the service doesn't have the position, or no longer has
+                these changes; list again.
         """
 
     async def listing(self, prefix: str) -> StoreListing:
-        """Return all values below ``prefix``, page by page, and where a watch goes on.
+        """Return all values below ``prefix``, page by page, and where a watch continues.
 
-        Adapters whose service tells its revision override this; here it is the highest one seen
+        Adapters whose service reports its revision override this; here it is the highest one seen
         on the first page, which is never too high.
 
         Raises:
-            StoreHistoryLostError: When the service was restored meanwhile; list again.
+            StoreHistoryLostError: When the service was restored between pages; list again.
         """
         values: list[StoredValue] = []
         place: StorePlace | None = None
@@ -134,32 +134,32 @@
 
     @abc.abstractmethod
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
-        """Return a new lease; keys bound to it vanish when it lapses."""
+        """Return a new lease; keys bound to it are deleted when it expires."""
 
     @abc.abstractmethod
     async def keep_alive(self, lease: StoreLease) -> None:
-        """Renew a lease; raises ``StoreConflictError`` when it has lapsed or is of another era.
+        """Renew a lease; raises ``StoreConflictError`` when it has expired or is of another era.
 
         The latter is a ``StoreRestoredError``.
         """
 
     async def reconnect(self) -> None:  # noqa: B027 - optional
-        """Leave connections that may have fallen silent; adapters without any do nothing."""
+        """Close connections that may be unresponsive; adapters without any do nothing."""
 
     async def end_lease(self, lease: StoreLease) -> None:  # noqa: B027 - optional
-        """End a lease early, with its keys; services without such a call let it lapse."""
+        """End a lease early and delete its keys; without such a call it just expires."""
 
 
 def require_era(expected: int, era: int) -> None:
-    """Raise ``StoreHistoryLostError`` unless an answer is of the era that a reader goes on from."""
+    """Raise ``StoreHistoryLostError`` unless a response is of the era that its reader expects."""
     if era != expected:
         raise StoreHistoryLostError(
-            ErrorCode.STORE_HISTORY_LOST, f"an answer of era {era} in place of {expected}"
+            ErrorCode.STORE_HISTORY_LOST, f"the response is of era {era}, not {expected}"
         )
 
 
 def require_lease_era(lease: StoreLease, era: int) -> None:
-    """Raise ``StoreRestoredError`` unless a renewal's answer is of the lease's own era."""
+    """Raise ``StoreRestoredError`` unless a renewal's response is of the lease's own era."""
     if era != lease.era:
         raise StoreRestoredError(
             ErrorCode.STORE_CONFLICT, f"the lease was granted in era {lease.era}, not in {era}"
@@ -167,14 +167,15 @@
 
 
 def require_write_era(expected_version: StorePlace, lease: StoreLease | None, era: int) -> None:
-    """Raise ``StoreOutcomeUnknownError`` unless a write was done in the era that it relies on.
+    """Raise ``StoreOutcomeUnknownError`` unless a write was made in the era that it relies on.
 
-    Done in another one it may have overwritten something else, or be bound to another's lease.
+    In another era it may have overwritten another value, or be bound to another client's lease.
     """
-    relied = [lease.era] if lease is not None else []
+    relied_eras = [lease.era] if lease is not None else []
     if expected_version != ABSENT:
-        relied.append(expected_version.era)
-    if any(relied_era != era for relied_era in relied):
+        relied_eras.append(expected_version.era)
+    if any(relied_era != era for relied_era in relied_eras):
         raise StoreOutcomeUnknownError(
-            ErrorCode.STORE_OUTCOME_UNKNOWN, f"the write was done in era {era}"
+            ErrorCode.STORE_OUTCOME_UNKNOWN,
+            f"the write was made in era {era}, not in the one it relies on",
         )
--- a/hopstep/ports/machine_list.py
+++ b/hopstep/ports/machine_list.py
@@ -9,7 +9,7 @@
 
 
 class MachineState(enum.StrEnum):
-    """State of a machine as the platform last saw it."""
+    """State of a machine when the platform last checked it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,7 +20,7 @@
 
     Attributes:
         address: ``ip:port`` of the process on it.
-        state: Live or leaving.
+        state: Live, or about to shut down.
     """
 
     address: str
--- a/hopstep/ports/node_exchange.py
+++ b/hopstep/ports/node_exchange.py
@@ -1,7 +1,7 @@
-"""Port to datagrams between nodes: queries to a relay, its answers, digests, urgent news.
+"""Port to datagrams between nodes: queries to a relay, its answers, digests, urgent updates.
 
-Datagrams may be lost, late, repeated and out of order. Messages that aren't signed by a registered
-node are dropped by the adapter.
+Datagrams may be lost, delayed, repeated and out of order. The adapter drops messages that aren't
+signed by a registered node.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class SegmentNews(msgspec.Struct, frozen=True, array_like=True):
-    """What has changed in the segments that an instance keeps.
+    """Changes of the segments that an instance has cached.
 
     Attributes:
-        life: The instance's life, as ``str(InstanceLife)``.
+        life: The instance's incarnation, as ``str(InstanceLife)``.
         sent: Segments of a prompt that was sent to it, or that its cache events report.
-        read_ms: Expected time until it has read them.
-        dropped: Digests of segments that it doesn't keep.
+        read_ms: Expected time in milliseconds until it has prefilled them.
+        dropped: Digests of segments that it hasn't cached.
     """
 
     life: str
@@ -47,18 +47,18 @@
 
 
 class LoadingEngine(msgspec.Struct, frozen=True, array_like=True):
-    """An engine that is loading weights, by its life, and for how much longer at least."""
+    """An engine that is loading weights, by its incarnation, and for how much longer at least."""
 
     life: str
     milliseconds: int
 
 
 class LeavingInstance(msgspec.Struct, frozen=True, array_like=True):
-    """A life of an instance that has said in an answer that it leaves.
+    """An incarnation of an instance that has announced that it is about to shut down.
 
     Attributes:
         life: As ``str(InstanceLife)``.
-        age_ms: Time since it said so first to any node.
+        age_ms: Milliseconds since its first announcement to any node.
     """
 
     life: str
@@ -66,14 +66,14 @@
 
 
 class LimitedInstance(msgspec.Struct, frozen=True, array_like=True):
-    """What a life of an instance has said last of its limit, in an answer to any node.
+    """The last notice of its limit that an incarnation of an instance sent to any node.
 
     Attributes:
         life: As ``str(InstanceLife)``.
-        per_second_milli: Thousandths of a request a second, from all nodes together;
-            ``LIMIT_LIFTED`` when it names no limit any more.
-        asked_ms: Time since its request was sent, and so at most since its head was made.
-        heard_ms: Time since the head was read, and so at least since it was made.
+        per_second_milli: Thousandths of a request per second, from all nodes together;
+            ``LIMIT_LIFTED`` when it no longer announces a limit.
+        asked_ms: Milliseconds since the request was sent: upper bound of the notice's age.
+        heard_ms: Milliseconds since the response's head was read: lower bound of its age.
     """
 
     life: str
@@ -83,16 +83,17 @@
 
 
 LIMIT_LIFTED = -1
+"""``per_second_milli`` of an instance that no longer announces a limit."""
 
 
 class GrantedPermits(msgspec.Struct, frozen=True, array_like=True):
-    """Permits to send to an instance that has named a limit.
+    """Permits to send requests to an instance that has announced a limit.
 
     Attributes:
         life: As ``str(InstanceLife)``.
-        count: How many.
-        valid_ms: For so long they may be used.
-        relay: The relay that they are for; empty in an answer, where they are for who asked.
+        count: Number of permits.
+        valid_ms: Milliseconds for which they may be used.
+        relay: The relay that they are for; empty in an answer, where they are for the asker.
     """
 
     life: str
@@ -106,7 +107,7 @@
 
     Attributes:
         segments: The instance, and the prompt's shared segments.
-        tokens: Tokens that it has to read.
+        tokens: Tokens that it has to prefill.
     """
 
     segments: SegmentNews
@@ -114,18 +115,19 @@
 
 
 class Hints(msgspec.Struct, frozen=True, array_like=True):
-    """What nodes tell of instances; it may be old or missing.
+    """Reports of nodes about instances; they may be outdated or missing.
 
     Attributes:
         loads: Loads; instances that aren't named have none.
-        segments: Changes of kept segments since the last message.
+        segments: Changes of cached segments since the last message.
         loading: Engines that load weights.
-        usage: What tenants with quotas have used; see ``nodes`` for where.
-        nodes: Nodes whose usage is told: the sender, its group, or all.
-        leaving: Instances that have said that they leave, while the directory lists them as ready.
-        limits: Limits that instances have named, or lifted lately.
-        sends: What was sent to limited instances, by life, and what waits for permits; of the same
-            nodes as ``usage``.
+        usage: Usage of tenants with quotas, at the nodes that ``nodes`` counts.
+        nodes: Number of nodes whose usage is reported: the sender, its group, or all.
+        leaving: Instances that have announced their shutdown while the directory lists them as
+            ready.
+        limits: Limits that instances have announced, or lifted lately.
+        sends: Requests sent to limited instances, by incarnation, and those that wait for permits;
+            of the same nodes as ``usage``.
         permits: Permits to send to them.
     """
 
@@ -141,18 +143,18 @@
 
 
 class RelayQuery(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """A node asks another one for what has changed.
+    """A node's query for changes since its last known state.
 
     Attributes:
         number: Rises with each query of the process; the answer repeats it.
         revision: The node has all changes of the directory up to it; -1 for none.
-        feed: Identity of the feed of segment news that ``position`` belongs to.
-        position: News up to it are known.
-        hints: The node's own, told to its relay only; None for a node that just looks for news.
-        contents: How far the node knows each cache store.
+        feed: Identity of the feed of segment updates that ``position`` belongs to.
+        position: Position in the feed up to which the node has all updates.
+        hints: The node's own hints, for its relay only; None for a query without hints.
+        contents: Position up to which the node has the events of each cache store.
         era: Era of ``revision``.
         configuration: Version of the configuration that the node has; 0 for none.
-        weights: Digest of the named weights that it knows; see ``WeightsBook``.
+        weights: Digest of the named weights that it has; see ``WeightsBook``.
     """
 
     number: int
@@ -167,12 +169,12 @@
 
     @property
     def place(self) -> StorePlace:
-        """Place up to which the node has all changes; ``NOWHERE`` for none."""
+        """Store position up to which the node has all changes; ``NOWHERE`` for none."""
         return StorePlace(self.era, self.revision) if self.revision >= 0 else NOWHERE
 
 
 class ToldRecord(msgspec.Struct, frozen=True, tag="RecordWritten"):
-    """A ``RecordWritten`` as nodes tell it; its era is that of the entry."""
+    """A ``RecordWritten`` as nodes send it; its era is that of the entry."""
 
     key: str
     value: bytes
@@ -191,7 +193,7 @@
 
 
 class ToldEntry(msgspec.Struct, frozen=True):
-    """A ``DirectoryEntry`` as nodes tell it.
+    """A ``DirectoryEntry`` as nodes send it.
 
     Attributes:
         key: Name of the key.
@@ -207,20 +209,20 @@
 
     @classmethod
     def of(cls, entry: DirectoryEntry) -> ToldEntry:
-        """Return what is told of an entry."""
+        """Return the message form of an entry."""
         change = entry.change
-        told: ToldChange
+        sent: ToldChange
         if isinstance(change, RecordWritten):
-            told = ToldRecord(change.key, change.value, change.version.revision)
+            sent = ToldRecord(change.key, change.value, change.version.revision)
         else:
-            told = change
-        return cls(entry.key, entry.place.revision, told, entry.place.era)
+            sent = change
+        return cls(entry.key, entry.place.revision, sent, entry.place.era)
 
     def read(self, era: int) -> DirectoryEntry:
-        """Return the entry that was told.
+        """Return the directory entry.
 
         Args:
-            era: Era to take it for; the told one unless its teller tells none.
+            era: Era to assign; the received one unless the sender names none.
         """
         place = StorePlace(era, self.revision)
         change = self.change
@@ -231,11 +233,11 @@
 
 
 class RelayedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A change of the directory.
+    """A change of the directory, and its age.
 
     Attributes:
         entry: The change.
-        age_ms: Time since the earliest moment at which it may have been acknowledged.
+        age_ms: Milliseconds since the earliest time at which it may have been acknowledged.
     """
 
     entry: ToldEntry
@@ -249,23 +251,23 @@
         number: Number of the query.
         after: Revision that the query named.
         revision: With ``entries`` the asker has all changes up to it.
-        age_ms: Age of what the answering node knows; -1 when it knows nothing.
-        complete: Whether ``revision`` is the newest that the answering node knows.
-        beyond_reach: Whether the asker must read the store itself to get further.
+        age_ms: Age in milliseconds of the answering node's state; -1 when it has none.
+        complete: Whether ``revision`` is the newest that the answering node has.
+        beyond_reach: Whether the asker must read the store itself to get further changes.
         entries: Changes, oldest first.
-        feed: Identity of the feed of segment news.
-        position: Position behind the news in ``hints``.
+        feed: Identity of the feed of segment updates.
+        position: Position in the feed after the updates in ``hints``.
         hints: Of all nodes but the asker; empty when the query had none.
-        contents: What the asker doesn't know of the cache stores.
-        silence_ms: Time since the store last answered whoever read what the answering node knows;
-            -1 when that never happened.
+        contents: Updates of the cache stores' contents that the asker doesn't have.
+        silence_ms: Milliseconds since the store last responded to the node whose read the answer is
+            based on; -1 when it never did.
         after_era: Era of ``after``.
         era: Era of ``revision``.
-        keys_age_ms: Time since no key can have been taken away without the answering node's
-            knowledge; -1 when it knows none, or its version doesn't tell.
+        keys_age_ms: Milliseconds since the time up to which the answering node has seen every
+            deletion of a key; -1 when it has no such time, or its version doesn't report it.
         configuration: Version of its configuration; 0 for none.
-        newer: Configuration and weights that the asker doesn't know by what its query said, though
-            ``entries`` may not have them: a store restored from a copy doesn't show them.
+        newer: Configuration and weights that the asker lacks according to its query, though
+            ``entries`` may not contain them: a store restored from a backup doesn't show them.
     """
 
     number: int
@@ -288,12 +290,12 @@
 
     @property
     def after_place(self) -> StorePlace:
-        """Place that the query named."""
+        """Store position that the query named."""
         return StorePlace(self.after_era, self.after) if self.after >= 0 else NOWHERE
 
     @property
     def place(self) -> StorePlace:
-        """With ``entries`` the asker has all changes up to it."""
+        """Store position up to which the asker has all changes with ``entries``."""
         return StorePlace(self.era, self.revision) if self.revision >= 0 else NOWHERE
 
 
@@ -302,7 +304,7 @@
 
     Attributes:
         number: Rises with each digest of the process.
-        hints: Of the relay and the nodes that ask it.
+        hints: Of the relay and the nodes that query it.
     """
 
     number: int
@@ -310,13 +312,13 @@
 
 
 class UrgentNews(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """What changes the choices of all nodes at once; passed on by relays.
+    """Updates that change the routing of all nodes at once; forwarded by relays.
 
     Attributes:
         number: Rises with each message of the process.
-        prompts: Long prompts, in addition to the loads that were told.
+        prompts: Long prompts, in addition to the loads that were reported.
         loading: Engines that are about to load weights.
-        crashes: Requests under which instances have ended.
+        crashes: Requests during which instances have crashed.
     """
 
     number: int
@@ -336,15 +338,15 @@
 
 
 class MessageTooLongError(Exception):
-    """A message that doesn't fit into a datagram."""
+    """A message doesn't fit into a datagram."""
 
 
 class NodeExchange(abc.ABC):
-    """Sends and receives messages."""
+    """Sends messages to nodes and receives theirs."""
 
     @abc.abstractmethod
     async def send(self, message: NodeMessage, node: NodeRecord) -> None:
-        """Send a message; losses go unnoticed.
+        """Send a message; losses aren't detected.
 
         Raises:
             MessageTooLongError: When it can't be sent as one datagram.
--- a/hopstep/ports/peer_configuration.py
+++ b/hopstep/ports/peer_configuration.py
@@ -1,4 +1,4 @@
-"""Port for taking configuration revisions from another router."""
+"""Port for fetching configuration revisions from another router."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
     @abc.abstractmethod
     async def fetch(self, peer: str, after_revision: int) -> ConfigurationTransfer:
-        """Return what leads from ``after_revision`` to the revision that ``peer`` holds.
+        """Return the changes from ``after_revision`` to the revision that ``peer`` has.
 
         Args:
             peer: Name of the peer.
-            after_revision: Revision that the caller holds; 0 for none.
+            after_revision: Revision that the caller has; 0 for none.
 
         Raises:
-            PeerMessageError: When the peer can't be reached or its answer can't be trusted.
+            PeerMessageError: When the peer can't be reached or its response isn't authentic.
         """
--- a/hopstep/ports/peer_transport.py
+++ b/hopstep/ports/peer_transport.py
@@ -1,4 +1,4 @@
-"""Port to other routers: authenticated datagrams that may be lost, late or doubled."""
+"""Port to other routers: authenticated datagrams that may be lost, delayed or duplicated."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReceivedMessage(msgspec.Struct, frozen=True):
-    """An authenticated message and where it came from.
+    """An authenticated message and its source.
 
     Attributes:
         message: The message.
@@ -22,12 +22,12 @@
 
 
 class PeerTransport(abc.ABC):
-    """Sends and receives messages of one member."""
+    """Sends and receives messages for one member."""
 
     @property
     @abc.abstractmethod
     def address(self) -> str:
-        """``ip:port`` that peers send to."""
+        """``ip:port`` to which peers send."""
 
     @abc.abstractmethod
     def use_incarnation(self, incarnation: int) -> None:
@@ -35,14 +35,14 @@
 
     @abc.abstractmethod
     def encoded_size(self, value: msgspec.Struct) -> int:
-        """Return the bytes that a body or a part of one takes on the wire."""
+        """Return the encoded size in bytes of a body, or of a part of one."""
 
     @abc.abstractmethod
     async def send(self, address: str, body: Body) -> int:
         """Send a message; a network failure loses it silently.
 
         Returns:
-            Bytes sent, IP and UDP headers included; 0 when nothing was.
+            Bytes sent, IP and UDP headers included; 0 when nothing was sent.
         """
 
     @abc.abstractmethod
@@ -51,7 +51,7 @@
 
         Raises:
             PeerMessageError: When a datagram is truncated, forged, replayed, too old or from
-                another cluster. The next call goes on with the next datagram.
+                another cluster. The next call continues with the next datagram.
         """
 
     @abc.abstractmethod
--- a/hopstep/ports/serving_directory.py
+++ b/hopstep/ports/serving_directory.py
@@ -1,4 +1,4 @@
-"""Port to what operators and instances publish in the store.
+"""Port to the documents that operators and instances publish in the store.
 
 When the store is down both methods raise ``StoreError``, at once or after a time limit.
 """
@@ -28,7 +28,7 @@
 
 
 class InstanceRemoved(msgspec.Struct, frozen=True, tag=True):
-    """An instance's entry is gone."""
+    """An instance's entry was deleted."""
 
     instance_id: str
 
@@ -40,12 +40,12 @@
 
 
 class RecordWritten(msgspec.Struct, frozen=True, tag=True):
-    """A key of hopstep's own changed.
+    """One of hopstep's own keys changed.
 
     Attributes:
         key: The key.
-        value: Its value; empty when it is gone.
-        version: Place of the change.
+        value: Its value; empty when it was deleted.
+        version: Store position of the change.
     """
 
     key: str
@@ -54,7 +54,7 @@
 
 
 class RejectReason(enum.StrEnum):
-    """Kinds of faults in a document of others."""
+    """Kinds of faults in a document that another program wrote."""
 
     UNREADABLE = "unreadable"
     FIELD_MISSING = "field_missing"
@@ -63,13 +63,13 @@
 
 
 class InstanceRejected(msgspec.Struct, frozen=True, tag=True):
-    """An entry that names no instance to use: also one that was used before is so no longer.
+    """An invalid entry; an instance that was used under this key is no longer used.
 
     Attributes:
-        instance_id: Id of the key.
+        instance_id: Id in the key.
         reason: Kind of fault.
         field: Field at fault; empty when there is none.
-        detail: What was expected, for a person.
+        detail: What was expected, as text for operators.
     """
 
     instance_id: str
@@ -79,13 +79,13 @@
 
 
 class Unreadable(msgspec.Struct, frozen=True, tag=True):
-    """Another document that can't be read; what was known before it stays in force.
+    """Another document that can't be read; the version before it stays in force.
 
     Attributes:
         key: The key.
         reason: Kind of fault.
         field: Field at fault; empty when there is none.
-        detail: What was expected, for a person.
+        detail: What was expected, as text for operators.
     """
 
     key: str
@@ -109,8 +109,8 @@
     """The newest change of one key.
 
     Attributes:
-        key: Name of the key; the same one for all changes of it.
-        place: Place of the change, in the era of the answer that showed it.
+        key: Name of the key; the same one for all its changes.
+        place: Store position of the change, in the era of the response that showed it.
         change: The change.
     """
 
@@ -120,14 +120,14 @@
 
     @property
     def removed(self) -> bool:
-        """Whether the key is gone."""
+        """Whether the key was deleted."""
         change = self.change
         return isinstance(change, InstanceRemoved) or (
             isinstance(change, RecordWritten) and not change.value
         )
 
     def as_removed(self, place: StorePlace) -> DirectoryEntry | None:
-        """Return the entry after its key is gone; None for keys that are never removed."""
+        """Return the entry after its key is deleted; None for keys that are never removed."""
         change: DirectoryChange
         if isinstance(self.change, InstanceListed):
             change = InstanceRemoved(self.change.instance.instance_id)
@@ -141,10 +141,10 @@
 
 
 class DirectoryBatch(msgspec.Struct, frozen=True):
-    """Entries up to a place.
+    """Entries up to a store position.
 
     Attributes:
-        place: Changes after it are still to come.
+        place: Store position; later changes aren't included.
         entries: Entries, in any order.
     """
 
@@ -159,17 +159,17 @@
 
     @abc.abstractmethod
     async def snapshot(self) -> DirectoryBatch:
-        """Return all entries; what isn't among them doesn't exist."""
+        """Return all entries; a key that isn't among them doesn't exist."""
 
     @abc.abstractmethod
     async def reconnect(self) -> None:
-        """Make later calls on new connections: those that are open may have fallen silent."""
+        """Make later calls on new connections: the open ones may be unresponsive."""
 
     @abc.abstractmethod
     async def changes(self, after: StorePlace, wait_seconds: float) -> DirectoryBatch:
-        """Return changes after a place as soon as there are any, or none after the wait.
+        """Return changes after a store position as soon as there are any, or none after the wait.
 
         Raises:
-            StoreHistoryLostError: When the store doesn't have the place, or no longer knows the
+            StoreHistoryLostError: When the store doesn't have the position, or no longer has the
                 changes; take a snapshot.
         """
--- a/hopstep/ports/unknown_words.py
+++ b/hopstep/ports/unknown_words.py
@@ -1,4 +1,4 @@
-"""Port to whoever is told of words of others that nothing here reads."""
+"""Port to listeners for unrecognized headers and fields of other programs."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class WordPlace(enum.StrEnum):
-    """Where a word stood."""
+    """Kind of message or document in which a value was found."""
 
     ANSWER_HEAD = "answer_head"
-    """A header of an instance's answer, or of a cache store's."""
+    """A header of an instance's or a cache store's response."""
 
     STORE_HEAD = "store_head"
-    """A header of an answer of the store."""
+    """A header of the store's response."""
 
     STORE_ANSWER = "store_answer"
-    """A field of an answer of the store."""
+    """A field of the store's response."""
 
     REPORT = "report"
     """A field of an engine's report."""
@@ -37,13 +37,13 @@
 
 
 class UnknownWord(msgspec.Struct, frozen=True):
-    """A word that is neither read nor left unread on purpose.
+    """A header or field that is neither read nor ignored on purpose.
 
     Attributes:
-        place: Where it stood.
+        place: Where it was found.
         name: The header's name in lower case, or the field's path.
-        source: Address or key of who said it.
-        status: HTTP status of the answer; 0 where there is none.
+        source: Address of the sender, or key of the document.
+        status: HTTP status of the response; 0 for a field.
     """
 
     place: WordPlace
@@ -55,5 +55,5 @@
 UnknownWordListener = Callable[[UnknownWord], None]
 
 
-def ignore_unknown(_word: UnknownWord) -> None:
-    """Take no notice."""
+def ignore_unknown(_value: UnknownWord) -> None:
+    """Do nothing."""
--- a/hopstep/ports/weights_orders.py
+++ b/hopstep/ports/weights_orders.py
@@ -13,7 +13,7 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     UNDER_WAY = "under_way"
     HOLDS_ALREADY = "holds_already"
@@ -30,7 +30,7 @@
         weights: What to load.
         holder: Name of the node that orders.
         fencing_token: Rises with every holder.
-        expected_sequence: Orders that the engine must have taken so far.
+        expected_sequence: Number of orders that the engine must have accepted so far.
     """
 
     weights: NamedWeights
@@ -40,13 +40,13 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """What an engine says of itself.
+    """An engine's report of its own state.
 
     Attributes:
-        busy: Whether an order is under way.
-        order_sequence: Orders taken.
+        busy: Whether an order is in progress.
+        order_sequence: Number of orders accepted so far.
         versions: Weights version of each model.
-        born_ms: Unix time of its start in milliseconds; 0 when it tells none.
+        born_ms: Unix time of its start in milliseconds; 0 when it reports none.
     """
 
     busy: bool
@@ -56,27 +56,27 @@
 
 
 class WeightsOrders(abc.ABC):
-    """Orders to engines."""
+    """Sends orders to engines."""
 
     @abc.abstractmethod
     async def order(
         self, instance: Instance, order: WeightsOrder, hear: NoticeListener = ignore_notice
     ) -> OrderOutcome:
-        """Send an order; without an answer it is ``UNKNOWN`` and may be carried out later.
+        """Send an order; without a response it is ``UNKNOWN`` and may be carried out later.
 
         Args:
             instance: The engine.
             order: The order.
-            hear: Told what the answer says of the engine.
+            hear: Called with the notice in the response's headers.
         """
 
     @abc.abstractmethod
     async def report(
         self, instance: Instance, hear: NoticeListener = ignore_notice
     ) -> EngineReport | None:
-        """Return what the engine says of itself, or None without a usable answer.
+        """Return the engine's report, or None without a usable response.
 
         Args:
             instance: The engine.
-            hear: Told what the answer's head says of the engine.
+            hear: Called with the notice in the response's headers.
         """
