--- a/hopstep/ports/node_exchange.py
+++ b/hopstep/ports/node_exchange.py
@@ -211,12 +211,12 @@
     def of(cls, entry: DirectoryEntry) -> ToldEntry:
         """Return the message form of an entry."""
         change = entry.change
-        sent: ToldChange
+        reported: ToldChange
         if isinstance(change, RecordWritten):
-            sent = ToldRecord(change.key, change.value, change.version.revision)
+            reported = ToldRecord(change.key, change.value, change.version.revision)
         else:
-            sent = change
-        return cls(entry.key, entry.place.revision, sent, entry.place.era)
+            reported = change
+        return cls(entry.key, entry.place.revision, reported, entry.place.era)
 
     def read(self, era: int) -> DirectoryEntry:
         """Return the directory entry.
