--- a/emulator/exchange_platform/instances.py
+++ b/emulator/exchange_platform/instances.py
@@ -262,7 +262,7 @@
         """Run a request until the head of its answer."""
         if server.sheds_for:
             await trio.sleep(0.001)
-            call.hear(server.notice())
+            call.on_notice(server.notice())
             raise InstanceCallError(ErrorCode.OVERLOADED, "not run", Execution.NOT_RUN)
         rejecting = server.behaviour in (Behaviour.REJECT, Behaviour.REPLACED)
         if rejecting or not _meets(server, call):
@@ -296,7 +296,7 @@
             raise _broken()
         if server.behaviour is Behaviour.OTHER_ANSWER:
             raise InstanceCallError(ErrorCode.EXECUTION_UNKNOWN, "another's", Execution.UNKNOWN)
-        call.hear(server.notice())
+        call.on_notice(server.notice())
         status = SUCCESS_STATUS
         if server.behaviour is Behaviour.FAIL:
             status = FAILURE_STATUS
@@ -320,7 +320,7 @@
             server.end()
             self.on_ended(server)
 
-    async def look(self, instance: Instance) -> InstanceSign:
+    async def probe_connection(self, instance: Instance) -> InstanceSign:
         """Look at an instance; see the port."""
         await trio.sleep(LOOK_SECONDS)
         server = self.servers.get(instance.instance_id)
@@ -344,13 +344,13 @@
         await trio.lowlevel.checkpoint()
 
     async def order(
-        self, instance: Instance, order: WeightsOrder, hear: NoticeListener = ignore_notice
+        self, instance: Instance, order: WeightsOrder, on_notice: NoticeListener = ignore_notice
     ) -> OrderOutcome:
         """Take an order; see the port."""
         server = self.servers[instance.instance_id]
         await trio.sleep(0.001)
         server.arrived_at.append(trio.current_time())
-        hear(server.notice())
+        on_notice(server.notice())
         if server.order_delay_seconds:
             trio.lowlevel.spawn_system_task(self._carry_out_late, server, order)
             return OrderOutcome.UNKNOWN
@@ -395,13 +395,13 @@
         )
 
     async def report(
-        self, instance: Instance, hear: NoticeListener = ignore_notice
+        self, instance: Instance, on_notice: NoticeListener = ignore_notice
     ) -> EngineReport | None:
         """Return an engine's report; see the port."""
         await trio.sleep(0.001)
         server = self.servers[instance.instance_id]
         server.arrived_at.append(trio.current_time())
-        hear(server.notice())
+        on_notice(server.notice())
         return EngineReport(
             server.busy, server.order_sequence, dict(server.versions), server.reported_born_ms
         )
--- a/hopstep/cli/node_process.py
+++ b/hopstep/cli/node_process.py
@@ -52,7 +52,7 @@
     """
     platform_client = HttpClient()
     unknown_words = UnknownWords()
-    store = PlatformStore(settings.store, platform_client, on_unknown=unknown_words.note)
+    store = PlatformStore(settings.store, platform_client, on_unrecognized=unknown_words.note)
     instances = HttpInstances(HttpClient(), unknown_words.note)
     node_key = secrets.token_bytes(NODE_KEY_BYTES)
     nodes = await NodeDatagrams.open(settings.peer_address, settings.name, node_key)
--- a/hopstep/platform/cache_events.py
+++ b/hopstep/platform/cache_events.py
@@ -13,7 +13,11 @@
 from hopstep.platform.notices import read_notice
 from hopstep.platform.vocabulary import Vocabulary
 from hopstep.ports.cache_events import CacheEventBatch, CacheEvents
-from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
+from hopstep.ports.unrecognized_values import (
+    UnrecognizedValueListener,
+    ValueLocation,
+    ignore_unrecognized,
+)
 
 ANSWER_SECONDS = 0.7
 """Longest wait for a response, in seconds, beyond the wait for events."""
@@ -43,23 +47,23 @@
     """Reads events by long polling."""
 
     def __init__(
-        self, client: HttpClient, on_unknown: UnknownWordListener = ignore_unknown
+        self, client: HttpClient, on_unrecognized: UnrecognizedValueListener = ignore_unrecognized
     ) -> None:
         """Use a client.
 
         Args:
             client: HTTP client, owned by the caller.
-            on_unknown: Called for each unrecognized value in a response.
+            on_unrecognized: Called for each unrecognized value in a response.
         """
         self._client = client
-        self._vocabulary = Vocabulary(on_unknown)
+        self._vocabulary = Vocabulary(on_unrecognized)
 
     async def read(
         self,
         address: str,
         position: int,
         wait_seconds: float,
-        hear: NoticeListener = ignore_notice,
+        on_notice: NoticeListener = ignore_notice,
     ) -> CacheEventBatch | None:
         """Return events; see the port."""
         wait = str(int(wait_seconds * MILLISECONDS)).encode()
@@ -70,9 +74,9 @@
             with trio.fail_after(ANSWER_SECONDS + wait_seconds):
                 async with self._client.open(call, SendTrace()) as response:
                     kind = AnswerKind.CACHE_EVENTS
-                    hear(read_notice(response.status, response.headers, kind))
+                    on_notice(read_notice(response.status, response.headers, kind))
                     self._vocabulary.note_headers(
-                        WordPlace.ANSWER_HEAD, address, response.status, response.headers
+                        ValueLocation.ANSWER_HEAD, address, response.status, response.headers
                     )
                     body = await response.aread()
             if response.status != OK:
@@ -86,7 +90,7 @@
             msgspec.DecodeError,
         ):
             return None
-        self._vocabulary.note_fields(WordPlace.CACHE_EVENTS, address, body, _Events)
+        self._vocabulary.note_fields(ValueLocation.CACHE_EVENTS, address, body, _Events)
         events = tuple(_read(event) for event in read.events)
         return CacheEventBatch(read.epoch, read.next_page_token, read.lost, events, read.born)
 
--- a/hopstep/platform/directory.py
+++ b/hopstep/platform/directory.py
@@ -32,15 +32,19 @@
     Unreadable,
     WeightsPublished,
 )
-from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
+from hopstep.ports.unrecognized_values import (
+    UnrecognizedValueListener,
+    ValueLocation,
+    ignore_unrecognized,
+)
 
 ALL_KEYS = ""
 """Prefix of all keys."""
 
-DOCUMENT_TYPES: Mapping[type, tuple[WordPlace, type[msgspec.Struct]]] = {
-    ConfigurationPublished: (WordPlace.CONFIGURATION, ConfigurationDocument),
-    InstanceListed: (WordPlace.ENTRY, EntryDocument),
-    WeightsPublished: (WordPlace.WEIGHTS, WeightsDocument),
+DOCUMENT_TYPES: Mapping[type, tuple[ValueLocation, type[msgspec.Struct]]] = {
+    ConfigurationPublished: (ValueLocation.CONFIGURATION, ConfigurationDocument),
+    InstanceListed: (ValueLocation.ENTRY, EntryDocument),
+    WeightsPublished: (ValueLocation.WEIGHTS, WeightsDocument),
 }
 """Kind and type of the document behind each change whose unrecognized fields are reported."""
 
@@ -49,21 +53,23 @@
     """Reads all keys by one listing and one watch; raises the store's errors when it is down."""
 
     def __init__(
-        self, store: KeyValueStorePort, on_unknown: UnknownWordListener = ignore_unknown
+        self,
+        store: KeyValueStorePort,
+        on_unrecognized: UnrecognizedValueListener = ignore_unrecognized,
     ) -> None:
         """Use a store.
 
         Args:
             store: The platform's store.
-            on_unknown: Called for each unrecognized field of a document.
+            on_unrecognized: Called for each unrecognized field of a document.
         """
         self._store = store
-        self._vocabulary = Vocabulary(on_unknown)
+        self._vocabulary = Vocabulary(on_unrecognized)
 
     async def snapshot(self) -> DirectoryBatch:
         """Return all entries; see the port."""
         listing = await self._store.listing(ALL_KEYS)
-        return DirectoryBatch(listing.place, self._read_all(listing.values))
+        return DirectoryBatch(listing.position, self._read_all(listing.values))
 
     async def reconnect(self) -> None:
         """Close the idle connections to the store; see the port."""
@@ -72,7 +78,7 @@
     async def changes(self, after: StorePlace, wait_seconds: float) -> DirectoryBatch:
         """Return changes; see the port."""
         batch = await self._store.watch(ALL_KEYS, after, wait_seconds)
-        return DirectoryBatch(batch.place, self._read_all(batch.values))
+        return DirectoryBatch(batch.position, self._read_all(batch.values))
 
     def _read_all(self, values: tuple[StoredValue, ...]) -> tuple[DirectoryEntry, ...]:
         """Return the entries that stored values describe."""
--- a/hopstep/platform/front.py
+++ b/hopstep/platform/front.py
@@ -186,7 +186,7 @@
         target=target,
         headers=_forwarded(scope["headers"]),
         key=_text(found, names.API_KEY),
-        patience_seconds=timeout_ms / MILLISECONDS if timeout_ms is not None else None,
+        client_timeout_seconds=timeout_ms / MILLISECONDS if timeout_ms is not None else None,
         prompt=_read_prompt(found),
         resume_after=_text(found, names.LAST_EVENT),
         received_at=received_at,
--- a/hopstep/platform/instances.py
+++ b/hopstep/platform/instances.py
@@ -31,7 +31,11 @@
     SendProof,
     withdrawn_call,
 )
-from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
+from hopstep.ports.unrecognized_values import (
+    UnrecognizedValueListener,
+    ValueLocation,
+    ignore_unrecognized,
+)
 from hopstep.ports.weights_orders import EngineReport, OrderOutcome, WeightsOrder, WeightsOrders
 
 CONNECT_SECONDS = 0.4
@@ -118,16 +122,16 @@
     """Calls instances over pooled connections."""
 
     def __init__(
-        self, client: HttpClient, on_unknown: UnknownWordListener = ignore_unknown
+        self, client: HttpClient, on_unrecognized: UnrecognizedValueListener = ignore_unrecognized
     ) -> None:
         """Use a client.
 
         Args:
             client: HTTP client, owned by the caller.
-            on_unknown: Called for each unrecognized value in a response.
+            on_unrecognized: Called for each unrecognized value in a response.
         """
         self._client = client
-        self._vocabulary = Vocabulary(on_unknown)
+        self._vocabulary = Vocabulary(on_unrecognized)
 
     @contextlib.asynccontextmanager
     async def open(self, call: InstanceCall) -> AsyncIterator[InstanceAnswer]:
@@ -151,11 +155,11 @@
                 raise _no_answer(call.proof) from error
             if _is_own_answer(response, call):
                 self._note_headers(call.instance, response)
-                call.hear(_request_notice(response))
+                call.on_notice(_request_notice(response))
             _check_head(response, call)
             yield HttpInstanceAnswer(response)
 
-    async def look(self, instance: Instance) -> InstanceSign:
+    async def probe_connection(self, instance: Instance) -> InstanceSign:
         """Try to connect to an instance; see the port."""
         return SIGNS[await self._client.listens(instance.address, CONNECT_SECONDS)]
 
@@ -172,7 +176,7 @@
         await self._client.forget(address)
 
     async def order(
-        self, instance: Instance, order: WeightsOrder, hear: NoticeListener = ignore_notice
+        self, instance: Instance, order: WeightsOrder, on_notice: NoticeListener = ignore_notice
     ) -> OrderOutcome:
         """Send an order; see the port."""
         body = _Order(
@@ -186,31 +190,33 @@
         )
         proof = SendProof()
         answer = await self._control(
-            instance, b"POST", names.ORDER_PATH, msgspec.json.encode(body), proof, hear
+            instance, b"POST", names.ORDER_PATH, msgspec.json.encode(body), proof, on_notice
         )
         if answer is None:
             return OrderOutcome.UNKNOWN if proof.sent else OrderOutcome.REJECTED
         return ORDER_OUTCOMES.get(answer[0], OrderOutcome.REJECTED)
 
     async def report(
-        self, instance: Instance, hear: NoticeListener = ignore_notice
+        self, instance: Instance, on_notice: NoticeListener = ignore_notice
     ) -> EngineReport | None:
         """Return an engine's report; see the port."""
-        answer = await self._control(instance, b"GET", names.REPORT_PATH, b"", SendProof(), hear)
+        answer = await self._control(
+            instance, b"GET", names.REPORT_PATH, b"", SendProof(), on_notice
+        )
         if answer is None or answer[0] != 200:  # noqa: PLR2004
             return None
         try:
             report = msgspec.json.decode(answer[1], type=_Report)
         except msgspec.DecodeError:
             return None
-        self._vocabulary.note_fields(WordPlace.REPORT, instance.address, answer[1], _Report)
+        self._vocabulary.note_fields(ValueLocation.REPORT, instance.address, answer[1], _Report)
         versions = {model.name: model.version for model in report.models}
         return EngineReport(report.busy, report.call_sequence, versions, report.born)
 
     def _note_headers(self, instance: Instance, response: httpcore.Response) -> None:
         """Report the unrecognized headers of a response."""
         self._vocabulary.note_headers(
-            WordPlace.ANSWER_HEAD, instance.address, response.status, response.headers
+            ValueLocation.ANSWER_HEAD, instance.address, response.status, response.headers
         )
 
     async def _control(
@@ -220,7 +226,7 @@
         path: str,
         body: bytes,
         proof: SendProof,
-        hear: NoticeListener,
+        on_notice: NoticeListener,
     ) -> tuple[int, bytes] | None:
         """Make a control call, which isn't a client's request; return status and body, or None."""
         headers = [
@@ -242,7 +248,9 @@
                 async with self._client.open(call, SendTrace(proof)) as response:
                     if _is_control_answer(response):
                         self._note_headers(instance, response)
-                        hear(read_notice(response.status, response.headers, AnswerKind.CONTROL))
+                        on_notice(
+                            read_notice(response.status, response.headers, AnswerKind.CONTROL)
+                        )
                     return response.status, await response.aread()
         except (*FAILURES, trio.TooSlowError):
             return None
--- a/hopstep/platform/store.py
+++ b/hopstep/platform/store.py
@@ -31,7 +31,11 @@
     require_lease_era,
     require_write_era,
 )
-from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
+from hopstep.ports.unrecognized_values import (
+    UnrecognizedValueListener,
+    ValueLocation,
+    ignore_unrecognized,
+)
 
 CONNECT_SECONDS = 1.0
 ANSWER_SECONDS = 2.0
@@ -127,7 +131,7 @@
         address: str,
         client: HttpClient,
         answer_seconds: float = ANSWER_SECONDS,
-        on_unknown: UnknownWordListener = ignore_unknown,
+        on_unrecognized: UnrecognizedValueListener = ignore_unrecognized,
     ) -> None:
         """Use a client.
 
@@ -135,9 +139,9 @@
             address: ``ip:port`` of the store.
             client: HTTP client, owned by the caller.
             answer_seconds: Longest wait for a response, beyond the wait time of a watch.
-            on_unknown: Called for each unrecognized value in a response.
+            on_unrecognized: Called for each unrecognized value in a response.
         """
-        self._vocabulary = Vocabulary(on_unknown)
+        self._vocabulary = Vocabulary(on_unrecognized)
         self._address = address
         self._client = client
         self._answer_seconds = answer_seconds
@@ -242,7 +246,7 @@
     def _decode(self, answer: _Answer, document: type[Document]) -> Document:
         """Return the document of a response, and report its unrecognized fields."""
         decoded = _decode(answer, document)
-        place = WordPlace.STORE_ANSWER
+        place = ValueLocation.STORE_ANSWER
         self._vocabulary.note_fields(place, self._address, answer.body, document)
         return decoded
 
@@ -265,7 +269,7 @@
             with trio.fail_after(self._answer_seconds + extra_seconds):
                 async with self._client.open(call, trace) as response:
                     self._vocabulary.note_headers(
-                        WordPlace.STORE_HEAD, self._address, response.status, response.headers
+                        ValueLocation.STORE_HEAD, self._address, response.status, response.headers
                     )
                     era = _read_era(response.headers)
                     answer = _Answer(response.status, await response.aread(), era)
--- a/hopstep/platform/vocabulary.py
+++ b/hopstep/platform/vocabulary.py
@@ -13,7 +13,11 @@
 
 from hopstep.platform import names
 from hopstep.platform.rejections import DECODING_ERRORS
-from hopstep.ports.unknown_words import UnknownWord, UnknownWordListener, WordPlace
+from hopstep.ports.unrecognized_values import (
+    UnrecognizedValue,
+    UnrecognizedValueListener,
+    ValueLocation,
+)
 
 READ_HEADERS = frozenset(
     {
@@ -57,17 +61,19 @@
 READ_STORE_HEADERS = frozenset({names.STORE_ERA})
 """Headers of the store's responses that are read."""
 
-KNOWN_HEADERS: Mapping[WordPlace, Set[bytes]] = {
-    WordPlace.ANSWER_HEAD: READ_HEADERS | UNREAD_HEADERS.keys() | names.PER_CONNECTION,
-    WordPlace.STORE_HEAD: READ_STORE_HEADERS | UNREAD_STORE_HEADERS.keys() | names.PER_CONNECTION,
+KNOWN_HEADERS: Mapping[ValueLocation, Set[bytes]] = {
+    ValueLocation.ANSWER_HEAD: READ_HEADERS | UNREAD_HEADERS.keys() | names.PER_CONNECTION,
+    ValueLocation.STORE_HEAD: READ_STORE_HEADERS
+    | UNREAD_STORE_HEADERS.keys()
+    | names.PER_CONNECTION,
 }
 
 NOT_USED = "hopstep doesn't use the feature"
 KNOWN_OTHERWISE = "known from the node's own requests and the responses to them"
 HEALTH_BY_REQUESTS = "an instance's health shows in its responses"
 
-UNREAD_FIELDS: Mapping[WordPlace, Mapping[str, str]] = {
-    WordPlace.CONFIGURATION: {
+UNREAD_FIELDS: Mapping[ValueLocation, Mapping[str, str]] = {
+    ValueLocation.CONFIGURATION: {
         "routes.stickySessions": "prompts are routed by cached segments instead",
         "routes.targetGapMs": "events are forwarded as they arrive",
         "services.healthCheckPath": HEALTH_BY_REQUESTS,
@@ -85,8 +91,8 @@
         "limits.headerTimeoutMs": "the HTTP library has its own limit",
         "limits.idleTimeoutMs": "the HTTP library has its own limit",
     },
-    WordPlace.ENTRY: {"models.adapters": "no route names an adapter"},
-    WordPlace.REPORT: {
+    ValueLocation.ENTRY: {"models.adapters": "no route names an adapter"},
+    ValueLocation.REPORT: {
         "stage": "all engines both prefill and decode",
         "models.adapters": "no route names an adapter",
         "queuedRequests": KNOWN_OTHERWISE,
@@ -97,7 +103,7 @@
         "pinned": NOT_USED,
         "held": NOT_USED,
     },
-    WordPlace.STORE_ANSWER: {
+    ValueLocation.STORE_ANSWER: {
         "atRevision": "of a single item, whose own revision is used",
         "items.createdRevision": NOT_USED,
         "items.leaseId": NOT_USED,
@@ -114,7 +120,7 @@
 class Vocabulary:
     """Reports unrecognized headers and fields to a listener."""
 
-    def __init__(self, listener: UnknownWordListener) -> None:
+    def __init__(self, listener: UnrecognizedValueListener) -> None:
         """Use a listener.
 
         Args:
@@ -124,7 +130,7 @@
 
     def note_headers(
         self,
-        place: WordPlace,
+        place: ValueLocation,
         source: str,
         status: int,
         headers: Iterable[tuple[bytes, bytes]],
@@ -134,10 +140,10 @@
         for name, _value in headers:
             if name.lower() not in known:
                 text = name.lower().decode("latin-1")
-                self._listener(UnknownWord(place, text, source, status))
+                self._listener(UnrecognizedValue(place, text, source, status))
 
     def note_fields(
-        self, place: WordPlace, source: str, value: bytes, shape: type[msgspec.Struct]
+        self, place: ValueLocation, source: str, value: bytes, shape: type[msgspec.Struct]
     ) -> None:
         """Report the unrecognized fields of a document that was read.
 
@@ -155,7 +161,7 @@
             return
         for path in unknown_fields(document, shape):
             if path not in unread:
-                self._listener(UnknownWord(place, path, source))
+                self._listener(UnrecognizedValue(place, path, source))
 
 
 class _Shape(msgspec.Struct):
--- a/hopstep/ports/cache_events.py
+++ b/hopstep/ports/cache_events.py
@@ -37,7 +37,7 @@
         address: str,
         position: int,
         wait_seconds: float,
-        hear: NoticeListener = ignore_notice,
+        on_notice: NoticeListener = ignore_notice,
     ) -> CacheEventBatch | None:
         """Return events after a position, waiting for some; None without a usable response.
 
@@ -45,6 +45,6 @@
             address: ``ip:port`` of a cache store or an engine.
             position: Position at the end of the last batch; 0 at first.
             wait_seconds: Longest wait for events.
-            hear: Called with the notice in the response's headers. It is about the instance that
-                has the address now; ``born_ms`` of the batch names its incarnation.
+            on_notice: Called with the notice in the response's headers. It is about the instance
+                that has the address now; ``born_ms`` of the batch names its incarnation.
         """
--- a/hopstep/ports/exchange_front.py
+++ b/hopstep/ports/exchange_front.py
@@ -20,7 +20,7 @@
         target: Raw path and query.
         headers: Headers that are forwarded.
         key: API key; empty for none.
-        patience_seconds: Timeout of the client, from the start; None when it names none.
+        client_timeout_seconds: Timeout of the client, from the start; None when it names none.
         prompt: Description of its prompt; None when it names no model.
         resume_after: Id of the last event that the client has; empty for none.
         received_at: Clock time in seconds at which its head was read.
@@ -34,7 +34,7 @@
     target: bytes
     headers: Headers
     key: str
-    patience_seconds: float | None
+    client_timeout_seconds: float | None
     prompt: Prompt | None
     resume_after: str
     received_at: float
--- a/hopstep/ports/instance_calls.py
+++ b/hopstep/ports/instance_calls.py
@@ -82,7 +82,7 @@
         cache_source: ``ip:port`` from which cached segments are imported; empty for none.
         cache_target: ``ip:port`` of a cache store that segments are exported to; empty for none.
         proof: Set by the adapter as the request is sent.
-        hear: Called with the notice in the instance's own response, also if that is a refusal.
+        on_notice: Called with the notice in the instance's own response, also if that is a refusal.
         may_send: Called right before the first byte is sent; False withdraws the call. While its
             connection is made the instance may announce a shutdown or a backoff.
     """
@@ -97,7 +97,7 @@
     cache_source: str = ""
     cache_target: str = ""
     proof: SendProof = msgspec.field(default_factory=SendProof)
-    hear: NoticeListener = ignore_notice
+    on_notice: NoticeListener = ignore_notice
     may_send: Callable[[], bool] = lambda: True
 
 
@@ -139,7 +139,7 @@
         """
 
     @abc.abstractmethod
-    async def look(self, instance: Instance) -> InstanceSign:
+    async def probe_connection(self, instance: Instance) -> InstanceSign:
         """Try to connect to an instance; return whether it listens or has surely terminated."""
 
     @abc.abstractmethod
--- a/hopstep/ports/key_value_store.py
+++ b/hopstep/ports/key_value_store.py
@@ -42,12 +42,12 @@
     """Changed keys since a store position; deleted keys have an empty value.
 
     Attributes:
-        place: Store position up to which the batch reaches.
+        position: Store position up to which the batch reaches.
         values: Changed values, oldest first. A watch may lose changes: readers list again
             from time to time.
     """
 
-    place: StorePlace
+    position: StorePlace
     values: tuple[StoredValue, ...]
 
 
@@ -55,12 +55,12 @@
     """All values below a prefix, with the store position from which a watch continues.
 
     Attributes:
-        place: Store position; a watch that starts here shows every later change, of which
+        position: Store position; a watch that starts here shows every later change, of which
             ``values`` may already contain some.
         values: Values in the order of their keys.
     """
 
-    place: StorePlace
+    position: StorePlace
     values: tuple[StoredValue, ...]
 
 
@@ -124,13 +124,13 @@
             StoreHistoryLostError: When the service was restored between pages; list again.
         """
         values: list[StoredValue] = []
-        place: StorePlace | None = None
+        position: StorePlace | None = None
         while page := await self.list(prefix, values[-1].key if values else ""):
-            if place is None:
-                place = max(value.version for value in page)
-            require_era(place.era, page[0].version.era)
+            if position is None:
+                position = max(value.version for value in page)
+            require_era(position.era, page[0].version.era)
             values.extend(page)
-        return StoreListing(place or ABSENT, tuple(values))
+        return StoreListing(position or ABSENT, tuple(values))
 
     @abc.abstractmethod
     async def grant_lease(self, time_to_live_seconds: float) -> StoreLease:
--- a/hopstep/ports/node_exchange.py
+++ b/hopstep/ports/node_exchange.py
@@ -30,17 +30,17 @@
 )
 
 
-class SegmentNews(msgspec.Struct, frozen=True, array_like=True):
+class SegmentUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Changes of the segments that an instance has cached.
 
     Attributes:
-        life: The instance's incarnation, as ``str(InstanceLife)``.
+        incarnation: The instance's incarnation, as ``str(InstanceLife)``.
         sent: Segments of a prompt that was sent to it, or that its cache events report.
         read_ms: Expected time in milliseconds until it has prefilled them.
         dropped: Digests of segments that it hasn't cached.
     """
 
-    life: str
+    incarnation: str
     sent: tuple[SegmentKey, ...] = ()
     read_ms: int = 0
     dropped: tuple[int, ...] = ()
@@ -49,7 +49,7 @@
 class LoadingEngine(msgspec.Struct, frozen=True, array_like=True):
     """An engine that is loading weights, by its incarnation, and for how much longer at least."""
 
-    life: str
+    incarnation: str
     milliseconds: int
 
 
@@ -57,11 +57,11 @@
     """An incarnation of an instance that has announced that it is about to shut down.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
+        incarnation: As ``str(InstanceLife)``.
         age_ms: Milliseconds since its first announcement to any node.
     """
 
-    life: str
+    incarnation: str
     age_ms: int
 
 
@@ -69,17 +69,17 @@
     """The last notice of its limit that an incarnation of an instance sent to any node.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
+        incarnation: As ``str(InstanceLife)``.
         per_second_milli: Thousandths of a request per second, from all nodes together;
             ``LIMIT_LIFTED`` when it no longer announces a limit.
-        asked_ms: Milliseconds since the request was sent: upper bound of the notice's age.
-        heard_ms: Milliseconds since the response's head was read: lower bound of its age.
+        request_age_ms: Milliseconds since the request was sent: upper bound of the notice's age.
+        response_age_ms: Milliseconds since the response's head was read: lower bound of its age.
     """
 
-    life: str
+    incarnation: str
     per_second_milli: int
-    asked_ms: int
-    heard_ms: int
+    request_age_ms: int
+    response_age_ms: int
 
 
 LIMIT_LIFTED = -1
@@ -90,13 +90,13 @@
     """Permits to send requests to an instance that has announced a limit.
 
     Attributes:
-        life: As ``str(InstanceLife)``.
+        incarnation: As ``str(InstanceLife)``.
         count: Number of permits.
         valid_ms: Milliseconds for which they may be used.
         relay: The relay that they are for; empty in an answer, where they are for the asker.
     """
 
-    life: str
+    incarnation: str
     count: int
     valid_ms: int
     relay: str = ""
@@ -110,7 +110,7 @@
         tokens: Tokens that it has to prefill.
     """
 
-    segments: SegmentNews
+    segments: SegmentUpdate
     tokens: int
 
 
@@ -132,7 +132,7 @@
     """
 
     loads: tuple[InstanceLoad, ...] = ()
-    segments: tuple[SegmentNews, ...] = ()
+    segments: tuple[SegmentUpdate, ...] = ()
     loading: tuple[LoadingEngine, ...] = ()
     usage: tuple[Usage, ...] = ()
     nodes: int = 0
@@ -168,12 +168,12 @@
     weights: int = 0
 
     @property
-    def place(self) -> StorePlace:
+    def store_position(self) -> StorePlace:
         """Store position up to which the node has all changes; ``NOWHERE`` for none."""
         return StorePlace(self.era, self.revision) if self.revision >= 0 else NOWHERE
 
 
-class ToldRecord(msgspec.Struct, frozen=True, tag="RecordWritten"):
+class ReportedRecord(msgspec.Struct, frozen=True, tag="RecordWritten"):
     """A ``RecordWritten`` as nodes send it; its era is that of the entry."""
 
     key: str
@@ -181,18 +181,18 @@
     revision: int
 
 
-ToldChange = (
+ReportedChange = (
     ConfigurationPublished
     | InstanceListed
     | InstanceRejected
     | InstanceRemoved
     | WeightsPublished
-    | ToldRecord
+    | ReportedRecord
     | Unreadable
 )
 
 
-class ToldEntry(msgspec.Struct, frozen=True):
+class ReportedEntry(msgspec.Struct, frozen=True):
     """A ``DirectoryEntry`` as nodes send it.
 
     Attributes:
@@ -204,19 +204,19 @@
 
     key: str
     revision: int
-    change: ToldChange
+    change: ReportedChange
     era: int = UNTOLD_ERA
 
     @classmethod
-    def of(cls, entry: DirectoryEntry) -> ToldEntry:
+    def of(cls, entry: DirectoryEntry) -> ReportedEntry:
         """Return the message form of an entry."""
         change = entry.change
-        reported: ToldChange
+        reported: ReportedChange
         if isinstance(change, RecordWritten):
-            reported = ToldRecord(change.key, change.value, change.version.revision)
+            reported = ReportedRecord(change.key, change.value, change.version.revision)
         else:
             reported = change
-        return cls(entry.key, entry.place.revision, reported, entry.place.era)
+        return cls(entry.key, entry.position.revision, reported, entry.position.era)
 
     def read(self, era: int) -> DirectoryEntry:
         """Return the directory entry.
@@ -226,7 +226,7 @@
         """
         place = StorePlace(era, self.revision)
         change = self.change
-        if isinstance(change, ToldRecord):
+        if isinstance(change, ReportedRecord):
             version = StorePlace(era, change.revision)
             return DirectoryEntry(self.key, place, RecordWritten(change.key, change.value, version))
         return DirectoryEntry(self.key, place, change)
@@ -240,7 +240,7 @@
         age_ms: Milliseconds since the earliest time at which it may have been acknowledged.
     """
 
-    entry: ToldEntry
+    entry: ReportedEntry
     age_ms: int
 
 
@@ -253,14 +253,14 @@
         revision: With ``entries`` the asker has all changes up to it.
         age_ms: Age in milliseconds of the answering node's state; -1 when it has none.
         complete: Whether ``revision`` is the newest that the answering node has.
-        beyond_reach: Whether the asker must read the store itself to get further changes.
+        must_read_store: Whether the asker must read the store itself to get further changes.
         entries: Changes, oldest first.
         feed: Identity of the feed of segment updates.
         position: Position in the feed after the updates in ``hints``.
         hints: Of all nodes but the asker; empty when the query had none.
         contents: Updates of the cache stores' contents that the asker doesn't have.
-        silence_ms: Milliseconds since the store last responded to the node whose read the answer is
-            based on; -1 when it never did.
+        store_response_age_ms: Milliseconds since the store last responded to the node whose read
+            the answer is based on; -1 when it never did.
         after_era: Era of ``after``.
         era: Era of ``revision``.
         keys_age_ms: Milliseconds since the time up to which the answering node has seen every
@@ -275,13 +275,13 @@
     revision: int
     age_ms: int
     complete: bool = True
-    beyond_reach: bool = False
+    must_read_store: bool = False
     entries: tuple[RelayedEntry, ...] = ()
     feed: str = ""
     position: int = 0
     hints: Hints = Hints()
     contents: tuple[ContentsNews, ...] = ()
-    silence_ms: int = -1
+    store_response_age_ms: int = -1
     after_era: int = UNTOLD_ERA
     era: int = UNTOLD_ERA
     keys_age_ms: int = -1
@@ -289,12 +289,12 @@
     newer: tuple[RelayedEntry, ...] = ()
 
     @property
-    def after_place(self) -> StorePlace:
+    def after_store_position(self) -> StorePlace:
         """Store position that the query named."""
         return StorePlace(self.after_era, self.after) if self.after >= 0 else NOWHERE
 
     @property
-    def place(self) -> StorePlace:
+    def store_position(self) -> StorePlace:
         """Store position up to which the asker has all changes with ``entries``."""
         return StorePlace(self.era, self.revision) if self.revision >= 0 else NOWHERE
 
@@ -311,7 +311,7 @@
     hints: Hints = Hints()
 
 
-class UrgentNews(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class UrgentUpdates(msgspec.Struct, frozen=True, array_like=True, tag="UrgentNews"):
     """Updates that change the routing of all nodes at once; forwarded by relays.
 
     Attributes:
@@ -327,7 +327,7 @@
     crashes: tuple[RequestCrashes, ...] = ()
 
 
-NodeMessage = RelayQuery | RelayAnswer | RelayDigest | UrgentNews
+NodeMessage = RelayQuery | RelayAnswer | RelayDigest | UrgentUpdates
 
 
 class Received(msgspec.Struct, frozen=True):
--- a/hopstep/ports/serving_directory.py
+++ b/hopstep/ports/serving_directory.py
@@ -110,12 +110,12 @@
 
     Attributes:
         key: Name of the key; the same one for all its changes.
-        place: Store position of the change, in the era of the response that showed it.
+        position: Store position of the change, in the era of the response that showed it.
         change: The change.
     """
 
     key: str
-    place: StorePlace
+    position: StorePlace
     change: DirectoryChange
 
     @property
@@ -144,11 +144,11 @@
     """Entries up to a store position.
 
     Attributes:
-        place: Store position; later changes aren't included.
+        position: Store position; later changes aren't included.
         entries: Entries, in any order.
     """
 
-    place: StorePlace
+    position: StorePlace
     entries: tuple[DirectoryEntry, ...]
 
 
--- a/hopstep/ports/unknown_words.py
+++ b/hopstep/ports/unrecognized_values.py
@@ -8,7 +8,7 @@
 import msgspec
 
 
-class WordPlace(enum.StrEnum):
+class ValueLocation(enum.StrEnum):
     """Kind of message or document in which a value was found."""
 
     ANSWER_HEAD = "answer_head"
@@ -36,24 +36,24 @@
     """A field of named weights."""
 
 
-class UnknownWord(msgspec.Struct, frozen=True):
+class UnrecognizedValue(msgspec.Struct, frozen=True):
     """A header or field that is neither read nor ignored on purpose.
 
     Attributes:
-        place: Where it was found.
+        location: Where it was found.
         name: The header's name in lower case, or the field's path.
         source: Address of the sender, or key of the document.
         status: HTTP status of the response; 0 for a field.
     """
 
-    place: WordPlace
+    location: ValueLocation
     name: str
     source: str
     status: int = 0
 
 
-UnknownWordListener = Callable[[UnknownWord], None]
+UnrecognizedValueListener = Callable[[UnrecognizedValue], None]
 
 
-def ignore_unknown(_value: UnknownWord) -> None:
+def ignore_unrecognized(_value: UnrecognizedValue) -> None:
     """Do nothing."""
--- a/hopstep/ports/weights_orders.py
+++ b/hopstep/ports/weights_orders.py
@@ -60,23 +60,23 @@
 
     @abc.abstractmethod
     async def order(
-        self, instance: Instance, order: WeightsOrder, hear: NoticeListener = ignore_notice
+        self, instance: Instance, order: WeightsOrder, on_notice: NoticeListener = ignore_notice
     ) -> OrderOutcome:
         """Send an order; without a response it is ``UNKNOWN`` and may be carried out later.
 
         Args:
             instance: The engine.
             order: The order.
-            hear: Called with the notice in the response's headers.
+            on_notice: Called with the notice in the response's headers.
         """
 
     @abc.abstractmethod
     async def report(
-        self, instance: Instance, hear: NoticeListener = ignore_notice
+        self, instance: Instance, on_notice: NoticeListener = ignore_notice
     ) -> EngineReport | None:
         """Return the engine's report, or None without a usable response.
 
         Args:
             instance: The engine.
-            hear: Called with the notice in the response's headers.
+            on_notice: Called with the notice in the response's headers.
         """
--- a/hopstep/services/configuration/store.py
+++ b/hopstep/services/configuration/store.py
@@ -156,7 +156,7 @@
             StoreError: When the store is down.
         """
         batch = await self._store.watch(CHANGES_PREFIX, self._watched, wait_seconds)
-        self._watched = max(batch.place, self._watched)
+        self._watched = max(batch.position, self._watched)
 
     async def maintain(self, accepted: AcceptedConfiguration) -> bool:
         """Write a snapshot when one is due, and trim below an older one; return if written.
--- a/hopstep/services/exchanges/directory/copy_losses.py
+++ b/hopstep/services/exchanges/directory/copy_losses.py
@@ -54,7 +54,7 @@
     """Return whether a change was made after the copy, as far as revisions tell."""
     if shown is None:
         return not known.removed
-    return known.removed or shown.place.revision < known.place.revision
+    return known.removed or shown.position.revision < known.place.revision
 
 
 def _kind_of(entry: DirectoryEntry) -> str:
--- a/hopstep/services/exchanges/directory/knowledge.py
+++ b/hopstep/services/exchanges/directory/knowledge.py
@@ -187,18 +187,18 @@
         Raises:
             StoreError: When the answer was made before the store's last restore.
         """
-        self.history.require_current(batch.place)
+        self.history.require_current(batch.position)
         reached_at, is_first = self.history.reached_at, self.place == NOWHERE
         since = max(reached_at - DEAF_SECONDS, self.weights.oldest_since(sent_at))
         self.contact.note_return(trio.current_time())
-        if self.history.is_later_era(batch.place):
-            self._enter(batch.place, STORE_SOURCE, losses_of(batch, self.feed))
-        self.feed.start(batch.place)
+        if self.history.is_later_era(batch.position):
+            self._enter(batch.position, STORE_SOURCE, losses_of(batch, self.feed))
+        self.feed.start(batch.position)
         entries = (*batch.entries, *self._removed_by(batch))
         self._take_read([feed_entry(entry, since) for entry in entries])
         if is_first:
-            self.history.suspect_restore(batch.place)
-        self._confirm_read(batch.place, sent_at)
+            self.history.suspect_restore(batch.position)
+        self._confirm_read(batch.position, sent_at)
 
     def take_changes(self, batch: DirectoryBatch, since: float, sent_at: float) -> None:
         """Take changes of the store.
@@ -211,10 +211,10 @@
         Raises:
             StoreError: When the answer was made before the store's last restore.
         """
-        self.history.require_current(batch.place)
+        self.history.require_current(batch.position)
         self.contact.note_return(trio.current_time())
         self._take_read([feed_entry(entry, since) for entry in batch.entries])
-        self._confirm_read(batch.place, sent_at)
+        self._confirm_read(batch.position, sent_at)
 
     def enter(self, place: StorePlace, source: str) -> None:
         """Go on in a later era if another node tells of a place in one."""
@@ -303,7 +303,7 @@
         """Return the removals of keys that a snapshot doesn't have."""
         present = {entry.key for entry in batch.entries}
         known = (entry.change for entry in self.feed.listed() if entry.key not in present)
-        removals = (entry.as_removed(batch.place) for entry in known)
+        removals = (entry.as_removed(batch.position) for entry in known)
         return [removal for removal in removals if removal is not None]
 
     def _news(self, entry: Entry, source: str, known_at: StorePlace) -> News:
--- a/hopstep/services/exchanges/directory/news.py
+++ b/hopstep/services/exchanges/directory/news.py
@@ -39,4 +39,4 @@
         entry: The entry.
         since: Steady clock, seconds: not later than when it was acknowledged.
     """
-    return FeedEntry(entry.key, entry.place, entry, since, entry.removed)
+    return FeedEntry(entry.key, entry.position, entry, since, entry.removed)
--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -168,14 +168,16 @@
         now = trio.current_time()
         lifted = told.per_second_milli == LIMIT_LIFTED
         word = LimitWord(None if lifted else told.per_second_milli / MILLI)
-        asked_at = now - told.asked_ms / MILLISECONDS - ON_THE_WAY_SECONDS
-        times = HeadTimes(asked_at, now - told.heard_ms / MILLISECONDS)
-        view = self._table.of_life(told.life)
-        standing = view.standing if view is not None else self._table.standings.of_life(told.life)
+        asked_at = now - told.request_age_ms / MILLISECONDS - ON_THE_WAY_SECONDS
+        times = HeadTimes(asked_at, now - told.response_age_ms / MILLISECONDS)
+        view = self._table.of_life(told.incarnation)
+        standing = (
+            view.standing if view is not None else self._table.standings.of_life(told.incarnation)
+        )
         previous = standing.limit.per_second
         if standing.take_limit(word, times):
-            self._table.standings.remember(told.life, standing)
-            self._note_limit(told.life, standing, previous, node)
+            self._table.standings.remember(told.incarnation, standing)
+            self._note_limit(told.incarnation, standing, previous, node)
 
     def limited(self) -> list[LimitedLife]:
         """Return the listed lives that have a limit."""
--- a/hopstep/services/exchanges/instances/unknown_words.py
+++ b/hopstep/services/exchanges/instances/unknown_words.py
@@ -6,7 +6,7 @@
 
 from hopstep import log_events
 from hopstep.logs import emit
-from hopstep.ports.unknown_words import UnknownWord, WordPlace
+from hopstep.ports.unrecognized_values import UnrecognizedValue, ValueLocation
 
 MAX_NAMES = 256
 """Names that are logged by one process; more are counted only."""
@@ -19,23 +19,23 @@
 
     def __init__(self) -> None:
         """Have been told of none."""
-        self._logged: set[tuple[WordPlace, str]] = set()
+        self._logged: set[tuple[ValueLocation, str]] = set()
         self._count: Callable[[str], None] = lambda _place: None
 
     def count_with(self, count: Callable[[str], None]) -> None:
         """Count each word, by its place, with a function."""
         self._count = count
 
-    def note(self, word: UnknownWord) -> None:
+    def note(self, word: UnrecognizedValue) -> None:
         """Take one word."""
-        self._count(word.place.value)
+        self._count(word.location.value)
         name = word.name[:MAX_NAME_LENGTH]
-        if (word.place, name) in self._logged or len(self._logged) >= MAX_NAMES:
+        if (word.location, name) in self._logged or len(self._logged) >= MAX_NAMES:
             return
-        self._logged.add((word.place, name))
+        self._logged.add((word.location, name))
         emit(
             log_events.WORD_UNKNOWN,
-            place=word.place.value,
+            place=word.location.value,
             name=name,
             source=word.source,
             status=word.status,
--- a/hopstep/services/exchanges/peers/answer_taking.py
+++ b/hopstep/services/exchanges/peers/answer_taking.py
@@ -42,8 +42,8 @@
         knowledge = self._knowledge
         if answer.age_ms == UNKNOWN_AGE_MS:
             return False
-        reached = self._places.read(query.node, answer.place)
-        if self._places.read(query.node, answer.after_place) > knowledge.place:
+        reached = self._places.read(query.node, answer.store_position)
+        if self._places.read(query.node, answer.after_store_position) > knowledge.place:
             return False
         if reached.era < knowledge.place.era:
             return False
--- a/hopstep/services/exchanges/peers/document_exchange.py
+++ b/hopstep/services/exchanges/peers/document_exchange.py
@@ -12,7 +12,7 @@
 
 from hopstep.domain.exchanges.directory_feed import FeedEntry
 from hopstep.domain.exchanges.instances import NamedWeights
-from hopstep.ports.node_exchange import RelayAnswer, RelayedEntry, RelayQuery, ToldEntry
+from hopstep.ports.node_exchange import RelayAnswer, RelayedEntry, RelayQuery, ReportedEntry
 from hopstep.ports.serving_directory import (
     ConfigurationPublished,
     DirectoryEntry,
@@ -69,7 +69,7 @@
         for relayed in answer.newer:
             entry = relayed.entry.read(relayed.entry.era)
             since = sent_at - relayed.age_ms / MILLISECONDS
-            entries.append(FeedEntry(entry.key, entry.place, entry, since))
+            entries.append(FeedEntry(entry.key, entry.position, entry, since))
         self._knowledge.take_documents(entries, source)
 
     def _told(self, change: ConfigurationPublished | WeightsPublished) -> RelayedEntry:
@@ -78,4 +78,4 @@
         since = now
         if isinstance(change, WeightsPublished):
             since = self._knowledge.weights.newest_since(change.weights.model)
-        return RelayedEntry(ToldEntry(NO_KEY, 0, change), int((now - since) * MILLISECONDS) + 1)
+        return RelayedEntry(ReportedEntry(NO_KEY, 0, change), int((now - since) * MILLISECONDS) + 1)
--- a/hopstep/services/exchanges/peers/load_sharing.py
+++ b/hopstep/services/exchanges/peers/load_sharing.py
@@ -19,7 +19,7 @@
     Hints,
     LeavingInstance,
     LoadingEngine,
-    SegmentNews,
+    SegmentUpdate,
     SentPrompt,
 )
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
@@ -58,11 +58,11 @@
         """
         self._notices = notices
         self._urgent = urgent
-        self.log: SentLog[SegmentNews] = SentLog(secrets.token_hex(IDENTITY_BYTES))
+        self.log: SentLog[SegmentUpdate] = SentLog(secrets.token_hex(IDENTITY_BYTES))
         self._knowledge = knowledge
         self._members = LoadLedger()
         self._others = LoadLedger()
-        self._unsent: list[SegmentNews] = []
+        self._unsent: list[SegmentUpdate] = []
         self._loading: dict[str, float] = {}
         self._told: dict[tuple[str, int], float] = {}
 
@@ -72,7 +72,7 @@
         if not keys:
             return
         life = candidate.view.life
-        news = SegmentNews(life, keys, round(candidate.read_seconds * MILLISECONDS))
+        news = SegmentUpdate(life, keys, round(candidate.read_seconds * MILLISECONDS))
         if candidate.uncached_tokens >= URGENT_TOKENS:
             self._urgent.put_prompt(SentPrompt(news, candidate.uncached_tokens))
         kept_already = candidate.kept_tokens >= sum(key.tokens for key in keys)
@@ -89,7 +89,7 @@
             kept: Segments that it keeps and that weren't known.
             dropped: Digests of segments that were taken for kept.
         """
-        news = SegmentNews(life, kept, 0, dropped)
+        news = SegmentUpdate(life, kept, 0, dropped)
         self._take_segments(news, trio.current_time())
         self._tell(news)
 
@@ -104,7 +104,7 @@
         self._told[told] = now
         return True
 
-    def _tell(self, news: SegmentNews) -> None:
+    def _tell(self, news: SegmentUpdate) -> None:
         """Tell other nodes of segments with the next messages."""
         self._unsent.append(news)
         self.log.append(self._knowledge.name, news)
@@ -140,7 +140,7 @@
 
     def _add_prompt(self, node: str, prompt: SentPrompt, now: float) -> None:
         """Add a long prompt to the load that its sender told."""
-        [load] = self._listed((InstanceLoad(prompt.segments.life, 1, prompt.tokens),))
+        [load] = self._listed((InstanceLoad(prompt.segments.incarnation, 1, prompt.tokens),))
         life = load.life
         if self._knowledge.relays.relay() == node:
             self._others.add(ANSWERS, load, now)
@@ -244,13 +244,13 @@
             self._take_loading(loading, now)
         for leaving in hints.leaving:
             since = now - max(0, leaving.age_ms) / MILLISECONDS
-            self._notices.take_told(leaving.life, since, node)
+            self._notices.take_told(leaving.incarnation, since, node)
         for limited in hints.limits:
             self._notices.take_told_limit(limited, node)
 
-    def _take_segments(self, news: SegmentNews, now: float) -> None:
+    def _take_segments(self, news: SegmentUpdate, now: float) -> None:
         """Put news of an instance's segments into its picture."""
-        view = self._knowledge.table.of_told(news.life)
+        view = self._knowledge.table.of_told(news.incarnation)
         if view is not None:
             view.segments.drop(news.dropped)
             view.segments.record(news.sent, now + news.read_ms / MILLISECONDS)
@@ -258,8 +258,8 @@
     def _take_loading(self, loading: LoadingEngine, now: float) -> None:
         """Keep requests from an engine that loads weights."""
         until = now + loading.milliseconds / MILLISECONDS
-        self._loading[loading.life] = until
-        view = self._knowledge.table.of_told(loading.life)
+        self._loading[loading.incarnation] = until
+        view = self._knowledge.table.of_told(loading.incarnation)
         if view is not None:
             view.loading_until = until
 
@@ -276,7 +276,7 @@
         )
         return tuple(load for load in loads if not load.is_empty)
 
-    def _take_unsent(self) -> tuple[SegmentNews, ...]:
+    def _take_unsent(self) -> tuple[SegmentUpdate, ...]:
         """Return news of segments that weren't told yet; what is too much is dropped."""
         news = tuple(self._unsent[-MAX_NEWS:])
         self._unsent.clear()
--- a/hopstep/services/exchanges/peers/message_ages.py
+++ b/hopstep/services/exchanges/peers/message_ages.py
@@ -34,6 +34,6 @@
         answer: The answer.
         sent_at: When its query was sent, by the own clock.
     """
-    if answer.silence_ms == NEVER_MS:
+    if answer.store_response_age_ms == NEVER_MS:
         return -float("inf")
-    return sent_at - answer.silence_ms / MILLISECONDS
+    return sent_at - answer.store_response_age_ms / MILLISECONDS
--- a/hopstep/services/exchanges/peers/news_spreading.py
+++ b/hopstep/services/exchanges/peers/news_spreading.py
@@ -16,7 +16,7 @@
     MessageTooLongError,
     NodeExchange,
     SentPrompt,
-    UrgentNews,
+    UrgentUpdates,
 )
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.peers.load_sharing import LoadSharing
@@ -67,19 +67,19 @@
             contents = self._urgent.take()
             crashes = tuple(self._quarantine.told(request) for request in contents.requests)
             self._number += 1
-            news = UrgentNews(self._number, contents.prompts, contents.loading, crashes)
+            news = UrgentUpdates(self._number, contents.prompts, contents.loading, crashes)
             relay = self._knowledge.relays.relay()
             if relay:
                 await self._spread(news, [relay])
             else:
                 await self._distribute(self._knowledge.name, news, own=True)
 
-    async def pass_on(self, sender: str, news: UrgentNews) -> None:
+    async def pass_on(self, sender: str, news: UrgentUpdates) -> None:
         """Pass news on that came from another node, if this one is a relay."""
         if not self._knowledge.relays.relay():
             await self._distribute(sender, news, own=self._sharing.is_member(sender))
 
-    async def _distribute(self, origin: str, news: UrgentNews, *, own: bool) -> None:
+    async def _distribute(self, origin: str, news: UrgentUpdates, *, own: bool) -> None:
         """Send news of this relay's own nodes to everyone, others to its nodes.
 
         Prompts are many, and are gathered for a moment; the rest goes on at once.
@@ -103,10 +103,10 @@
             relays = [n for n in self._knowledge.relays.digest_targets() if n not in members]
             for bundle in (*self._prompts.take(members), *self._own_prompts.take(relays)):
                 self._number += 1
-                await self._spread(UrgentNews(self._number, bundle.news), bundle.targets)
+                await self._spread(UrgentUpdates(self._number, bundle.news), bundle.targets)
             await trio.sleep(GATHER_SECONDS)
 
-    async def _spread(self, news: UrgentNews, names: Iterable[str]) -> None:
+    async def _spread(self, news: UrgentUpdates, names: Iterable[str]) -> None:
         """Send news to nodes; what is too long for a datagram is told with the loads later."""
         known = self._knowledge.nodes
         with contextlib.suppress(MessageTooLongError):
--- a/hopstep/services/exchanges/peers/permit_sharing.py
+++ b/hopstep/services/exchanges/peers/permit_sharing.py
@@ -106,8 +106,8 @@
         for granted in hints.permits:
             if granted.relay == self._knowledge.name:
                 until = trio.current_time() + granted.valid_ms / MILLISECONDS
-                self._stock(granted.life).put(granted.count, until)
-                self._serve_own(granted.life)
+                self._stock(granted.incarnation).put(granted.count, until)
+                self._serve_own(granted.incarnation)
 
     def _is_new(self, relay: str, number: int) -> bool:
         """Return whether a digest comes after all others of its process, and note it."""
@@ -129,7 +129,7 @@
         """
         for each in granted:
             until = asked_at + each.valid_ms / MILLISECONDS
-            self._limits.receive(each.life, each.count, until)
+            self._limits.receive(each.incarnation, each.count, until)
 
     def _allocate(self, life: str, limit: float) -> list[GrantedPermits]:
         """Give out permits for one life; return those for other relays."""
--- a/hopstep/services/exchanges/peers/relay_answers.py
+++ b/hopstep/services/exchanges/peers/relay_answers.py
@@ -7,7 +7,7 @@
 
 from hopstep.domain.exchanges.directory_feed import FeedEntry
 from hopstep.domain.store_place import NOWHERE
-from hopstep.ports.node_exchange import RelayAnswer, RelayedEntry, RelayQuery, ToldEntry
+from hopstep.ports.node_exchange import RelayAnswer, RelayedEntry, RelayQuery, ReportedEntry
 from hopstep.ports.serving_directory import ConfigurationPublished, DirectoryEntry
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.instances.store_watch import CacheStoreWatch
@@ -68,7 +68,7 @@
             revision=query.revision,
             age_ms=UNKNOWN_AGE_MS,
             contents=self._store_watch.news_after(query.contents),
-            silence_ms=silence_ms(now, knowledge.contact.heard_at),
+            store_response_age_ms=silence_ms(now, knowledge.contact.heard_at),
             after_era=query.era,
             era=query.era,
             keys_age_ms=age_or_unknown(now, knowledge.keys.confirmed_at),
@@ -79,12 +79,12 @@
             hints, position = self._hints.for_asker(asker, query, query.hints)
             identity = self._sharing.log.identity
             answer = msgspec.structs.replace(answer, feed=identity, position=position, hints=hints)
-        asked_after = self._places.read(asker, query.place)
+        asked_after = self._places.read(asker, query.store_position)
         if asked_after > knowledge.place:
             return answer
         changes = knowledge.feed.after(asked_after)
         if changes is None:
-            return msgspec.structs.replace(answer, beyond_reach=knowledge.place != NOWHERE)
+            return msgspec.structs.replace(answer, must_read_store=knowledge.place != NOWHERE)
         part = _first_part(changes)
         complete = len(part) == len(changes)
         reached = knowledge.place if complete else part[-1].place
@@ -94,7 +94,9 @@
             era=reached.era,
             age_ms=age_ms(now, knowledge.history.reached_at),
             complete=complete,
-            entries=tuple(RelayedEntry(ToldEntry.of(e.change), age_ms(now, e.since)) for e in part),
+            entries=tuple(
+                RelayedEntry(ReportedEntry.of(e.change), age_ms(now, e.since)) for e in part
+            ),
             newer=self._documents.not_among(answer.newer, part),
         )
 
@@ -106,8 +108,8 @@
             query.revision,
             query.revision,
             UNKNOWN_AGE_MS,
-            beyond_reach=True,
-            silence_ms=answer.silence_ms,
+            must_read_store=True,
+            store_response_age_ms=answer.store_response_age_ms,
             after_era=query.era,
             era=query.era,
         )
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -23,7 +23,7 @@
     RelayAnswer,
     RelayDigest,
     RelayQuery,
-    UrgentNews,
+    UrgentUpdates,
 )
 from hopstep.services.exchanges.directory.directory_follower import DirectoryFollower
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
@@ -201,7 +201,7 @@
                 await self._take_answer(received.sender, message)
             case RelayDigest():
                 self._hints.take_digest(received.sender, message.number, message.hints)
-            case UrgentNews():
+            case UrgentUpdates():
                 self._sharing.take_news(received.sender, message.prompts, message.loading)
                 self._quarantine.take(message.crashes)
                 await self._news.pass_on(received.sender, message)
@@ -227,7 +227,7 @@
         silence = trio.current_time() - store_heard_at(answer, pending.sent_at)
         self._knowledge.relays.note_store(sender, lost=silence > self._limits.silence)
         self._reconsider()
-        if answer.beyond_reach:
+        if answer.must_read_store:
             self._follower.read_once()
         if self._taking.take(answer, pending):
             await self._ask(sender)
--- a/hopstep/services/exchanges/peers/told_places.py
+++ b/hopstep/services/exchanges/peers/told_places.py
@@ -4,7 +4,7 @@
 
 from hopstep.domain.exchanges.nodes import FORM_WITH_ERAS
 from hopstep.domain.store_place import NOWHERE, UNTOLD_ERA, StorePlace
-from hopstep.ports.node_exchange import ToldEntry
+from hopstep.ports.node_exchange import ReportedEntry
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 
 
@@ -32,6 +32,6 @@
         era = UNTOLD_ERA if self._knowledge.history.was_restored else self._knowledge.place.era
         return StorePlace(era, place.revision)
 
-    def era_of(self, node: str, entry: ToldEntry) -> int:
+    def era_of(self, node: str, entry: ReportedEntry) -> int:
         """Return the era that a node means by an entry."""
         return self.read(node, StorePlace(entry.era, entry.revision)).era
--- a/hopstep/services/exchanges/requests/admission.py
+++ b/hopstep/services/exchanges/requests/admission.py
@@ -61,7 +61,7 @@
     head: RequestHead, body: bytes, route: Route, tenant: Tenant | None
 ) -> ExchangeRequest:
     """Return an admitted request with its deadlines."""
-    patience = head.patience_seconds
+    patience = head.client_timeout_seconds
     if patience is None:
         patience = route.timeout_seconds
     return ExchangeRequest(
--- a/hopstep/services/exchanges/requests/instance_attempt.py
+++ b/hopstep/services/exchanges/requests/instance_attempt.py
@@ -80,7 +80,7 @@
             view.end(request_id, candidate.uncached_tokens)
             self._parts.limits.release(view, self._permit)
             if left_midway and self.proof.sent and not self._relay.finished:
-                look = functools.partial(self._parts.calls.look, view.instance)
+                look = functools.partial(self._parts.calls.probe_connection, view.instance)
                 self._parts.quarantine.note_left(self._name, view.life, look)
         return None
 
@@ -146,7 +146,7 @@
             cache_source=candidate.source,
             cache_target=self._outcome.target,
             proof=self.proof,
-            hear=self._parts.notices.listener(view),
+            on_notice=self._parts.notices.listener(view),
             may_send=self._may_send,
         )
 
--- a/hopstep/services/exchanges/requests/quarantine_gate.py
+++ b/hopstep/services/exchanges/requests/quarantine_gate.py
@@ -79,7 +79,7 @@
         """Have the instance looked at that gave no answer, or broke one off."""
         answered = error.execution is Execution.NOT_RUN or error.code in ANSWERED_CODES
         if not answered:
-            look = functools.partial(self._calls.look, view.instance)
+            look = functools.partial(self._calls.probe_connection, view.instance)
             self._quarantine.note_broken(self.name, view.life, look)
 
     async def settle(self, view: InstanceView) -> None:
--- a/tests/adapters/test_golden_frames.py
+++ b/tests/adapters/test_golden_frames.py
@@ -32,12 +32,12 @@
     RelayDigest,
     RelayedEntry,
     RelayQuery,
-    SegmentNews,
+    ReportedChange,
+    ReportedEntry,
+    ReportedRecord,
+    SegmentUpdate,
     SentPrompt,
-    ToldChange,
-    ToldEntry,
-    ToldRecord,
-    UrgentNews,
+    UrgentUpdates,
 )
 from hopstep.ports.serving_directory import (
     InstanceListed,
@@ -74,7 +74,7 @@
 SEGMENT = SegmentKey(7, 800)
 HINTS = Hints(
     (InstanceLoad("i1@5", 3, 400, 1),),
-    (SegmentNews("i1@5", (SEGMENT,), 20, (9,)),),
+    (SegmentUpdate("i1@5", (SEGMENT,), 20, (9,)),),
     (LoadingEngine("i2@6", 900),),
     (Usage("t1", 40, 7),),
     2,
@@ -85,11 +85,11 @@
 )
 INSTANCE = Instance("i1", "llm", "10.0.0.1:80", "z", 4, True, {"m": 3}, 2, 5)
 ENTRIES = (
-    ToldEntry("servers/i1", 2, InstanceListed(INSTANCE), 3),
-    ToldEntry("servers/i4", 3, InstanceRemoved("i4"), 3),
-    ToldEntry("w", 4, WeightsPublished(NamedWeights("m", 3)), 3),
-    ToldEntry("r", 5, ToldRecord("r", b"\x00\xff", 5), 3),
-    ToldEntry(
+    ReportedEntry("servers/i1", 2, InstanceListed(INSTANCE), 3),
+    ReportedEntry("servers/i4", 3, InstanceRemoved("i4"), 3),
+    ReportedEntry("w", 4, WeightsPublished(NamedWeights("m", 3)), 3),
+    ReportedEntry("r", 5, ReportedRecord("r", b"\x00\xff", 5), 3),
+    ReportedEntry(
         "servers/i9",
         6,
         InstanceRejected("i9", RejectReason.FIELD_MISSING, "service", "expected"),
@@ -109,14 +109,14 @@
         feed="f",
         position=8,
         hints=HINTS,
-        silence_ms=40,
+        store_response_age_ms=40,
         after_era=2,
         era=3,
     ),
     "digest": RelayDigest(9, HINTS),
-    "urgent": UrgentNews(
+    "urgent": UrgentUpdates(
         10,
-        (SentPrompt(SegmentNews("i1@5", (SEGMENT,), 20), 800),),
+        (SentPrompt(SegmentUpdate("i1@5", (SEGMENT,), 20), 800),),
         (LoadingEngine("i2@6", 900),),
         (CRASHES,),
     ),
@@ -142,7 +142,7 @@
     """``Hints`` as versions before the form 2 read them."""
 
     loads: tuple[InstanceLoad, ...] = ()
-    segments: tuple[SegmentNews, ...] = ()
+    segments: tuple[SegmentUpdate, ...] = ()
     loading: tuple[LoadingEngine, ...] = ()
     usage: tuple[UsageBeforeLimits, ...] = ()
     nodes: int = 0
@@ -163,7 +163,7 @@
     """``Hints`` as versions before the form 1 read them."""
 
     loads: tuple[InstanceLoad, ...] = ()
-    segments: tuple[SegmentNews, ...] = ()
+    segments: tuple[SegmentUpdate, ...] = ()
     loading: tuple[LoadingEngine, ...] = ()
     usage: tuple[UsageBeforeLimits, ...] = ()
     nodes: int = 0
@@ -184,7 +184,7 @@
 
     key: str
     revision: int
-    change: ToldChange
+    change: ReportedChange
 
 
 class RelayedBeforeEras(msgspec.Struct, frozen=True, array_like=True):
@@ -241,16 +241,16 @@
         )
         self.assertEqual(query.contents, (ContentsPosition("10.0.0.9:80", "c", 3),))
         self.assertEqual((answer.after, answer.revision, answer.age_ms), (77, 80, 350))
-        self.assertEqual((answer.complete, answer.beyond_reach), (True, False))
-        self.assertEqual((answer.feed, answer.position, answer.silence_ms), ("f", 8, 40))
+        self.assertEqual((answer.complete, answer.must_read_store), (True, False))
+        self.assertEqual((answer.feed, answer.position, answer.store_response_age_ms), ("f", 8, 40))
         self.assertTrue(all(relayed.age_ms == 20 for relayed in answer.entries))
         for hints in (query.hints, answer.hints, messages["digest"].hints):
             self.assertEqual(hints.loads, (InstanceLoad(life, 3, 400, 1),))
-            self.assertEqual(hints.segments, (SegmentNews(life, (SEGMENT,), 20, (9,)),))
+            self.assertEqual(hints.segments, (SegmentUpdate(life, (SEGMENT,), 20, (9,)),))
             self.assertEqual(hints.loading, (LoadingEngine(engine, 900),))
         self.assertEqual(messages["digest"].number, 9)
         urgent = messages["urgent"]
-        self.assertEqual(urgent.prompts, (SentPrompt(SegmentNews(life, (SEGMENT,), 20), 800),))
+        self.assertEqual(urgent.prompts, (SentPrompt(SegmentUpdate(life, (SEGMENT,), 20), 800),))
         self.assertEqual(urgent.loading, (LoadingEngine(engine, 900),))
 
     def test_frames_of_before_lives(self):
@@ -288,9 +288,9 @@
         answer = messages["answer"]
         entries = tuple(relayed.entry for relayed in answer.entries)
         self.assertEqual(entries, ENTRIES_BEFORE_ERAS)
-        self.assertEqual(messages["query"].place, StorePlace(UNTOLD_ERA, 77))
-        self.assertEqual(answer.after_place, StorePlace(UNTOLD_ERA, 77))
-        self.assertEqual(answer.place, StorePlace(UNTOLD_ERA, 80))
+        self.assertEqual(messages["query"].store_position, StorePlace(UNTOLD_ERA, 77))
+        self.assertEqual(answer.after_store_position, StorePlace(UNTOLD_ERA, 77))
+        self.assertEqual(answer.store_position, StorePlace(UNTOLD_ERA, 80))
         self.assertEqual(messages["query"].hints, HINTS)
 
     def test_todays_frames_are_those_of_the_present_form(self):
@@ -315,7 +315,7 @@
         self.assertEqual((answer.after, answer.revision), (77, 80))
         for relayed, told in zip(answer.entries, ENTRIES, strict=True):
             self.assertEqual((relayed.entry.key, relayed.entry.revision), (told.key, told.revision))
-        self.assertEqual(answer.entries[3].entry.change, ToldRecord("r", b"\x00\xff", 5))
+        self.assertEqual(answer.entries[3].entry.change, ReportedRecord("r", b"\x00\xff", 5))
 
     def test_versions_before_words_of_leaving_read_todays_hints(self):
         frame = encode_frame(MESSAGES["query"], "a", b"key-a")
--- a/tests/adapters/test_node_codec.py
+++ b/tests/adapters/test_node_codec.py
@@ -21,9 +21,9 @@
     RelayDigest,
     RelayedEntry,
     RelayQuery,
-    SegmentNews,
-    ToldEntry,
-    UrgentNews,
+    ReportedEntry,
+    SegmentUpdate,
+    UrgentUpdates,
 )
 from hopstep.ports.serving_directory import (
     ConfigurationPublished,
@@ -37,7 +37,7 @@
 NODES = {"a": NodeRecord("1.2.3.4:5", "z", b"key-a"), "b": NodeRecord("1.2.3.4:6", "z", b"key-b")}
 HINTS = Hints(
     (InstanceLoad("i1", 3, 400, 1),),
-    (SegmentNews("i1", (SegmentKey(2**63 + 5, 800), SegmentKey(7, 16))),),
+    (SegmentUpdate("i1", (SegmentKey(2**63 + 5, 800), SegmentKey(7, 16))),),
     (LoadingEngine("i2", 900),),
 )
 INSTANCE = Instance("i1", "llm", "10.0.0.1:80", "z", 4, versions={"m": 3})
@@ -55,13 +55,13 @@
         77,
         80,
         350,
-        entries=tuple(RelayedEntry(ToldEntry.of(entry), 20) for entry in ENTRIES),
+        entries=tuple(RelayedEntry(ReportedEntry.of(entry), 20) for entry in ENTRIES),
         hints=HINTS,
         after_era=1,
         era=1,
     ),
     RelayDigest(9, HINTS),
-    UrgentNews(
+    UrgentUpdates(
         10, crashes=(RequestCrashes(b"\x00\xff" * 8, (Crash("i1@7", "a"),), ("i0", "i1@6")),)
     ),
 )
@@ -70,7 +70,7 @@
 class NodeCodecTest(unittest.TestCase):
     def test_entries_are_read_as_they_were_told(self):
         for entry in ENTRIES:
-            self.assertEqual(ToldEntry.of(entry).read(entry.place.era), entry)
+            self.assertEqual(ReportedEntry.of(entry).read(entry.position.era), entry)
 
     def frame(self, message=MESSAGES[1]):
         return encode_frame(message, "a", b"key-a")
--- a/tests/contract/store_contract.py
+++ b/tests/contract/store_contract.py
@@ -108,8 +108,8 @@
             await store.delete("p/a", second)
             batch = await store.watch("p/", start, 0.0)
             self.assertEqual([value.value for value in batch.values], [b"2", b""])
-            self.assertEqual(batch.place, batch.values[-1].version)
-            self.assertEqual((await store.watch("p/", batch.place, 0.05)).values, ())
+            self.assertEqual(batch.position, batch.values[-1].version)
+            self.assertEqual((await store.watch("p/", batch.position, 0.05)).values, ())
 
         self.check(test)
 
@@ -200,6 +200,6 @@
             version = await store.compare_and_swap("b", ABSENT, b"shown")
             batch = await store.watch("", ABSENT, 0.0)
             self.assertEqual(batch.values, (StoredValue("b", b"shown", version),))
-            self.assertEqual(batch.place, version)
+            self.assertEqual(batch.position, version)
 
         self.check(test)
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -54,7 +54,7 @@
             await store.compare_and_swap("a", ABSENT, b"1")
             version = await store.compare_and_swap("b", ABSENT, b"2")
             listing = await store.listing("")
-            self.assertEqual(listing.place, version)
+            self.assertEqual(listing.position, version)
             self.assertEqual([value.key for value in listing.values], ["a", "b"])
 
         self.check(test)
--- a/tests/emulator/test_store_stateful.py
+++ b/tests/emulator/test_store_stateful.py
@@ -91,7 +91,7 @@
             assert value.version > self.followed
             self.followed = value.version
             self.follower[value.key] = (value.value, value.version)
-        self.followed = batch.place
+        self.followed = batch.position
         live = {key: entry for key, entry in self.follower.items() if entry[0]}
         assert live == self.values
 
--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -81,7 +81,9 @@
         self.assertEqual(service.bodies, [b"12345"])
         self.assertIn((b"x-kept", b"2"), head.headers)
         self.assertIn((b"attempt-id", b"r1"), head.headers)
-        self.assertEqual((head.request_id, head.key, head.patience_seconds), ("r1", "secret", 1.5))
+        self.assertEqual(
+            (head.request_id, head.key, head.client_timeout_seconds), ("r1", "secret", 1.5)
+        )
 
     def test_all_connection_headers_name_what_does_not_go_on(self):
         service = Service()
@@ -140,7 +142,7 @@
         )
         self.exchange(service, headers=bad)
         head = service.heads[0]
-        self.assertIsNone(head.patience_seconds)
+        self.assertIsNone(head.client_timeout_seconds)
         self.assertEqual((head.prompt.prompt_tokens, head.request_id), (0, ""))
 
     def test_errors_become_statuses_and_only_proved_ones_promise(self):
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -136,12 +136,12 @@
 
     def test_a_look_tells_an_instance_that_listens_from_one_that_has_ended(self):
         async def script(instances, instance):
-            self.assertIs(await instances.look(instance), InstanceSign.ANSWERS)
+            self.assertIs(await instances.probe_connection(instance), InstanceSign.ANSWERS)
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
                 address = f"127.0.0.1:{closed.getsockname()[1]}"
             ended = msgspec.structs.replace(instance, address=address)
-            self.assertIs(await instances.look(ended), InstanceSign.ENDED)
+            self.assertIs(await instances.probe_connection(ended), InstanceSign.ENDED)
 
         self.run_with(RawServer(b""), script)
 
@@ -156,7 +156,7 @@
                     connection.setblocking(False)
                     connection.connect_ex(address)
                 dark = msgspec.structs.replace(instance, address=f"127.0.0.1:{address[1]}")
-                self.assertIs(await instances.look(dark), InstanceSign.NO_ANSWER)
+                self.assertIs(await instances.probe_connection(dark), InstanceSign.NO_ANSWER)
                 for connection in waiting:
                     connection.close()
 
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -149,9 +149,11 @@
                 self.assertEqual(heard, [] if empty else [expected])
 
     def test_a_request_hears_its_own_answer_only(self):
-        async def call(instances, instance, hear):
+        async def call(instances, instance, on_notice):
             try:
-                async with instances.open(InstanceCall(instance, request(), 1.5, hear=hear)):
+                async with instances.open(
+                    InstanceCall(instance, request(), 1.5, on_notice=on_notice)
+                ):
                     pass
             except InstanceCallError:
                 return
@@ -159,15 +161,15 @@
         self.check(ANSWERS, call)
 
     def test_a_report_hears_its_own_answer_only(self):
-        async def call(instances, instance, hear):
-            await instances.report(instance, hear)
+        async def call(instances, instance, on_notice):
+            await instances.report(instance, on_notice)
 
         self.check(CONTROL_ANSWERS, call)
 
     def test_an_order_hears_its_own_answer_only(self):
-        async def call(instances, instance, hear):
+        async def call(instances, instance, on_notice):
             order = WeightsOrder(NamedWeights("m", 2), "n1", 7, 0)
-            await instances.order(instance, order, hear)
+            await instances.order(instance, order, on_notice)
 
         self.check(CONTROL_ANSWERS, call)
 
@@ -183,9 +185,9 @@
             ("a refusal", b"HTTP/1.1 503 X\r\n" + WAIT + EMPTY, InstanceNotice(False, 3.0, EVENTS)),
         )
 
-        async def call(_instances, instance, hear):
+        async def call(_instances, instance, on_notice):
             client = HttpClient()
-            await PlatformCacheEvents(client).read(instance.address, 0, 0.1, hear)
+            await PlatformCacheEvents(client).read(instance.address, 0, 0.1, on_notice)
             await client.aclose()
 
         self.check(answers, call)
--- a/tests/platform/test_vocabulary.py
+++ b/tests/platform/test_vocabulary.py
@@ -15,7 +15,7 @@
 from hopstep.platform.vocabulary import KNOWN_HEADERS, READ_HEADERS, UNREAD_HEADERS
 from hopstep.ports.instance_calls import InstanceCall, InstanceCallError
 from hopstep.ports.key_value_store import StoredValue, StoreListing
-from hopstep.ports.unknown_words import WordPlace
+from hopstep.ports.unrecognized_values import ValueLocation
 from tests.platform.test_entries import ENGINE
 from tests.platform.test_instances import RawServer, request
 
@@ -66,13 +66,13 @@
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
-        return [(word.place, word.name, word.status) for word in words]
+        return [(word.location, word.name, word.status) for word in words]
 
     def told_of_head(self, answer):
-        async def call(client, address, on_unknown):
+        async def call(client, address, on_unrecognized):
             instance = Instance("i1", "s", address, "z", 1)
             try:
-                async with HttpInstances(client, on_unknown).open(
+                async with HttpInstances(client, on_unrecognized).open(
                     InstanceCall(instance, request(), 1.5)
                 ):
                     pass
@@ -83,7 +83,7 @@
 
     def test_a_header_that_nothing_reads_is_told(self):
         told = self.told_of_head(OWN + b"Server-Mood: low\r\n" + BODY)
-        self.assertEqual(told, [(WordPlace.ANSWER_HEAD, "server-mood", 200)])
+        self.assertEqual(told, [(ValueLocation.ANSWER_HEAD, "server-mood", 200)])
 
     def test_headers_that_are_read_or_left_on_purpose_are_not(self):
         known = [name for name in READ_HEADERS | UNREAD_HEADERS.keys() if name != b"attempt-id"]
@@ -104,48 +104,55 @@
         report = {"busy": False, "callSequence": 1, "models": [], "kvUsed": 1, "temperature": 90}
         body = json.dumps(report).encode()
 
-        async def call(client, address, on_unknown):
+        async def call(client, address, on_unrecognized):
             instance = Instance("i1", "s", address, "z", 1)
-            await HttpInstances(client, on_unknown).report(instance)
+            await HttpInstances(client, on_unrecognized).report(instance)
 
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-        self.assertEqual(self.told(answer, call), [(WordPlace.REPORT, "temperature", 0)])
+        self.assertEqual(self.told(answer, call), [(ValueLocation.REPORT, "temperature", 0)])
 
     def test_a_field_and_a_header_of_cache_events_that_nothing_reads_are_told(self):
         body = b'{"epoch":1,"nextPageToken":0,"lost":false,"events":[],"pace":5}'
 
-        async def call(client, address, on_unknown):
-            await PlatformCacheEvents(client, on_unknown).read(address, 0, 0.2)
+        async def call(client, address, on_unrecognized):
+            await PlatformCacheEvents(client, on_unrecognized).read(address, 0, 0.2)
 
         head = b"HTTP/1.1 200 OK\r\nX-Pace: 1\r\nContent-Length: %d\r\n\r\n" % len(body)
         told = self.told(head + body, call)
         self.assertEqual(
-            told, [(WordPlace.ANSWER_HEAD, "x-pace", 200), (WordPlace.CACHE_EVENTS, "pace", 0)]
+            told,
+            [(ValueLocation.ANSWER_HEAD, "x-pace", 200), (ValueLocation.CACHE_EVENTS, "pace", 0)],
         )
 
     def test_a_field_and_a_header_of_the_store_that_nothing_reads_are_told(self):
         body = b'{"atRevision":1,"events":[{"privateKey":"k","revision":1,"leaseId":0,"by":"x"}]}'
 
-        async def call(client, address, on_unknown):
-            await PlatformStore(address, client, on_unknown=on_unknown).watch("", ABSENT, 0.1)
+        async def call(client, address, on_unrecognized):
+            await PlatformStore(address, client, on_unrecognized=on_unrecognized).watch(
+                "", ABSENT, 0.1
+            )
 
         head = b"HTTP/1.1 200 OK\r\nX-Shard: 1\r\nContent-Length: %d\r\n\r\n" % len(body)
         told = self.told(head + body, call)
         self.assertEqual(
-            told, [(WordPlace.STORE_HEAD, "x-shard", 200), (WordPlace.STORE_ANSWER, "events.by", 0)]
+            told,
+            [
+                (ValueLocation.STORE_HEAD, "x-shard", 200),
+                (ValueLocation.STORE_ANSWER, "events.by", 0),
+            ],
         )
 
     def directory_words(self, **values):
         words = []
         directory = PlatformDirectory(StoredDocuments(**values), words.append)
         trio.run(directory.snapshot)
-        return [(word.place, word.name, word.source) for word in words]
+        return [(word.location, word.name, word.source) for word in words]
 
     def test_fields_of_an_entry_that_nothing_reads_are_told(self):
         entry = {**ENGINE, "mood": {"deep": [[[1]]]}}
         entry["models"] = [{"name": "m", "version": 1, "adapters": [], "size": 7}]
         told = self.directory_words(**{"servers/i1": entry})
-        place = WordPlace.ENTRY
+        place = ValueLocation.ENTRY
         self.assertEqual(
             sorted(told), [(place, "models.size", "servers/i1"), (place, "mood", "servers/i1")]
         )
--- a/tests/services/exchanges/exchange_world.py
+++ b/tests/services/exchanges/exchange_world.py
@@ -109,7 +109,7 @@
         self._added.set()
         self._added = trio.Event()
 
-    async def read(self, address, position, wait_seconds, hear=ignore_notice):
+    async def read(self, address, position, wait_seconds, on_notice=ignore_notice):
         self.readers[address] += 1
         self.reads[address] += 1
         try:
@@ -118,7 +118,7 @@
                     await self._added.wait()
         finally:
             self.readers[address] -= 1
-        hear(self.notices.get(address, InstanceNotice()))
+        on_notice(self.notices.get(address, InstanceNotice()))
         events = self.events.get(address)
         if events is None:
             return None
@@ -331,7 +331,7 @@
             target=f"/{name}/x".encode(),
             headers=(),
             key=key,
-            patience_seconds=patience,
+            client_timeout_seconds=patience,
             prompt=prompt,
             resume_after=resume_after,
             received_at=trio.current_time(),
--- a/tests/services/exchanges/test_instance_limits.py
+++ b/tests/services/exchanges/test_instance_limits.py
@@ -400,7 +400,9 @@
             await self.name_limit(world, 0.0, INSTANCES)
             services = world.nodes[0]
             view = services.knowledge.table.get("i1")
-            lifted = LimitedInstance(view.life, LIMIT_LIFTED, asked_ms=-1_000, heard_ms=-1_000)
+            lifted = LimitedInstance(
+                view.life, LIMIT_LIFTED, request_age_ms=-1_000, response_age_ms=-1_000
+            )
             with trio.fail_after(1.0):
                 async with trio.open_nursery() as nursery:
                     for _waiter in range(20):
--- a/tests/services/exchanges/test_instance_lives.py
+++ b/tests/services/exchanges/test_instance_lives.py
@@ -15,7 +15,7 @@
 from hopstep.domain.exchanges.segments import SegmentKey
 from hopstep.domain.exchanges.store_contents import CacheEvent
 from hopstep.exceptions import Execution
-from hopstep.ports.node_exchange import LoadingEngine, SegmentNews, SentPrompt
+from hopstep.ports.node_exchange import LoadingEngine, SegmentUpdate, SentPrompt
 from hopstep.ports.serving_directory import InstanceListed
 from tests.services.exchanges.exchange_world import BOUNDS, MODEL, ExchangeWorld
 
@@ -160,7 +160,7 @@
         async def script(world):
             first = await self.second_life(world)
             sharing = world.nodes[0].sharing
-            segments = SegmentNews(first, (SegmentKey(7, 800),))
+            segments = SegmentUpdate(first, (SegmentKey(7, 800),))
             sharing.take_news("n1", (SentPrompt(segments, 9_000),), (LoadingEngine(first, 900),))
             view = self.views(world)[0]
             now = trio.current_time()
--- a/tests/services/exchanges/test_mixed_versions.py
+++ b/tests/services/exchanges/test_mixed_versions.py
@@ -10,7 +10,7 @@
 from hopstep.domain.exchanges.nodes import MESSAGE_FORM
 from hopstep.domain.exchanges.segments import SegmentKey
 from hopstep.domain.store_place import UNTOLD_ERA, StorePlace
-from hopstep.ports.node_exchange import Hints, LoadingEngine, SegmentNews
+from hopstep.ports.node_exchange import Hints, LoadingEngine, SegmentUpdate
 from hopstep.ports.serving_directory import DirectoryEntry, RecordWritten
 from hopstep.services.exchanges.directory.records import NODES_PREFIX
 from tests.services.exchanges.exchange_world import ExchangeWorld
@@ -28,7 +28,7 @@
         """Let a relay of another version tell of an engine."""
         hints = Hints(
             (InstanceLoad(life, 3, 400, 1),),
-            (SegmentNews(life, (SEGMENT,), 0),),
+            (SegmentUpdate(life, (SEGMENT,), 0),),
             (LoadingEngine(life, 900),),
         )
         services.sharing.take_answer("n9", hints)
--- a/tests/services/exchanges/test_rejected_entries.py
+++ b/tests/services/exchanges/test_rejected_entries.py
@@ -146,9 +146,9 @@
             real = {entry.address: entry for entry in world.listed.values()}
             read = world.cache_events.read
 
-            async def read_and_replace(address, position, wait_seconds, hear):
+            async def read_and_replace(address, position, wait_seconds, on_notice):
                 """Let the entry be replaced just as a read of the engine's events returns."""
-                batch = await read(address, position, wait_seconds, hear)
+                batch = await read(address, position, wait_seconds, on_notice)
                 entry = real.get(address)
                 for node in world.nodes if entry is not None else ():
                     decoy = msgspec.structs.replace(entry, address="decoy:1", born_ms=0)
--- a/tests/services/exchanges/test_suspensions.py
+++ b/tests/services/exchanges/test_suspensions.py
@@ -150,11 +150,11 @@
                 async def script(world, suspension, late=late):
                     order = world.instances.order
 
-                    async def order_checked(instance, sent, hear):
+                    async def order_checked(instance, sent, on_notice):
                         [node] = [n for n in world.nodes if n.knowledge.name == sent.holder]
                         if not node.lease.may_order:
                             late.append((trio.current_time(), sent))
-                        return await order(instance, sent, hear)
+                        return await order(instance, sent, on_notice)
 
                     world.instances.order = order_checked
                     for version in range(2, 8):
--- a/tests/services/exchanges/test_unknown_words.py
+++ b/tests/services/exchanges/test_unknown_words.py
@@ -5,7 +5,7 @@
 
 from structlog.testing import capture_logs
 
-from hopstep.ports.unknown_words import UnknownWord, WordPlace
+from hopstep.ports.unrecognized_values import UnrecognizedValue, ValueLocation
 from hopstep.services.exchanges.instances.unknown_words import (
     MAX_NAME_LENGTH,
     MAX_NAMES,
@@ -13,8 +13,8 @@
 )
 
 
-def word(name, place=WordPlace.ANSWER_HEAD):
-    return UnknownWord(place, name, "10.0.0.1:80", 200)
+def word(name, place=ValueLocation.ANSWER_HEAD):
+    return UnrecognizedValue(place, name, "10.0.0.1:80", 200)
 
 
 class UnknownWordsTest(unittest.TestCase):
@@ -27,7 +27,7 @@
         with capture_logs() as logs:
             for _time in range(3):
                 self.words.note(word("server-mood"))
-            self.words.note(word("server-mood", WordPlace.ENTRY))
+            self.words.note(word("server-mood", ValueLocation.ENTRY))
         self.assertEqual([entry["place"] for entry in logs], ["answer_head", "entry"])
         self.assertEqual(logs[0]["name"], "server-mood")
         self.assertEqual(self.counted, {"answer_head": 3, "entry": 1})
