--- a/emulator/exchange_platform/instances.py
+++ b/emulator/exchange_platform/instances.py
@@ -372,9 +372,9 @@
             return OrderOutcome.FENCED
         server.highest_fence = order.fencing_token
         if server.versions.get(order.weights.model) == order.weights.version:
-            return OrderOutcome.HOLDS_ALREADY
+            return OrderOutcome.ALREADY_LOADED
         if server.busy or order.expected_sequence != server.order_sequence:
-            return OrderOutcome.BUSY_OR_MOVED_ON
+            return OrderOutcome.BUSY_OR_SEQUENCE_CHANGED
         server.orders.append((trio.current_time(), order))
         server.order_sequence += 1
         server.busy = True
--- a/hopstep/platform/instances.py
+++ b/hopstep/platform/instances.py
@@ -56,9 +56,9 @@
 """By whether an instance's address accepts connections; a port is closed as its process ends."""
 
 ORDER_OUTCOMES = {
-    200: OrderOutcome.HOLDS_ALREADY,
+    200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.UNDER_WAY,
-    409: OrderOutcome.BUSY_OR_MOVED_ON,
+    409: OrderOutcome.BUSY_OR_SEQUENCE_CHANGED,
     412: OrderOutcome.FENCED,
 }
 
--- a/hopstep/ports/weights_orders.py
+++ b/hopstep/ports/weights_orders.py
@@ -16,8 +16,8 @@
     """Outcome of an order."""
 
     UNDER_WAY = "under_way"
-    HOLDS_ALREADY = "holds_already"
-    BUSY_OR_MOVED_ON = "busy_or_moved_on"
+    ALREADY_LOADED = "holds_already"
+    BUSY_OR_SEQUENCE_CHANGED = "busy_or_moved_on"
     FENCED = "fenced"
     REJECTED = "rejected"
     UNKNOWN = "unknown"
--- a/hopstep/services/exchanges/weights/weights_rollout.py
+++ b/hopstep/services/exchanges/weights/weights_rollout.py
@@ -38,7 +38,7 @@
 RETRY_SECONDS = 0.5
 
 ENDING_OUTCOMES = frozenset(
-    {OrderOutcome.HOLDS_ALREADY, OrderOutcome.FENCED, OrderOutcome.REJECTED}
+    {OrderOutcome.ALREADY_LOADED, OrderOutcome.FENCED, OrderOutcome.REJECTED}
 )
 """Outcomes after which no further order to the same engine helps for now."""
 
@@ -198,7 +198,7 @@
 
     def _end_order(self, view: InstanceView, weights: NamedWeights, outcome: OrderOutcome) -> None:
         """Learn from an order after which nothing is under way."""
-        if outcome is OrderOutcome.HOLDS_ALREADY:
+        if outcome is OrderOutcome.ALREADY_LOADED:
             view.learn_version(weights.model, weights.version)
         if outcome is OrderOutcome.FENCED:
             self._lease.give_up("fenced")
--- a/tests/adapters/test_engine_http.py
+++ b/tests/adapters/test_engine_http.py
@@ -32,8 +32,8 @@
     INTERRUPTED,
     REQUEST,
     WEIGHTS,
-    Bench,
     EngineContract,
+    EngineFixture,
 )
 
 UNREACHABLE = (ErrorCode.ENGINE_UNREACHABLE, Execution.UNKNOWN)
@@ -52,7 +52,7 @@
 
 class HttpEngineTest(EngineContract, unittest.TestCase):
     @contextlib.asynccontextmanager
-    async def bench(self):
+    async def fixture(self):
         stop = trio.Event()
         async with (
             trio.open_nursery() as nursery,
@@ -72,7 +72,7 @@
                 response = await admin.get(f"http://{address}{ADMIN_RUNS_PATH}")
                 return msgspec.json.decode(response.content, type=tuple[RunRecord, ...])
 
-            yield Bench(port, address, address_of(store), set_faults, runs)
+            yield EngineFixture(port, address, address_of(store), set_faults, runs)
             stop.set()
             nursery.cancel_scope.cancel()
 
--- a/tests/contract/engine_contract.py
+++ b/tests/contract/engine_contract.py
@@ -82,7 +82,7 @@
 )
 
 
-class Bench(msgspec.Struct):
+class EngineFixture(msgspec.Struct):
     """A port, the address of an engine behind it, and the means to hurt and question it."""
 
     port: object
@@ -96,7 +96,7 @@
     """Mixin for ``unittest.TestCase``; ``bench()`` yields a ``Bench``."""
 
     @contextlib.asynccontextmanager
-    async def bench(self):
+    async def fixture(self):
         raise NotImplementedError
         yield
 
@@ -105,8 +105,8 @@
 
     def check(self, test):
         async def body():
-            async with self.bench() as bench:
-                await test(bench)
+            async with self.fixture() as fixture:
+                await test(fixture)
 
         self.run_async(body)
 
@@ -116,11 +116,11 @@
             yield
         self.assertEqual((caught.exception.code, caught.exception.execution), (code, execution))
 
-    async def finish(self, bench, **changes):
+    async def finish(self, fixture, **changes):
         """Run an attempt to its end; return its last frame, with the answer checked."""
         request = msgspec.structs.replace(REQUEST, **changes)
         tokens, first_usage, last = {}, None, None
-        async with bench.port.generate(bench.address, request) as frames:
+        async with fixture.port.generate(fixture.address, request) as frames:
             async for frame in frames:
                 self.assertEqual(frame.nonce, request.nonce)
                 first_usage = first_usage or frame.usage
@@ -133,23 +133,23 @@
         self.assertEqual(first_usage.cached_tokens, last.usage.cached_tokens)
         return last
 
-    async def occupy(self, bench, stack, nonce):
+    async def occupy(self, fixture, stack, nonce):
         """Open a long stream; one whose nonce begins with ``r`` is running on return."""
         request = msgspec.structs.replace(REQUEST, nonce=nonce, max_tokens=LONG)
-        frames = await stack.enter_async_context(bench.port.generate(bench.address, request))
+        frames = await stack.enter_async_context(fixture.port.generate(fixture.address, request))
         if nonce.startswith("r"):
             await anext(frames)
         return frames
 
-    async def runs_by_nonce(self, bench):
-        return Counter(run.nonce for run in await bench.runs())
+    async def runs_by_nonce(self, fixture):
+        return Counter(run.nonce for run in await fixture.runs())
 
     def test_whole_answers(self):
         prompts = (f"prompt {index}" for index in range(1000))
         brief = next(it for it in prompts if natural_answer_length(prompt_digest(it)) < 300)
         head = expected_tokens(brief, 7)
 
-        async def test(bench):
+        async def test(fixture):
             for index, (changes, reason) in enumerate(
                 (
                     ({}, FinishReason.LENGTH),
@@ -159,7 +159,7 @@
                     ({"prompt": brief, "continued_text": ("odd!",)}, FinishReason.LENGTH),
                 )
             ):
-                last = await self.finish(bench, nonce=f"n{index}", **changes)
+                last = await self.finish(fixture, nonce=f"n{index}", **changes)
                 self.assertEqual(last.finish_reason, reason)
 
         self.check(test)
@@ -168,63 +168,63 @@
         self.assertNotEqual(whole[1 : 1 + TOKENS], expected_tokens(brief, TOKENS, ("odd!",)))
 
     def test_stream_faults(self):
-        async def test(bench):
+        async def test(fixture):
             for index, (name, fault, error, arriving) in enumerate(STREAM_FAULTS):
                 with self.subTest(name):
-                    await bench.set_faults(EngineFaults(stream=fault))
+                    await fixture.set_faults(EngineFaults(stream=fault))
                     request = msgspec.structs.replace(REQUEST, nonce=f"n{index}")
                     tokens = {}
                     with self.assert_error(*error) if error else contextlib.nullcontext():
-                        async with bench.port.generate(bench.address, request) as frames:
+                        async with fixture.port.generate(fixture.address, request) as frames:
                             async for frame in frames:
                                 if frame.nonce == request.nonce:
                                     tokens.update(enumerate(frame.tokens, frame.sequence))
                     self.assertEqual(tokens, dict(enumerate(expected_tokens(PROMPT, arriving))))
-                    await self.finish(bench, nonce=f"next{index}")
+                    await self.finish(fixture, nonce=f"next{index}")
 
         self.check(test)
 
     def test_refusals_run_nothing(self):
-        async def test(bench):
+        async def test(fixture):
             for name, changes, faults, error in REFUSALS:
                 with self.subTest(name):
-                    await bench.set_faults(faults or EngineFaults())
+                    await fixture.set_faults(faults or EngineFaults())
                     with self.assert_error(*error):
-                        await self.finish(bench, **changes)
-            self.assertEqual(await bench.runs(), ())
-            await bench.set_faults(EngineFaults())
-            await self.finish(bench)
+                        await self.finish(fixture, **changes)
+            self.assertEqual(await fixture.runs(), ())
+            await fixture.set_faults(EngineFaults())
+            await self.finish(fixture)
 
         self.check(test)
 
     def test_full_queue_is_refused_at_once(self):
-        async def test(bench):
+        async def test(fixture):
             async with contextlib.AsyncExitStack() as stack:
                 for nonce in ("r1", "r2", "q1", "q2"):
-                    await self.occupy(bench, stack, nonce)
+                    await self.occupy(fixture, stack, nonce)
                 with self.assert_error(ErrorCode.OVERLOADED, Execution.NOT_RUN):
-                    await self.finish(bench)
+                    await self.finish(fixture)
 
         self.check(test)
 
     def test_a_nonce_never_runs_twice(self):
-        async def test(bench):
-            await self.finish(bench)
+        async def test(fixture):
+            await self.finish(fixture)
             with self.assert_error(ErrorCode.ALREADY_CLAIMED, Execution.UNKNOWN):
-                await self.finish(bench)
-            await bench.set_faults(EngineFaults(lost_answers=1))
+                await self.finish(fixture)
+            await fixture.set_faults(EngineFaults(lost_answers=1))
             with self.assertRaises(EngineError) as caught:
-                await self.finish(bench, nonce="lost")
+                await self.finish(fixture, nonce="lost")
             self.assertEqual(caught.exception.execution, Execution.UNKNOWN)
             with self.assert_error(ErrorCode.ALREADY_CLAIMED, Execution.UNKNOWN):
-                await self.finish(bench, nonce="lost")
-            self.assertEqual(await self.runs_by_nonce(bench), {"n": 1, "lost": 1})
+                await self.finish(fixture, nonce="lost")
+            self.assertEqual(await self.runs_by_nonce(fixture), {"n": 1, "lost": 1})
 
         self.check(test)
 
     def test_cancel_and_fence(self):
-        async def test(bench):
-            port, address = bench.port, bench.address
+        async def test(fixture):
+            port, address = fixture.port, fixture.address
             incarnation = (await port.probe(address)).incarnation
             for call in (port.cancel, port.fence_nonce):
                 with self.assert_error(*UNPROVED):
@@ -238,23 +238,23 @@
                 self.assertEqual(status, AttemptStatus.NOT_SEEN)
             for nonce in ("buried", "unseen", "fenced"):
                 with self.assert_error(ErrorCode.ALREADY_CLAIMED, Execution.NOT_RUN):
-                    await self.finish(bench, nonce=nonce)
-            await self.finish(bench)
+                    await self.finish(fixture, nonce=nonce)
+            await self.finish(fixture)
             self.assertEqual(await port.cancel(address, "n", incarnation), CancelOutcome.FINISHED)
             status = await port.fence_nonce(address, "n", incarnation)
             self.assertEqual(status, AttemptStatus.FINISHED)
-            self.assertEqual(await self.runs_by_nonce(bench), {"n": 1})
+            self.assertEqual(await self.runs_by_nonce(fixture), {"n": 1})
 
         self.check(test)
 
     def test_cancel_of_running_and_queued_attempts(self):
-        async def test(bench):
-            port, address = bench.port, bench.address
+        async def test(fixture):
+            port, address = fixture.port, fixture.address
             incarnation = (await port.probe(address)).incarnation
             async with contextlib.AsyncExitStack() as stack:
                 streams = {}
                 for nonce in ("running", "r2", "queued"):
-                    streams[nonce] = await self.occupy(bench, stack, nonce)
+                    streams[nonce] = await self.occupy(fixture, stack, nonce)
                 for nonce, status in (
                     ("running", AttemptStatus.RUNNING),
                     ("queued", AttemptStatus.QUEUED),
@@ -269,72 +269,72 @@
                         self.assertEqual(await port.cancel(address, nonce, incarnation), outcome)
                     frames = [frame async for frame in streams[nonce]]
                     self.assertEqual(frames[-1].finish_reason, FinishReason.CANCELLED)
-            self.assertEqual(await self.runs_by_nonce(bench), {"running": 1, "r2": 1})
+            self.assertEqual(await self.runs_by_nonce(fixture), {"running": 1, "r2": 1})
 
         self.check(test)
 
     def test_resume_gives_the_rest(self):
         answer = expected_tokens(PROMPT, TOKENS)
 
-        async def read(bench, incarnation, start):
+        async def read(fixture, incarnation, start):
             tokens = {}
-            async with bench.port.resume(bench.address, "n", incarnation, start) as frames:
+            async with fixture.port.resume(fixture.address, "n", incarnation, start) as frames:
                 async for frame in frames:
                     tokens.update(enumerate(frame.tokens, frame.sequence))
             return tokens
 
-        async def test(bench):
-            incarnation = (await bench.port.probe(bench.address)).incarnation
-            await bench.set_faults(EngineFaults(stream=StreamFault(cut_after_tokens=3)))
+        async def test(fixture):
+            incarnation = (await fixture.port.probe(fixture.address)).incarnation
+            await fixture.set_faults(EngineFaults(stream=StreamFault(cut_after_tokens=3)))
             with self.assert_error(*INTERRUPTED):
-                await self.finish(bench)
+                await self.finish(fixture)
             for start in (3, 0, TOKENS):
-                rest = await read(bench, incarnation, start)
+                rest = await read(fixture, incarnation, start)
                 self.assertEqual(rest, dict(enumerate(answer[start:], start)))
             with self.assert_error(ErrorCode.MALFORMED_REQUEST, Execution.UNKNOWN):
-                await read(bench, incarnation, TOKENS + 1)
-            await bench.set_faults(EngineFaults(crash=True))
+                await read(fixture, incarnation, TOKENS + 1)
+            await fixture.set_faults(EngineFaults(crash=True))
             with self.assert_error(*UNPROVED):
-                await read(bench, incarnation, 3)
-            self.assertEqual(await self.runs_by_nonce(bench), {"n": 1})
+                await read(fixture, incarnation, 3)
+            self.assertEqual(await self.runs_by_nonce(fixture), {"n": 1})
 
         self.check(test)
 
     def test_frozen_engine(self):
-        async def test(bench):
+        async def test(fixture):
             request = msgspec.structs.replace(REQUEST, max_tokens=LONG)
-            async with bench.port.generate(bench.address, request) as frames:
+            async with fixture.port.generate(fixture.address, request) as frames:
                 await anext(frames)
-                await bench.set_faults(EngineFaults(frozen=True))
+                await fixture.set_faults(EngineFaults(frozen=True))
                 with self.assert_error(*INTERRUPTED):
                     async for _ in frames:
                         pass
             with self.assert_error(ErrorCode.ENGINE_UNREACHABLE, Execution.UNKNOWN):
-                await self.finish(bench, nonce="buffered")
-            self.assertEqual(await self.runs_by_nonce(bench), {"n": 1})
-            await bench.set_faults(EngineFaults())
+                await self.finish(fixture, nonce="buffered")
+            self.assertEqual(await self.runs_by_nonce(fixture), {"n": 1})
+            await fixture.set_faults(EngineFaults())
             await trio.sleep(0.1)
             # What lay in the socket's buffer runs after all: "unknown" was the truth.
-            self.assertEqual(await self.runs_by_nonce(bench), {"n": 1, "buffered": 1})
+            self.assertEqual(await self.runs_by_nonce(fixture), {"n": 1, "buffered": 1})
 
         self.check(test)
 
     def test_crash_loses_everything(self):
-        async def test(bench):
-            await self.finish(bench, nonce="warm")
-            before = await bench.port.probe(bench.address)
+        async def test(fixture):
+            await self.finish(fixture, nonce="warm")
+            before = await fixture.port.probe(fixture.address)
             request = msgspec.structs.replace(REQUEST, max_tokens=LONG)
-            async with bench.port.generate(bench.address, request) as frames:
+            async with fixture.port.generate(fixture.address, request) as frames:
                 await anext(frames)
-                await bench.set_faults(EngineFaults(crash=True))
+                await fixture.set_faults(EngineFaults(crash=True))
                 with self.assert_error(*INTERRUPTED):
                     async for _ in frames:
                         pass
-            after = await bench.port.probe(bench.address)
+            after = await fixture.port.probe(fixture.address)
             self.assertNotEqual(before.incarnation, after.incarnation)
             with self.assert_error(*MISMATCH):
-                await self.finish(bench, nonce="m", incarnation=before.incarnation)
-            last = await self.finish(bench, nonce="m", incarnation=after.incarnation)
+                await self.finish(fixture, nonce="m", incarnation=before.incarnation)
+            last = await self.finish(fixture, nonce="m", incarnation=after.incarnation)
             self.assertEqual(last.usage.cached_tokens, 0)
 
         self.check(test)
@@ -342,14 +342,14 @@
     def test_cached_prefix_is_bound_to_its_salt(self):
         whole_blocks = (len(PROMPT) // 4 - 1) // BLOCK_TOKENS * BLOCK_TOKENS
 
-        async def test(bench):
+        async def test(fixture):
             for nonce, salt, cached in (
                 ("a", REQUEST.cache_salt, 0),
                 ("b", REQUEST.cache_salt, whole_blocks),
                 ("c", cache_salt("other tenant", "v1"), 0),
                 ("d", cache_salt("tenant", "v2"), 0),
             ):
-                last = await self.finish(bench, nonce=nonce, cache_salt=salt)
+                last = await self.finish(fixture, nonce=nonce, cache_salt=salt)
                 self.assertEqual(last.usage.cached_tokens, cached)
 
         self.check(test)
@@ -358,57 +358,57 @@
         whole_blocks = (len(PROMPT) // 4 - 1) // BLOCK_TOKENS * BLOCK_TOKENS
         store = {"kv_cache_store": None}
 
-        async def test(bench):
-            store["kv_cache_store"] = bench.kv_cache_store
-            await self.finish(bench, nonce="a", **store)
+        async def test(fixture):
+            store["kv_cache_store"] = fixture.kv_cache_store
+            await self.finish(fixture, nonce="a", **store)
             await trio.sleep(0.1)
             for nonce, changes, imported in (
                 ("b", {}, 0),
                 ("c", {"cache_salt": cache_salt("tenant", "v0"), **store}, 0),
                 ("d", store, whole_blocks),
             ):
-                await bench.set_faults(EngineFaults(crash=True))
-                last = await self.finish(bench, nonce=nonce, **changes)
+                await fixture.set_faults(EngineFaults(crash=True))
+                last = await self.finish(fixture, nonce=nonce, **changes)
                 self.assertEqual(last.usage.imported_tokens, imported)
 
         self.check(test)
 
     def test_cache_events(self):
-        async def test(bench):
-            facts = await bench.port.probe(bench.address)
-            await self.finish(bench, nonce="a")
+        async def test(fixture):
+            facts = await fixture.port.probe(fixture.address)
+            await self.finish(fixture, nonce="a")
             await trio.sleep(0.05)
-            batch = await bench.port.cache_events(bench.address, facts.incarnation, 0)
+            batch = await fixture.port.cache_events(fixture.address, facts.incarnation, 0)
             self.assertEqual({event.kind for event in batch.events}, {CacheEventKind.STORED})
             keys = [key for event in batch.events for key in event.block_keys]
             self.assertEqual(len(keys), len(PROMPT) // 4 // BLOCK_TOKENS)
             last = batch.events[-1].sequence
-            await bench.set_faults(EngineFaults(drop_events=True))
-            await self.finish(bench, nonce="b", prompt="y" * 640)
-            await bench.set_faults(EngineFaults(event_delay_seconds=0.0))
-            await self.finish(bench, nonce="c", prompt="z" * 640)
-            batch = await bench.port.cache_events(bench.address, facts.incarnation, last)
+            await fixture.set_faults(EngineFaults(drop_events=True))
+            await self.finish(fixture, nonce="b", prompt="y" * 640)
+            await fixture.set_faults(EngineFaults(event_delay_seconds=0.0))
+            await self.finish(fixture, nonce="c", prompt="z" * 640)
+            batch = await fixture.port.cache_events(fixture.address, facts.incarnation, last)
             self.assertGreater(batch.events[0].sequence, last + 1)
-            await bench.set_faults(EngineFaults(event_delay_seconds=60.0))
-            batch = await bench.port.cache_events(bench.address, facts.incarnation, 0)
+            await fixture.set_faults(EngineFaults(event_delay_seconds=60.0))
+            batch = await fixture.port.cache_events(fixture.address, facts.incarnation, 0)
             self.assertEqual(batch.events, ())
-            await bench.set_faults(EngineFaults(crash=True))
-            batch = await bench.port.cache_events(bench.address, facts.incarnation, last)
+            await fixture.set_faults(EngineFaults(crash=True))
+            batch = await fixture.port.cache_events(fixture.address, facts.incarnation, last)
             self.assertNotEqual(batch.incarnation, facts.incarnation)
 
         self.check(test)
 
     def test_orders_are_fenced_and_change_weights(self):
-        async def test(bench):
-            port, address = bench.port, bench.address
-            await self.finish(bench, nonce="old")
+        async def test(fixture):
+            port, address = fixture.port, fixture.address
+            await self.finish(fixture, nonce="old")
             request = msgspec.structs.replace(REQUEST, nonce="running", max_tokens=LONG)
             async with port.generate(address, request) as frames:
                 await anext(frames)
                 facts = await port.order(address, EngineOrder(5, {"model": "v2"}))
                 self.assertEqual((facts.weights, facts.fence), ({}, 5))
                 with self.assert_error(ErrorCode.NOT_READY, Execution.NOT_RUN):
-                    await self.finish(bench)
+                    await self.finish(fixture)
                 rest = [frame async for frame in frames]
                 self.assertEqual(rest[-1].finish_reason, FinishReason.LENGTH)
             with self.assert_error(*MISMATCH):
@@ -416,39 +416,39 @@
             await trio.sleep(0.2)
             self.assertEqual((await port.probe(address)).weights, {"model": "v2"})
             with self.assert_error(*MISMATCH):
-                await self.finish(bench)
+                await self.finish(fixture)
             # Even under the old salt nothing of the old weights is left.
-            last = await self.finish(bench, weights_version="v2")
+            last = await self.finish(fixture, weights_version="v2")
             self.assertEqual(last.usage.cached_tokens, 0)
             await port.order(address, EngineOrder(5, role=EngineRole.STANDBY))
             with self.assert_error(ErrorCode.NOT_READY, Execution.NOT_RUN):
-                await self.finish(bench, nonce="m", weights_version="v2")
+                await self.finish(fixture, nonce="m", weights_version="v2")
 
         self.check(test)
 
     def test_weights_changed_under_a_queued_attempt(self):
-        async def test(bench):
+        async def test(fixture):
             async with contextlib.AsyncExitStack() as stack:
                 for nonce in ("r1", "r2", "queued"):
-                    frames = await self.occupy(bench, stack, nonce)
-                await bench.port.order(bench.address, EngineOrder(1, {"model": "v2"}))
+                    frames = await self.occupy(fixture, stack, nonce)
+                await fixture.port.order(fixture.address, EngineOrder(1, {"model": "v2"}))
                 with self.assert_error(*MISMATCH):
                     async for _ in frames:
                         pass
-            self.assertNotIn("queued", await self.runs_by_nonce(bench))
+            self.assertNotIn("queued", await self.runs_by_nonce(fixture))
 
         self.check(test)
 
     def test_load_reports_lag(self):
-        async def test(bench):
+        async def test(fixture):
             request = msgspec.structs.replace(REQUEST, max_tokens=LONG)
-            async with bench.port.generate(bench.address, request) as frames:
+            async with fixture.port.generate(fixture.address, request) as frames:
                 await anext(frames)
-                await bench.set_faults(EngineFaults(report_lag_seconds=60.0))
-                load = (await bench.port.probe(bench.address)).load
+                await fixture.set_faults(EngineFaults(report_lag_seconds=60.0))
+                load = (await fixture.port.probe(fixture.address)).load
                 self.assertEqual(load.running, 0)
-                await bench.set_faults(EngineFaults(report_lag_seconds=0.0))
-                load = (await bench.port.probe(bench.address)).load
+                await fixture.set_faults(EngineFaults(report_lag_seconds=0.0))
+                load = (await fixture.port.probe(fixture.address)).load
                 self.assertEqual(load.running, 1)
 
         self.check(test)
--- a/tests/emulator/test_engine_in_process.py
+++ b/tests/emulator/test_engine_in_process.py
@@ -17,8 +17,8 @@
     IDLE_TIMEOUT_SECONDS,
     REQUEST,
     WEIGHTS,
-    Bench,
     EngineContract,
+    EngineFixture,
 )
 
 
@@ -35,7 +35,7 @@
         async def runs():
             return engines.model("engine").runs(trio.current_time())
 
-        yield Bench(engines, "engine", "store", set_faults, runs)
+        yield EngineFixture(engines, "engine", "store", set_faults, runs)
 
     def run_async(self, test):
         run_in_virtual_time(test)
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -299,8 +299,8 @@
         order = WeightsOrder(NamedWeights("m", 2), "n", 5, 1)
         for status, outcome in (
             (b"202 A", OrderOutcome.UNDER_WAY),
-            (b"200 A", OrderOutcome.HOLDS_ALREADY),
-            (b"409 A", OrderOutcome.BUSY_OR_MOVED_ON),
+            (b"200 A", OrderOutcome.ALREADY_LOADED),
+            (b"409 A", OrderOutcome.BUSY_OR_SEQUENCE_CHANGED),
             (b"412 A", OrderOutcome.FENCED),
             (b"400 A", OrderOutcome.REJECTED),
             (b"421 A", OrderOutcome.REJECTED),
