--- a/tests/emulator/test_engine_in_process.py
+++ b/tests/emulator/test_engine_in_process.py
@@ -24,7 +24,7 @@
 
 class InProcessEngineTest(EngineContract, unittest.TestCase):
     @contextlib.asynccontextmanager
-    async def bench(self):
+    async def fixture(self):
         engines = InProcessEngines(idle_timeout_seconds=IDLE_TIMEOUT_SECONDS)
         engines.add_engine("engine", EngineModel(CONFIG, WEIGHTS))
         engines.add_kv_cache_store("store", KvCacheStoreModel(512))
@@ -41,12 +41,12 @@
         run_in_virtual_time(test)
 
     def test_engine_that_is_down_ran_nothing(self):
-        async def test(bench):
-            bench.port.set_down("engine", True)
+        async def test(fixture):
+            fixture.port.set_down("engine", True)
             with self.assert_error(ErrorCode.ENGINE_UNREACHABLE, Execution.NOT_RUN):
-                await self.finish(bench)
-            bench.port.set_down("engine", False)
-            await self.finish(bench)
+                await self.finish(fixture)
+            fixture.port.set_down("engine", False)
+            await self.finish(fixture)
 
         self.check(test)
 
