--- a/hopstep/platform/cache_events.py
+++ b/hopstep/platform/cache_events.py
@@ -11,7 +11,7 @@
 from hopstep.platform import names
 from hopstep.platform.http_client import HttpCall, HttpClient, SendTrace
 from hopstep.platform.notices import read_notice
-from hopstep.platform.vocabulary import Vocabulary
+from hopstep.platform.vocabulary import UnrecognizedValueReporter
 from hopstep.ports.cache_events import CacheEventBatch, CacheEvents
 from hopstep.ports.unrecognized_values import (
     UnrecognizedValueListener,
@@ -56,7 +56,7 @@
             on_unrecognized: Called for each unrecognized value in a response.
         """
         self._client = client
-        self._vocabulary = Vocabulary(on_unrecognized)
+        self._unrecognized = UnrecognizedValueReporter(on_unrecognized)
 
     async def read(
         self,
@@ -75,7 +75,7 @@
                 async with self._client.open(call, SendTrace()) as response:
                     kind = AnswerKind.CACHE_EVENTS
                     on_notice(read_notice(response.status, response.headers, kind))
-                    self._vocabulary.note_headers(
+                    self._unrecognized.report_headers(
                         ValueLocation.ANSWER_HEAD, address, response.status, response.headers
                     )
                     body = await response.aread()
@@ -90,7 +90,7 @@
             msgspec.DecodeError,
         ):
             return None
-        self._vocabulary.note_fields(ValueLocation.CACHE_EVENTS, address, body, _Events)
+        self._unrecognized.report_fields(ValueLocation.CACHE_EVENTS, address, body, _Events)
         events = tuple(_read(event) for event in read.events)
         return CacheEventBatch(read.epoch, read.next_page_token, read.lost, events, read.born)
 
--- a/hopstep/platform/directory.py
+++ b/hopstep/platform/directory.py
@@ -17,7 +17,7 @@
     read_weights,
 )
 from hopstep.platform.rejections import DECODING_ERRORS, rejection_of
-from hopstep.platform.vocabulary import Vocabulary
+from hopstep.platform.vocabulary import UnrecognizedValueReporter
 from hopstep.ports.key_value_store import KeyValueStorePort, StoredValue
 from hopstep.ports.serving_directory import (
     ConfigurationPublished,
@@ -64,7 +64,7 @@
             on_unrecognized: Called for each unrecognized field of a document.
         """
         self._store = store
-        self._vocabulary = Vocabulary(on_unrecognized)
+        self._unrecognized = UnrecognizedValueReporter(on_unrecognized)
 
     async def snapshot(self) -> DirectoryBatch:
         """Return all entries; see the port."""
@@ -87,15 +87,15 @@
             change = read_change(value)
             if change is not None:
                 entries.append(DirectoryEntry(value.key, value.version, change))
-                self._note_fields(value, change)
+                self._report_fields(value, change)
         return tuple(entries)
 
-    def _note_fields(self, value: StoredValue, change: DirectoryChange) -> None:
+    def _report_fields(self, value: StoredValue, change: DirectoryChange) -> None:
         """Report the unrecognized fields of a document that was read."""
         read = DOCUMENT_TYPES.get(type(change))
         if read is not None:
-            place, shape = read
-            self._vocabulary.note_fields(place, value.key, value.value, shape)
+            location, shape = read
+            self._unrecognized.report_fields(location, value.key, value.value, shape)
 
 
 def read_change(value: StoredValue) -> DirectoryChange | None:
--- a/hopstep/platform/instances.py
+++ b/hopstep/platform/instances.py
@@ -21,8 +21,8 @@
 from hopstep.platform import names
 from hopstep.platform.http_client import HttpCall, HttpClient, SendTrace, SendWithdrawnError
 from hopstep.platform.notices import read_notice
-from hopstep.platform.vocabulary import Vocabulary
-from hopstep.platform.weights_lines import WeightsLines
+from hopstep.platform.vocabulary import UnrecognizedValueReporter
+from hopstep.platform.weights_lines import WeightsVersionScanner
 from hopstep.ports.instance_calls import (
     InstanceAnswer,
     InstanceCall,
@@ -107,10 +107,10 @@
 
     async def body(self) -> AsyncIterator[bytes]:
         """Yield the body; see the port."""
-        lines = WeightsLines()
+        scanner = WeightsVersionScanner()
         try:
             async for data in self._response.aiter_stream():
-                self.weights_version = lines.feed(data) or self.weights_version
+                self.weights_version = scanner.scan(data) or self.weights_version
                 yield data
         except FAILURES as error:
             raise InstanceCallError(
@@ -131,7 +131,7 @@
             on_unrecognized: Called for each unrecognized value in a response.
         """
         self._client = client
-        self._vocabulary = Vocabulary(on_unrecognized)
+        self._unrecognized = UnrecognizedValueReporter(on_unrecognized)
 
     @contextlib.asynccontextmanager
     async def open(self, call: InstanceCall) -> AsyncIterator[InstanceAnswer]:
@@ -154,7 +154,7 @@
             except FAILURES as error:
                 raise _no_answer(call.proof) from error
             if _is_own_answer(response, call):
-                self._note_headers(call.instance, response)
+                self._report_headers(call.instance, response)
                 call.on_notice(_request_notice(response))
             _check_head(response, call)
             yield HttpInstanceAnswer(response)
@@ -209,13 +209,13 @@
             report = msgspec.json.decode(answer[1], type=_Report)
         except msgspec.DecodeError:
             return None
-        self._vocabulary.note_fields(ValueLocation.REPORT, instance.address, answer[1], _Report)
+        self._unrecognized.report_fields(ValueLocation.REPORT, instance.address, answer[1], _Report)
         versions = {model.name: model.version for model in report.models}
         return EngineReport(report.busy, report.call_sequence, versions, report.born)
 
-    def _note_headers(self, instance: Instance, response: httpcore.Response) -> None:
+    def _report_headers(self, instance: Instance, response: httpcore.Response) -> None:
         """Report the unrecognized headers of a response."""
-        self._vocabulary.note_headers(
+        self._unrecognized.report_headers(
             ValueLocation.ANSWER_HEAD, instance.address, response.status, response.headers
         )
 
@@ -247,7 +247,7 @@
             with trio.fail_after(ORDER_SECONDS):
                 async with self._client.open(call, SendTrace(proof)) as response:
                     if _is_control_answer(response):
-                        self._note_headers(instance, response)
+                        self._report_headers(instance, response)
                         on_notice(
                             read_notice(response.status, response.headers, AnswerKind.CONTROL)
                         )
--- a/hopstep/platform/store.py
+++ b/hopstep/platform/store.py
@@ -21,7 +21,7 @@
 )
 from hopstep.platform import names
 from hopstep.platform.http_client import HttpCall, HttpClient, SendTrace
-from hopstep.platform.vocabulary import Vocabulary
+from hopstep.platform.vocabulary import UnrecognizedValueReporter
 from hopstep.ports.key_value_store import (
     KeyValueStorePort,
     StoredValue,
@@ -141,7 +141,7 @@
             answer_seconds: Longest wait for a response, beyond the wait time of a watch.
             on_unrecognized: Called for each unrecognized value in a response.
         """
-        self._vocabulary = Vocabulary(on_unrecognized)
+        self._unrecognized = UnrecognizedValueReporter(on_unrecognized)
         self._address = address
         self._client = client
         self._answer_seconds = answer_seconds
@@ -161,13 +161,13 @@
     async def listing(self, prefix: str) -> StoreListing:
         """Return all values; see the port."""
         page, era = await self._page(prefix, "")
-        place = StorePlace(era, page.at_revision)
+        position = StorePlace(era, page.at_revision)
         values = [item.read(era) for item in page.items]
         while page.has_more and page.items:
             page, page_era = await self._page(prefix, page.items[-1].private_key)
             require_era(era, page_era)
             values.extend(item.read(era) for item in page.items)
-        return StoreListing(place, tuple(values))
+        return StoreListing(position, tuple(values))
 
     async def compare_and_swap(
         self,
@@ -179,15 +179,15 @@
         """Write one key; see the port."""
         put = _Put(key, base64.b64encode(value).decode(), _lease_number(lease))
         condition = _Condition(key, expected_version.revision)
-        place = await self._transact(_Transaction([condition], put=[put]))
-        require_write_era(expected_version, lease, place.era)
-        return place
+        position = await self._transact(_Transaction([condition], put=[put]))
+        require_write_era(expected_version, lease, position.era)
+        return position
 
     async def delete(self, key: str, expected_version: StorePlace) -> None:
         """Delete one key; see the port."""
         condition = _Condition(key, expected_version.revision)
-        place = await self._transact(_Transaction([condition], removals=[key]))
-        require_write_era(expected_version, None, place.era)
+        position = await self._transact(_Transaction([condition], removals=[key]))
+        require_write_era(expected_version, None, position.era)
 
     async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
         """Return changes; see the port."""
@@ -246,8 +246,8 @@
     def _decode(self, answer: _Answer, document: type[Document]) -> Document:
         """Return the document of a response, and report its unrecognized fields."""
         decoded = _decode(answer, document)
-        place = ValueLocation.STORE_ANSWER
-        self._vocabulary.note_fields(place, self._address, answer.body, document)
+        location = ValueLocation.STORE_ANSWER
+        self._unrecognized.report_fields(location, self._address, answer.body, document)
         return decoded
 
     async def _call(
@@ -268,7 +268,7 @@
         try:
             with trio.fail_after(self._answer_seconds + extra_seconds):
                 async with self._client.open(call, trace) as response:
-                    self._vocabulary.note_headers(
+                    self._unrecognized.report_headers(
                         ValueLocation.STORE_HEAD, self._address, response.status, response.headers
                     )
                     era = _read_era(response.headers)
--- a/hopstep/platform/vocabulary.py
+++ b/hopstep/platform/vocabulary.py
@@ -117,7 +117,7 @@
 """Fields that aren't read, with the reason."""
 
 
-class Vocabulary:
+class UnrecognizedValueReporter:
     """Reports unrecognized headers and fields to a listener."""
 
     def __init__(self, listener: UnrecognizedValueListener) -> None:
@@ -128,32 +128,32 @@
         """
         self._listener = listener
 
-    def note_headers(
+    def report_headers(
         self,
-        place: ValueLocation,
+        location: ValueLocation,
         source: str,
         status: int,
         headers: Iterable[tuple[bytes, bytes]],
     ) -> None:
         """Report the unrecognized headers of a response."""
-        known = KNOWN_HEADERS[place]
+        known = KNOWN_HEADERS[location]
         for name, _value in headers:
             if name.lower() not in known:
                 text = name.lower().decode("latin-1")
-                self._listener(UnrecognizedValue(place, text, source, status))
+                self._listener(UnrecognizedValue(location, text, source, status))
 
-    def note_fields(
-        self, place: ValueLocation, source: str, value: bytes, shape: type[msgspec.Struct]
+    def report_fields(
+        self, location: ValueLocation, source: str, value: bytes, shape: type[msgspec.Struct]
     ) -> None:
         """Report the unrecognized fields of a document that was read.
 
         Args:
-            place: Kind of the document.
+            location: Kind of the document.
             source: Address or key that it came from.
             value: Its JSON.
             shape: Type that it was decoded as.
         """
-        unread = UNREAD_FIELDS.get(place, {})
+        unread = UNREAD_FIELDS.get(location, {})
         try:
             document = msgspec.json.decode(value)
         except DECODING_ERRORS:
@@ -161,7 +161,7 @@
             return
         for path in unknown_fields(document, shape):
             if path not in unread:
-                self._listener(UnrecognizedValue(place, path, source))
+                self._listener(UnrecognizedValue(location, path, source))
 
 
 class _Shape(msgspec.Struct):
--- a/hopstep/platform/weights_lines.py
+++ b/hopstep/platform/weights_lines.py
@@ -13,14 +13,14 @@
 _LINE = re.compile(EVENT_BOUNDARY + names.VERSIONS + rb": *([0-9]{1,15})\r?\n")
 
 
-class WeightsLines:
+class WeightsVersionScanner:
     """Searches one stream, whose chunks may end anywhere."""
 
     def __init__(self) -> None:
         """Start as if a boundary came before the first event."""
         self._tail = EVENT_BOUNDARY
 
-    def feed(self, data: bytes) -> int:
+    def scan(self, data: bytes) -> int:
         """Return the last version in a complete line of the data received so far; 0 for none."""
         seen = self._tail + data
         self._tail = seen[-MAX_LINE_BYTES:]
--- a/hopstep/ports/node_exchange.py
+++ b/hopstep/ports/node_exchange.py
@@ -224,12 +224,14 @@
         Args:
             era: Era to assign; the received one unless the sender names none.
         """
-        place = StorePlace(era, self.revision)
+        position = StorePlace(era, self.revision)
         change = self.change
         if isinstance(change, ReportedRecord):
             version = StorePlace(era, change.revision)
-            return DirectoryEntry(self.key, place, RecordWritten(change.key, change.value, version))
-        return DirectoryEntry(self.key, place, change)
+            return DirectoryEntry(
+                self.key, position, RecordWritten(change.key, change.value, version)
+            )
+        return DirectoryEntry(self.key, position, change)
 
 
 class RelayedEntry(msgspec.Struct, frozen=True, array_like=True):
--- a/hopstep/ports/serving_directory.py
+++ b/hopstep/ports/serving_directory.py
@@ -126,7 +126,7 @@
             isinstance(change, RecordWritten) and not change.value
         )
 
-    def as_removed(self, place: StorePlace) -> DirectoryEntry | None:
+    def as_removed(self, position: StorePlace) -> DirectoryEntry | None:
         """Return the entry after its key is deleted; None for keys that are never removed."""
         change: DirectoryChange
         if isinstance(self.change, InstanceListed):
@@ -134,10 +134,10 @@
         elif isinstance(self.change, InstanceRejected):
             change = InstanceRemoved(self.change.instance_id)
         elif isinstance(self.change, RecordWritten):
-            change = RecordWritten(self.change.key, b"", place)
+            change = RecordWritten(self.change.key, b"", position)
         else:
             return None
-        return DirectoryEntry(self.key, place, change)
+        return DirectoryEntry(self.key, position, change)
 
 
 class DirectoryBatch(msgspec.Struct, frozen=True):
--- a/tests/platform/test_weights_lines.py
+++ b/tests/platform/test_weights_lines.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from hopstep.platform.weights_lines import WeightsLines
+from hopstep.platform.weights_lines import WeightsVersionScanner
 
 STREAM = b"id: 0\ndata: a\n\nweight-versions: 12\nid: 1\ndata: b\n\nid: 2\ndata: c\n\n"
 OTHERS = (
@@ -16,19 +16,19 @@
 class WeightsLinesTest(unittest.TestCase):
     def test_the_version_is_found_however_the_stream_is_cut(self):
         for size in range(1, len(STREAM) + 1):
-            lines = WeightsLines()
+            scanner = WeightsVersionScanner()
             pieces = [STREAM[at : at + size] for at in range(0, len(STREAM), size)]
-            self.assertEqual(max(lines.feed(piece) for piece in pieces), 12, size)
+            self.assertEqual(max(scanner.scan(piece) for piece in pieces), 12, size)
 
     def test_the_first_event_may_tell_it(self):
-        self.assertEqual(WeightsLines().feed(b"weight-versions: 4\nid: 0\ndata: a\n\n"), 4)
+        self.assertEqual(WeightsVersionScanner().scan(b"weight-versions: 4\nid: 0\ndata: a\n\n"), 4)
 
     def test_other_lines_tell_nothing(self):
         for stream in OTHERS:
             with self.subTest(stream):
-                self.assertEqual(WeightsLines().feed(stream), 0)
+                self.assertEqual(WeightsVersionScanner().scan(stream), 0)
 
     def test_a_line_is_found_once_it_is_whole(self):
-        lines = WeightsLines()
-        self.assertEqual(lines.feed(b"id: 0\n\nweight-versions: 1"), 0)
-        self.assertEqual(lines.feed(b"3\nid: 1\n\n"), 13)
+        scanner = WeightsVersionScanner()
+        self.assertEqual(scanner.scan(b"id: 0\n\nweight-versions: 1"), 0)
+        self.assertEqual(scanner.scan(b"3\nid: 1\n\n"), 13)
