--- a/tests/contract/engine_contract.py
+++ b/tests/contract/engine_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the engine port, for every adapter and stand-in."""
+"""Contract tests of the engine port, for every adapter and stand-in."""
 
 import contextlib
 from collections import Counter
@@ -42,7 +42,7 @@
 MISMATCH = (ErrorCode.PRECONDITION_FAILED, Execution.NOT_RUN)
 UNPROVED = (ErrorCode.PRECONDITION_FAILED, Execution.UNKNOWN)
 
-# Fault of the stream, error, tokens under the right nonce that arrive.
+# Name, fault of the stream, error, number of tokens that arrive under the right nonce.
 STREAM_FAULTS = (
     ("cut before the first token", StreamFault(cut_after_tokens=0), INTERRUPTED, 0),
     ("cut after the first token", StreamFault(cut_after_tokens=1), INTERRUPTED, 1),
@@ -55,7 +55,7 @@
     ("frames of another attempt between", StreamFault(injected_nonce="other"), None, TOKENS),
 )
 
-# Changes of the request or of the engine, and the refusal.
+# Name, changes of the request, faults of the engine, error.
 REFUSALS = (
     ("other weights", {"weights_version": "v0"}, None, MISMATCH),
     ("other incarnation", {"incarnation": "other"}, None, MISMATCH),
@@ -66,7 +66,7 @@
         None,
         (ErrorCode.PROMPT_TOO_LONG, Execution.NOT_RUN),
     ),
-    ("leaving", {}, EngineFaults(leaving=True), (ErrorCode.STOPPING, Execution.NOT_RUN)),
+    ("shutting down", {}, EngineFaults(leaving=True), (ErrorCode.STOPPING, Execution.NOT_RUN)),
     (
         "refused as not run",
         {},
@@ -83,7 +83,7 @@
 
 
 class EngineFixture(msgspec.Struct):
-    """A port, the address of an engine behind it, and the means to hurt and question it."""
+    """A port, an engine behind it, and callables that inject faults and list its runs."""
 
     port: object
     address: str
@@ -93,7 +93,7 @@
 
 
 class EngineContract:
-    """Mixin for ``unittest.TestCase``; ``bench()`` yields a ``Bench``."""
+    """Mixin for ``unittest.TestCase``; ``fixture()`` yields an ``EngineFixture``."""
 
     @contextlib.asynccontextmanager
     async def fixture(self):
@@ -260,7 +260,7 @@
                     ("queued", AttemptStatus.QUEUED),
                 ):
                     self.assertEqual(await port.fence_nonce(address, nonce, incarnation), status)
-                # The queued one goes first: the place of the other would start it.
+                # The queued attempt is cancelled first: a free slot would start it.
                 for nonce, outcome in (
                     ("queued", CancelOutcome.NOT_STARTED),
                     ("running", CancelOutcome.CANCELLED),
@@ -314,7 +314,7 @@
             self.assertEqual(await self.runs_by_nonce(fixture), {"n": 1})
             await fixture.set_faults(EngineFaults())
             await trio.sleep(0.1)
-            # What lay in the socket's buffer runs after all: "unknown" was the truth.
+            # The request in the socket's buffer runs later, so "unknown" was correct.
             self.assertEqual(await self.runs_by_nonce(fixture), {"n": 1, "buffered": 1})
 
         self.check(test)
@@ -417,7 +417,7 @@
             self.assertEqual((await port.probe(address)).weights, {"model": "v2"})
             with self.assert_error(*MISMATCH):
                 await self.finish(fixture)
-            # Even under the old salt nothing of the old weights is left.
+            # Nothing cached with the old weights is reused, even under the old salt.
             last = await self.finish(fixture, weights_version="v2")
             self.assertEqual(last.usage.cached_tokens, 0)
             await port.order(address, EngineOrder(5, role=EngineRole.STANDBY))
--- a/tests/contract/peer_transport_contract.py
+++ b/tests/contract/peer_transport_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the peer transport port, for every adapter and stand-in."""
+"""Contract tests of the peer transport port, for every adapter and stand-in."""
 
 import contextlib
 
@@ -17,10 +17,10 @@
 
 
 class PeerTransportContract:
-    """Mix-in; ``connect`` gives transports of one network, by codec."""
+    """Mixin for ``unittest.TestCase``; ``connected`` opens a transport for each codec."""
 
     def connected(self, *codecs):
-        """Return an asynchronous context manager of open transports."""
+        """Return an asynchronous context manager of open transports of one network."""
         raise NotImplementedError
 
     def run_with(self, body, *codecs):
--- a/tests/contract/store_contract.py
+++ b/tests/contract/store_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the key-value store's port, for every adapter and stand-in."""
+"""Contract tests of the key-value store's port, for every adapter and stand-in."""
 
 import contextlib
 
@@ -16,14 +16,14 @@
 
 CLIENT_TIMEOUT_SECONDS = 0.3
 BRIEF_LEASE_SECONDS = 1.0
-"""Longer than one call takes on a busy machine: the next call must find the lease alive."""
+"""Longer than one call on a busy machine: the lease must not expire before the next call."""
 
 UNAVAILABLE = (StoreError, ErrorCode.STORE_UNAVAILABLE)
 LIMITED = (StoreError, ErrorCode.STORE_RATE_LIMITED)
 UNKNOWN = (StoreOutcomeUnknownError, ErrorCode.STORE_OUTCOME_UNKNOWN)
 STALL = FaultOrder(slow_seconds=20.0)
 
-# Fault, error of a read, error of a write, whether the write took effect.
+# Name, fault, error of a read, error of a write, whether the write took effect.
 FAULTS = (
     ("outage", FaultOrder(outage=True), UNAVAILABLE, UNAVAILABLE, False),
     ("stall before the effect", STALL, UNAVAILABLE, UNKNOWN, False),
@@ -38,12 +38,12 @@
 
 
 def _next(version):
-    """Return another version than a key's own."""
+    """Return a version later than the given one."""
     return StorePlace(version.era, version.revision + 1)
 
 
 class StoreContract:
-    """Mixin for ``unittest.TestCase``; ``platform()`` yields the store and a fault order."""
+    """Mixin for ``unittest.TestCase``; ``platform()`` yields the store and a fault injector."""
 
     @contextlib.asynccontextmanager
     async def platform(self):
@@ -79,7 +79,7 @@
                 ("replace", lambda: store.compare_and_swap("a", _next(version), b"x")),
                 ("replace absent", lambda: store.compare_and_swap("b", version, b"x")),
                 ("delete", lambda: store.delete("a", _next(version))),
-                ("lapsed lease", lambda: store.compare_and_swap("c", ABSENT, b"x", NO_LEASE)),
+                ("expired lease", lambda: store.compare_and_swap("c", ABSENT, b"x", NO_LEASE)),
                 ("renew", lambda: store.keep_alive(NO_LEASE)),
             ):
                 with self.subTest(name), self.assertRaises(StoreConflictError) as caught:
--- a/tests/contract/test_peer_transport_contract.py
+++ b/tests/contract/test_peer_transport_contract.py
@@ -1,4 +1,4 @@
-"""The UDP transport and the network in memory keep the same contract."""
+"""Contract tests of the UDP transport and of the in-memory network."""
 
 import contextlib
 import random
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store client against its stand-in, by the contract of the store's port."""
+"""Contract tests of the platform's store client, with the emulated store."""
 
 import contextlib
 import unittest
@@ -98,5 +98,5 @@
 
 
 def _write(name):
-
+    """Return the operation that creates a key."""
     return wire.CompareAndSwap(name, ABSENT.revision, b"1")
--- a/tests/contract/test_store_contract.py
+++ b/tests/contract/test_store_contract.py
@@ -1,3 +1,5 @@
+"""Contract tests of the in-memory and the HTTP store clients, and tests of the machine list."""
+
 import contextlib
 import unittest
 
@@ -22,7 +24,7 @@
     Machine("127.0.0.1:1", MachineState.LIVE),
     Machine("127.0.0.1:2", MachineState.LEAVING),
 )
-LOST_SHAPES = (
+LOST_RESPONSES = (
     ("closed before the answer", b""),
     ("cut within the head", b"HTTP/1.1 200 OK\r\nContent-"),
     ("cut within the body", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1"),
@@ -116,7 +118,7 @@
         self.run_async(test)
 
     def test_every_other_lost_answer_leaves_a_write_unknown(self):
-        for name, answer in LOST_SHAPES:
+        for name, answer in LOST_RESPONSES:
             with self.subTest(name):
                 self.run_async(lambda answer=answer: self.check_raw_answer(answer))
 
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file and its settings template, filled with examples of the platform's fields."""
+"""The deploy file and its settings template, rendered with example values of the platform."""
 
 import re
 import tempfile
@@ -45,10 +45,12 @@
         fields = {**FIELDS, **changes}
         template = re.sub(
             r"\{\{#(.+?)\}\}(.*?)\{\{/\1\}\}",
-            lambda part: part[2].replace("{{.}}", fields[part[1]]) if part[1] in fields else "",
+            lambda section: (
+                section[2].replace("{{.}}", fields[section[1]]) if section[1] in fields else ""
+            ),
             template,
         )
-        self.path.write_text(re.sub(r"\{\{(.+?)\}\}", lambda gap: fields[gap[1]], template))
+        self.path.write_text(re.sub(r"\{\{(.+?)\}\}", lambda field: fields[field[1]], template))
         return load_exchange_settings(self.path)
 
     def test_the_template_gives_settings_that_can_be_used(self):
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,3 +1,5 @@
+"""Documents of operators and instances are converted to hopstep's types."""
+
 import json
 import unittest
 
@@ -84,7 +86,7 @@
         for read, value, field in (
             (read_configuration, b'{"version":"x"}', "version"),
             (read_configuration, b'{"version":1,"routes":[{"name":1}]}', "routes"),
-            (lambda v: read_instance("i", v), b'{"service":"s"}', "address"),
+            (lambda document: read_instance("i", document), b'{"service":"s"}', "address"),
             (read_weights, b'{"model":"m"}', "version"),
             (read_weights, b"{", "truncated"),
         ):
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""What other writers leave under instances' keys names no instance, and harms no other entry."""
+"""Invalid values under instances' keys list no instance, and don't affect other entries."""
 
 import base64
 import ipaddress
@@ -46,7 +46,7 @@
     {**GOOD, "somethingNew": {"x": [1, None]}},
 )
 
-MISSING, TYPE, VALUE, BYTES = (
+MISSING, TYPE, VALUE, UNREADABLE = (
     RejectReason.FIELD_MISSING,
     RejectReason.FIELD_TYPE,
     RejectReason.FIELD_VALUE,
@@ -110,9 +110,9 @@
     | strategies.floats(allow_nan=False)
     | strategies.text(max_size=8)
     | strategies.sampled_from(["ready", "draining", "10.0.0.2:81", "s"]),
-    lambda inner: (
-        strategies.lists(inner, max_size=3)
-        | strategies.dictionaries(strategies.text(max_size=4), inner, max_size=3)
+    lambda nested: (
+        strategies.lists(nested, max_size=3)
+        | strategies.dictionaries(strategies.text(max_size=4), nested, max_size=3)
     ),
     max_leaves=4,
 )
@@ -127,8 +127,8 @@
     return type(value) is int and lowest <= value <= highest
 
 
-def may_be_used(document):
-    """Return whether an entry names an instance, by what operators publish of entries alone."""
+def is_valid(document):
+    """Return whether an entry lists an instance, by the published rules for entries."""
     if not isinstance(document, dict) or not GOOD.keys() <= document.keys():
         return False
     address, separator, port = str(document["address"]).rpartition(":")
@@ -176,7 +176,7 @@
             with self.subTest(value=value[:40]):
                 change = read(value)
                 self.assertIsInstance(change, InstanceRejected)
-                self.assertIn(change.reason, (BYTES, TYPE))
+                self.assertIn(change.reason, (UNREADABLE, TYPE))
 
     def test_an_id_that_fits_no_header_names_none(self):
         for instance_id in ("", "a b", "a\r\nb", "\u00e9", "x" * 300):
@@ -209,12 +209,12 @@
         strategies.sets(strategies.sampled_from([*GOOD]), max_size=2),
     )
     def test_an_entry_is_taken_only_if_it_names_an_instance(self, good, changed, dropped):
-        document = {key: v for key, v in {**good, **changed}.items() if key not in dropped}
+        document = {key: value for key, value in {**good, **changed}.items() if key not in dropped}
         change = read(document)
         if isinstance(change, InstanceListed):
-            self.assertTrue(may_be_used(document), document)
+            self.assertTrue(is_valid(document), document)
         elif not changed and not dropped:
-            self.fail(f"a good entry was lost: {change}")
+            self.fail(f"a valid entry was rejected: {change}")
 
     @fuzz_settings.settings(base_examples=200)
     @hypothesis.given(strategies.lists(strategies.booleans() | strategies.binary(max_size=30)))
@@ -222,8 +222,8 @@
         good = json.dumps(GOOD).encode()
         values = [good if item is True else b"{}" if item is False else item for item in drawn]
         stored = [
-            StoredValue(f"servers/i-{n}", value, StorePlace(UNTOLD_ERA, n + 1))
-            for n, value in enumerate(values)
+            StoredValue(f"servers/i-{index}", value, StorePlace(UNTOLD_ERA, index + 1))
+            for index, value in enumerate(values)
         ]
         listed = [isinstance(read_change(value), InstanceListed) for value in stored]
         self.assertEqual(listed, [value == good for value in values])
@@ -231,7 +231,7 @@
 
 class StoreItemTest(unittest.TestCase):
     def snapshot(self, items):
-        """Return the changes that a store's listing stands for."""
+        """Return the directory changes of a store's listing."""
         body = {"items": items, "hasMore": False, "atRevision": 9}
 
         class Response:
--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -1,4 +1,4 @@
-"""Clients' HTTP requests as exchanges, and answers back."""
+"""Conversion of clients' HTTP requests to exchanges, and of answers to responses."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 class Service:
-    """Records what it is asked, and answers as it is told."""
+    """Records requests, and responds or raises the given error."""
 
     def __init__(self, error=None):
         self.error = error
@@ -89,8 +89,8 @@
         service = Service()
         extra = ((b"connection", b"X-Second"), (b"x-second", b"3"))
         self.exchange(service, headers=(*HEADERS, *extra))
-        passed = {name for name, _ in service.heads[0].headers}
-        self.assertFalse({b"x-hop", b"x-second"} & passed)
+        forwarded = {name for name, _ in service.heads[0].headers}
+        self.assertFalse({b"x-hop", b"x-second"} & forwarded)
 
     def test_tokens_of_a_request_are_those_of_prompt_and_longest_answer(self):
         for value, tokens in ((b"1460,80", 1_540), (b"1460", 1_460), (b"x,5", 5), (None, None)):
@@ -109,7 +109,7 @@
     def test_what_concerns_one_connection_or_is_set_here_does_not_go_on(self):
         service = Service()
         self.exchange(service)
-        passed = {name for name, _ in service.heads[0].headers}
+        forwarded = {name for name, _ in service.heads[0].headers}
         for name in (
             b"connection",
             b"x-hop",
@@ -121,7 +121,7 @@
             b"transfer-encoding",
             b"deadline-ms",
         ):
-            self.assertNotIn(name, passed)
+            self.assertNotIn(name, forwarded)
 
     def test_the_prompt_is_read(self):
         service = Service()
@@ -130,7 +130,7 @@
         self.assertEqual(
             (prompt.model, prompt.prompt_tokens, prompt.answer_tokens), ("m", 1460, 80)
         )
-        self.assertEqual([s.tokens for s in prompt.segments], [800, 410, 250])
+        self.assertEqual([segment.tokens for segment in prompt.segments], [800, 410, 250])
 
     def test_headers_that_cannot_be_read_are_as_if_missing(self):
         service = Service()
@@ -204,18 +204,18 @@
         ended = []
 
         async def main():
-            over = trio.Event()
+            response_ended = trio.Event()
             messages = [{"type": "http.request", "body": b"", "more_body": False}]
 
             async def receive():
                 if messages:
                     return messages.pop()
-                await over.wait()
+                await response_ended.wait()
                 return {"type": "http.disconnect"}
 
             async def send(message):
                 if message["type"] == "http.response.body" and not message["more_body"]:
-                    over.set()
+                    response_ended.set()
                     await trio.sleep(0.01)
                     ended.append(True)
 
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -1,4 +1,4 @@
-"""What is proved of a request by each way in which an instance may answer it, over real sockets."""
+"""What each kind of response from an instance proves about a request, over real sockets."""
 
 import contextlib
 import re
@@ -21,13 +21,15 @@
 
 ROUTE = Route("r", "h", "/", RequestKind.AT_MOST_ONCE, 3.0, 0.5, 0, ())
 HEAD = b"HTTP/1.1 200 OK\r\nAttempt-Id: r1\r\nResponse-Stamp: s\r\n"
-OTHER = b"HTTP/1.1 200 OK\r\nAttempt-Id: r0\r\nResponse-Stamp: s\r\nContent-Length: 5\r\n\r\nother"
-WHOLE = HEAD + b"Content-Length: 4\r\n\r\nbody"
+OTHER_RESPONSE = (
+    b"HTTP/1.1 200 OK\r\nAttempt-Id: r0\r\nResponse-Stamp: s\r\nContent-Length: 5\r\n\r\nother"
+)
+COMPLETE = HEAD + b"Content-Length: 4\r\n\r\nbody"
 NOT_RUN = (Execution.NOT_RUN, True)
 UNKNOWN = (Execution.UNKNOWN, True)
 
-WHOLE_ANSWERS = (
-    ("with a length", WHOLE),
+COMPLETE_RESPONSES = (
+    ("with a length", COMPLETE),
     ("in chunks", HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"),
     ("without a length", HEAD + b"Connection: close\r\n\r\nbody"),
 )
@@ -36,7 +38,7 @@
     ("limited", b"HTTP/1.1 429 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", NOT_RUN),
     ("another instance", b"HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", NOT_RUN),
     ("rejected early", b"HTTP/1.1 400 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", NOT_RUN),
-    ("an answer to another request", OTHER, UNKNOWN),
+    ("an answer to another request", OTHER_RESPONSE, UNKNOWN),
     (
         "a late refusal of another",
         b"HTTP/1.1 503 X\r\nAttempt-Id: r0\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
@@ -47,18 +49,18 @@
     ("no HTTP", b"garbage\r\n\r\n", UNKNOWN),
     ("cut within the head", b"HTTP/1.1 200 OK\r\nAtte", UNKNOWN),
 )
-BROKEN = (
+INCOMPLETE_RESPONSES = (
     ("too short", HEAD + b"Content-Length: 9\r\n\r\nbody"),
     ("chunks without an end", HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"),
 )
 
 
 class RawServer:
-    """Answers every request on a connection with given bytes."""
+    """Sends the given bytes in response to each request."""
 
-    def __init__(self, answer, keep=False, reset=False):
+    def __init__(self, answer, keep_open=False, reset=False):
         self.answer = answer
-        self.keep = keep
+        self.keep_open = keep_open
         self.reset = reset
         self.received = []
         self.connections = 0
@@ -81,7 +83,7 @@
             while data := await self.read_request(stream):
                 self.received.append(data)
                 await stream.send_all(self.answer)
-                if not self.keep:
+                if not self.keep_open:
                     break
             if self.reset:
                 linger = struct.pack("ii", 1, 0)
@@ -151,19 +153,21 @@
                 full.bind(("127.0.0.1", 0))
                 full.listen(0)
                 address = full.getsockname()
-                waiting = [socket.socket() for _ in range(3)]
-                for connection in waiting:
+                pending = [socket.socket() for _ in range(3)]
+                for connection in pending:
                     connection.setblocking(False)
                     connection.connect_ex(address)
-                dark = msgspec.structs.replace(instance, address=f"127.0.0.1:{address[1]}")
-                self.assertIs(await instances.probe_connection(dark), InstanceSign.NO_ANSWER)
-                for connection in waiting:
+                unresponsive = msgspec.structs.replace(instance, address=f"127.0.0.1:{address[1]}")
+                self.assertIs(
+                    await instances.probe_connection(unresponsive), InstanceSign.NO_ANSWER
+                )
+                for connection in pending:
                     connection.close()
 
         self.run_with(RawServer(b""), script)
 
     def test_whole_answers(self):
-        for name, answer_bytes in WHOLE_ANSWERS:
+        for name, answer_bytes in COMPLETE_RESPONSES:
             with self.subTest(name):
 
                 async def script(instances, instance):
@@ -199,7 +203,7 @@
                 self.run_with(RawServer(answer), script)
 
     def test_broken_answers_are_never_whole(self):
-        for name, answer_bytes in BROKEN:
+        for name, answer_bytes in INCOMPLETE_RESPONSES:
             with self.subTest(name):
                 self.check_error(answer_bytes, UNKNOWN)
 
@@ -219,7 +223,7 @@
             self.assertEqual((error.execution, error.sent), (Execution.NOT_RUN, False))
             self.assertEqual(error.code, ErrorCode.ENGINE_UNREACHABLE)
 
-        self.run_with(RawServer(WHOLE), script)
+        self.run_with(RawServer(COMPLETE), script)
 
     def test_surplus_bytes_never_become_the_answer_of_the_next_request(self):
         async def script(instances, instance):
@@ -233,10 +237,10 @@
                 else:
                     self.assertEqual((number, body), (1, b"body"))
 
-        self.run_with(RawServer(WHOLE + OTHER, keep=True), script)
+        self.run_with(RawServer(COMPLETE + OTHER_RESPONSE, keep_open=True), script)
 
     def test_whole_answers_keep_their_connection(self):
-        server = RawServer(WHOLE, keep=True)
+        server = RawServer(COMPLETE, keep_open=True)
 
         async def script(instances, instance):
             for _ in range(3):
@@ -246,7 +250,7 @@
         self.assertEqual(server.connections, 1)
 
     def test_idle_connections_of_an_address_can_be_closed_and_busy_ones_are_told(self):
-        server = RawServer(WHOLE, keep=True)
+        server = RawServer(COMPLETE, keep_open=True)
 
         async def script(instances, instance):
             call = InstanceCall(instance, request(), 1.5)
@@ -263,7 +267,7 @@
         self.assertEqual(server.connections, 2)
 
     def test_a_request_is_passed_on_with_its_preconditions(self):
-        server = RawServer(WHOLE)
+        server = RawServer(COMPLETE)
 
         async def script(instances, instance):
             await self.call(
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -1,4 +1,4 @@
-"""What instances say of themselves is heard from their own answers only, over real sockets."""
+"""Notices of an instance are taken from its own responses only, over real sockets."""
 
 import unittest
 
@@ -15,41 +15,49 @@
 from tests.platform.test_instances import RawServer, request
 
 NO_LIMIT = LimitWord()
-REFUSED = LimitWord(kind=AnswerKind.REFUSAL)
+UNLIMITED_REFUSAL = LimitWord(kind=AnswerKind.REFUSAL)
 CONTROL = LimitWord(kind=AnswerKind.CONTROL)
 EVENTS = LimitWord(kind=AnswerKind.CACHE_EVENTS)
 UNLIMITED = InstanceNotice(limit=NO_LIMIT)
-"""What an answer to a request that names no limit says: there is none any more."""
+"""Notice in a response to a request without a limit header: there is no limit any more."""
 
 NOT_RUN = b"Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 OWN = b"Attempt-Id: r1\r\n"
-WORD = b"Server-Leaving: 1\r\n"
-WAIT = b"Retry-After: 3\r\n"
+LEAVING = b"Server-Leaving: 1\r\n"
+RETRY_AFTER = b"Retry-After: 3\r\n"
 BODY = b"Response-Stamp: s\r\nContent-Length: 4\r\n\r\nbody"
 LIMIT = b"Server-Limit: 1.5\r\n"
 LIMITED = InstanceNotice(limit=LimitWord(1.5))
 
 ANSWERS = (
-    ("a success", b"HTTP/1.1 200 OK\r\n" + OWN + WORD + BODY, InstanceNotice(True, 0.0, NO_LIMIT)),
-    ("a failure", b"HTTP/1.1 500 X\r\n" + OWN + WORD + BODY, InstanceNotice(True, 0.0, NO_LIMIT)),
-    ("a success without a word", b"HTTP/1.1 200 OK\r\n" + OWN + BODY, UNLIMITED),
+    (
+        "a success",
+        b"HTTP/1.1 200 OK\r\n" + OWN + LEAVING + BODY,
+        InstanceNotice(True, 0.0, NO_LIMIT),
+    ),
+    (
+        "a failure",
+        b"HTTP/1.1 500 X\r\n" + OWN + LEAVING + BODY,
+        InstanceNotice(True, 0.0, NO_LIMIT),
+    ),
+    ("a success without a notice", b"HTTP/1.1 200 OK\r\n" + OWN + BODY, UNLIMITED),
     ("another value", b"HTTP/1.1 200 OK\r\n" + OWN + b"Server-Leaving: 0\r\n" + BODY, UNLIMITED),
     (
         "a refusal with its id",
-        b"HTTP/1.1 503 X\r\n" + OWN + WAIT + NOT_RUN,
+        b"HTTP/1.1 503 X\r\n" + OWN + RETRY_AFTER + NOT_RUN,
         InstanceNotice(False, 3.0, NO_LIMIT),
     ),
     (
         "a refusal without an id",
-        b"HTTP/1.1 503 X\r\n" + WAIT + NOT_RUN,
-        InstanceNotice(False, 3.0, REFUSED),
+        b"HTTP/1.1 503 X\r\n" + RETRY_AFTER + NOT_RUN,
+        InstanceNotice(False, 3.0, UNLIMITED_REFUSAL),
     ),
     (
-        "a refusal as it leaves",
-        b"HTTP/1.1 503 X\r\n" + OWN + WORD + NOT_RUN,
+        "a refusal while shutting down",
+        b"HTTP/1.1 503 X\r\n" + OWN + LEAVING + NOT_RUN,
         InstanceNotice(True, 0.0, NO_LIMIT),
     ),
-    ("a success that names a wait", b"HTTP/1.1 200 OK\r\n" + OWN + WAIT + BODY, UNLIMITED),
+    ("a success with Retry-After", b"HTTP/1.1 200 OK\r\n" + OWN + RETRY_AFTER + BODY, UNLIMITED),
     ("a success with a limit", b"HTTP/1.1 200 OK\r\n" + OWN + LIMIT + BODY, LIMITED),
     ("a failure with a limit", b"HTTP/1.1 500 X\r\n" + OWN + LIMIT + BODY, LIMITED),
     ("a refusal with a limit", b"HTTP/1.1 503 X\r\n" + OWN + LIMIT + NOT_RUN, LIMITED),
@@ -80,20 +88,20 @@
     ),
     (
         "a surplus answer",
-        b"HTTP/1.1 200 OK\r\nAttempt-Id: r0\r\n" + WORD + BODY,
+        b"HTTP/1.1 200 OK\r\nAttempt-Id: r0\r\n" + LEAVING + BODY,
         None,
     ),
-    ("a late refusal", b"HTTP/1.1 503 X\r\nAttempt-Id: r0\r\n" + WAIT + NOT_RUN, None),
-    ("bytes of nobody", b"HTTP/1.1 200 OK\r\n" + WORD + BODY, None),
+    ("a late refusal", b"HTTP/1.1 503 X\r\nAttempt-Id: r0\r\n" + RETRY_AFTER + NOT_RUN, None),
+    ("a response without an id", b"HTTP/1.1 200 OK\r\n" + LEAVING + BODY, None),
     (
         "another instance at the address",
-        b"HTTP/1.1 421 X\r\nInstance-Id: i2\r\n" + OWN + WORD + NOT_RUN,
+        b"HTTP/1.1 421 X\r\nInstance-Id: i2\r\n" + OWN + LEAVING + NOT_RUN,
         None,
     ),
-    ("whoever has the address", b"HTTP/1.1 421 X\r\n" + OWN + WORD + NOT_RUN, None),
+    ("an unnamed instance at the address", b"HTTP/1.1 421 X\r\n" + OWN + LEAVING + NOT_RUN, None),
     (
         "a precondition that it doesn't meet",
-        b"HTTP/1.1 421 X\r\nInstance-Id: i1\r\n" + OWN + WORD + NOT_RUN,
+        b"HTTP/1.1 421 X\r\nInstance-Id: i1\r\n" + OWN + LEAVING + NOT_RUN,
         InstanceNotice(True, 0.0, NO_LIMIT),
     ),
 )
@@ -103,28 +111,28 @@
 CONTROL_ANSWERS = (
     (
         "an answer",
-        b"HTTP/1.1 200 OK\r\n" + WORD + b"Content-Length: 43\r\n\r\n" + REPORT,
+        b"HTTP/1.1 200 OK\r\n" + LEAVING + b"Content-Length: 43\r\n\r\n" + REPORT,
         InstanceNotice(True, 0.0, CONTROL),
     ),
-    ("a refusal", b"HTTP/1.1 503 X\r\n" + WAIT + EMPTY, InstanceNotice(False, 3.0, CONTROL)),
+    ("a refusal", b"HTTP/1.1 503 X\r\n" + RETRY_AFTER + EMPTY, InstanceNotice(False, 3.0, CONTROL)),
     (
         "a limit",
         b"HTTP/1.1 200 OK\r\n" + LIMIT + b"Content-Length: 43\r\n\r\n" + REPORT,
         InstanceNotice(limit=LimitWord(1.5, None, AnswerKind.CONTROL)),
     ),
     (
-        "no word",
+        "no notice",
         b"HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n" + REPORT,
         InstanceNotice(limit=CONTROL),
     ),
-    ("a surplus answer", b"HTTP/1.1 200 OK\r\n" + OWN + WORD + BODY, None),
-    ("whoever has the address", b"HTTP/1.1 421 X\r\n" + WORD + EMPTY, None),
+    ("a surplus answer", b"HTTP/1.1 200 OK\r\n" + OWN + LEAVING + BODY, None),
+    ("an unnamed instance at the address", b"HTTP/1.1 421 X\r\n" + LEAVING + EMPTY, None),
 )
 
 
 class NoticesTest(unittest.TestCase):
-    def heard(self, answer, call):
-        """Return what is heard when ``call(instances, instance, hear)`` gets an answer."""
+    def received(self, answer, call):
+        """Return the notices when ``call(instances, instance, on_notice)`` gets a response."""
         notices = []
 
         async def main():
@@ -145,8 +153,8 @@
         for name, answer, expected in answers:
             with self.subTest(name):
                 empty = expected is None or expected.is_empty
-                heard = [notice for notice in self.heard(answer, call) if not notice.is_empty]
-                self.assertEqual(heard, [] if empty else [expected])
+                notices = [n for n in self.received(answer, call) if not n.is_empty]
+                self.assertEqual(notices, [] if empty else [expected])
 
     def test_a_request_hears_its_own_answer_only(self):
         async def call(instances, instance, on_notice):
@@ -179,10 +187,14 @@
         answers = (
             (
                 "events",
-                b"HTTP/1.1 200 OK\r\n" + WORD + length + body,
+                b"HTTP/1.1 200 OK\r\n" + LEAVING + length + body,
                 InstanceNotice(True, 0.0, EVENTS),
             ),
-            ("a refusal", b"HTTP/1.1 503 X\r\n" + WAIT + EMPTY, InstanceNotice(False, 3.0, EVENTS)),
+            (
+                "a refusal",
+                b"HTTP/1.1 503 X\r\n" + RETRY_AFTER + EMPTY,
+                InstanceNotice(False, 3.0, EVENTS),
+            ),
         )
 
         async def call(_instances, instance, on_notice):
@@ -196,7 +208,7 @@
         received = []
 
         async def main():
-            server = RawServer(b"HTTP/1.1 200 OK\r\n" + OWN + BODY, keep=True)
+            server = RawServer(b"HTTP/1.1 200 OK\r\n" + OWN + BODY, keep_open=True)
             async with trio.open_nursery() as nursery:
                 listeners = await nursery.start(trio.serve_tcp, server.handle, 0)
                 port = listeners[0].socket.getsockname()[1]
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent for good are left for new ones, over real sockets."""
+"""Connections that stay unresponsive are replaced by new ones, over real sockets."""
 
 import unittest
 
@@ -13,13 +13,13 @@
 from hopstep.platform.http_client import HttpCall, HttpClient, SendTrace
 from hopstep.platform.store import PlatformStore
 
-PATIENCE_SECONDS = 5.0
-"""Only bounds a failure: what is tested answers at once or never."""
+TIMEOUT_SECONDS = 5.0
+"""Bounds failures only: a call is answered at once or never; each call waits a fifth of it."""
 
 
 class SilentConnectionsTest(unittest.TestCase):
     def run_client(self, script):
-        """Run ``script(client, proxy)`` before a store behind a proxy."""
+        """Run ``script(client, proxy)`` with a store behind a proxy."""
 
         async def main():
             async with trio.open_nursery() as nursery:
@@ -36,16 +36,16 @@
         trio.run(main)
 
     async def ask(self, client, proxy):
-        """Make one call; return whether it was answered within the patience."""
+        """Make one call; return whether it was answered in time."""
         call = HttpCall(proxy.address, b"GET", b"/kv-range?pathPrefix=", ((b"host", b"h"),), b"")
-        with trio.move_on_after(PATIENCE_SECONDS / 5):
+        with trio.move_on_after(TIMEOUT_SECONDS / 5):
             async with client.open(call, SendTrace()) as response:
                 await response.aread()
                 return response.status == 200
         return False
 
     async def ask_at_once(self, client, proxy, count):
-        """Make calls side by side, so that each has a connection; return how many were answered."""
+        """Make concurrent calls, each on its own connection; return how many were answered."""
         answered = []
 
         async def ask():
--- a/tests/platform/test_vocabulary.py
+++ b/tests/platform/test_vocabulary.py
@@ -1,4 +1,4 @@
-"""A word that nothing reads is told, once it is seen, wherever others may say it."""
+"""Unrecognized headers and fields are reported for each kind of message and document."""
 
 import json
 import unittest
@@ -32,11 +32,11 @@
     "season": "wet",
 }
 
-PLACE = StorePlace(UNTOLD_ERA, 1)
+POSITION = StorePlace(UNTOLD_ERA, 1)
 
 
 class StoredDocuments:
-    """A store that lists fixed values."""
+    """A store with fixed values."""
 
     def __init__(self, **values):
         self.values = values
@@ -44,16 +44,16 @@
     async def listing(self, _prefix):
         await trio.lowlevel.checkpoint()
         values = (
-            StoredValue(key, json.dumps(value).encode(), PLACE)
+            StoredValue(key, json.dumps(value).encode(), POSITION)
             for key, value in self.values.items()
         )
-        return StoreListing(PLACE, tuple(values))
+        return StoreListing(POSITION, tuple(values))
 
 
 class VocabularyTest(unittest.TestCase):
-    def told(self, answer, call):
-        """Return the words that are told when ``call`` gets an answer over a socket."""
-        words = []
+    def reported(self, answer, call):
+        """Return the unrecognized values reported when ``call`` gets a response over a socket."""
+        values = []
 
         async def main():
             server = RawServer(answer)
@@ -61,14 +61,14 @@
                 listeners = await nursery.start(trio.serve_tcp, server.handle, 0)
                 port = listeners[0].socket.getsockname()[1]
                 client = HttpClient()
-                await call(client, f"127.0.0.1:{port}", words.append)
+                await call(client, f"127.0.0.1:{port}", values.append)
                 await client.aclose()
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
-        return [(word.location, word.name, word.status) for word in words]
+        return [(value.location, value.name, value.status) for value in values]
 
-    def told_of_head(self, answer):
+    def reported_from_head(self, answer):
         async def call(client, address, on_unrecognized):
             instance = Instance("i1", "s", address, "z", 1)
             try:
@@ -79,20 +79,20 @@
             except InstanceCallError:
                 return
 
-        return self.told(answer, call)
+        return self.reported(answer, call)
 
     def test_a_header_that_nothing_reads_is_told(self):
-        told = self.told_of_head(OWN + b"Server-Mood: low\r\n" + BODY)
-        self.assertEqual(told, [(ValueLocation.ANSWER_HEAD, "server-mood", 200)])
+        reported = self.reported_from_head(OWN + b"Server-Mood: low\r\n" + BODY)
+        self.assertEqual(reported, [(ValueLocation.ANSWER_HEAD, "server-mood", 200)])
 
     def test_headers_that_are_read_or_left_on_purpose_are_not(self):
         known = [name for name in READ_HEADERS | UNREAD_HEADERS.keys() if name != b"attempt-id"]
         lines = b"".join(name + b": 1\r\n" for name in known)
-        self.assertEqual(self.told_of_head(OWN + lines + BODY), [])
+        self.assertEqual(self.reported_from_head(OWN + lines + BODY), [])
 
     def test_a_header_of_a_surplus_answer_is_nobodys_word(self):
         surplus = OWN.replace(b"r1", b"r0") + b"Server-Mood: low\r\n" + BODY
-        self.assertEqual(self.told_of_head(surplus), [])
+        self.assertEqual(self.reported_from_head(surplus), [])
 
     def test_each_header_left_unread_has_a_reason(self):
         self.assertTrue(all(UNREAD_HEADERS.values()))
@@ -109,7 +109,7 @@
             await HttpInstances(client, on_unrecognized).report(instance)
 
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-        self.assertEqual(self.told(answer, call), [(ValueLocation.REPORT, "temperature", 0)])
+        self.assertEqual(self.reported(answer, call), [(ValueLocation.REPORT, "temperature", 0)])
 
     def test_a_field_and_a_header_of_cache_events_that_nothing_reads_are_told(self):
         body = b'{"epoch":1,"nextPageToken":0,"lost":false,"events":[],"pace":5}'
@@ -118,9 +118,9 @@
             await PlatformCacheEvents(client, on_unrecognized).read(address, 0, 0.2)
 
         head = b"HTTP/1.1 200 OK\r\nX-Pace: 1\r\nContent-Length: %d\r\n\r\n" % len(body)
-        told = self.told(head + body, call)
+        reported = self.reported(head + body, call)
         self.assertEqual(
-            told,
+            reported,
             [(ValueLocation.ANSWER_HEAD, "x-pace", 200), (ValueLocation.CACHE_EVENTS, "pace", 0)],
         )
 
@@ -133,40 +133,41 @@
             )
 
         head = b"HTTP/1.1 200 OK\r\nX-Shard: 1\r\nContent-Length: %d\r\n\r\n" % len(body)
-        told = self.told(head + body, call)
+        reported = self.reported(head + body, call)
         self.assertEqual(
-            told,
+            reported,
             [
                 (ValueLocation.STORE_HEAD, "x-shard", 200),
                 (ValueLocation.STORE_ANSWER, "events.by", 0),
             ],
         )
 
-    def directory_words(self, **values):
-        words = []
-        directory = PlatformDirectory(StoredDocuments(**values), words.append)
+    def reported_by_directory(self, **documents):
+        values = []
+        directory = PlatformDirectory(StoredDocuments(**documents), values.append)
         trio.run(directory.snapshot)
-        return [(word.location, word.name, word.source) for word in words]
+        return [(value.location, value.name, value.source) for value in values]
 
     def test_fields_of_an_entry_that_nothing_reads_are_told(self):
         entry = {**ENGINE, "mood": {"deep": [[[1]]]}}
         entry["models"] = [{"name": "m", "version": 1, "adapters": [], "size": 7}]
-        told = self.directory_words(**{"servers/i1": entry})
-        place = ValueLocation.ENTRY
+        reported = self.reported_by_directory(**{"servers/i1": entry})
+        location = ValueLocation.ENTRY
         self.assertEqual(
-            sorted(told), [(place, "models.size", "servers/i1"), (place, "mood", "servers/i1")]
+            sorted(reported),
+            [(location, "models.size", "servers/i1"), (location, "mood", "servers/i1")],
         )
 
     def test_fields_of_the_configuration_that_nothing_reads_are_told(self):
-        told = self.directory_words(**{"op/config": CONFIGURATION})
-        paths = sorted(name for _place, name, _source in told)
+        reported = self.reported_by_directory(**{"op/config": CONFIGURATION})
+        paths = sorted(name for _place, name, _source in reported)
         self.assertEqual(paths, ["routes.mood", "season", "services.engine.colour", "tenants.plan"])
 
     def test_a_document_that_nests_without_end_is_read_and_tells_nothing(self):
         entry = json.dumps({**ENGINE, "mood": 0}).replace(
             ": 0}", ": " + "[" * 900 + "]" * 900 + "}"
         )
-        words = []
-        directory = PlatformDirectory(StoredDocuments(), words.append)
-        change = directory._read_all((StoredValue("servers/i1", entry.encode(), PLACE),))
+        values = []
+        directory = PlatformDirectory(StoredDocuments(), values.append)
+        change = directory._read_all((StoredValue("servers/i1", entry.encode(), POSITION),))
         self.assertEqual(len(change), 1)
