--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -50,7 +50,9 @@
             ),
             template,
         )
-        self.path.write_text(re.sub(r"\{\{(.+?)\}\}", lambda field: fields[field[1]], template))
+        self.path.write_text(
+            re.sub(r"\{\{(.+?)\}\}", lambda placeholder: fields[placeholder[1]], template)
+        )
         return load_exchange_settings(self.path)
 
     def test_the_template_gives_settings_that_can_be_used(self):
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -46,7 +46,7 @@
     {**GOOD, "somethingNew": {"x": [1, None]}},
 )
 
-MISSING, TYPE, VALUE, UNREADABLE = (
+MISSING, TYPE, VALUE, UNDECODABLE = (
     RejectReason.FIELD_MISSING,
     RejectReason.FIELD_TYPE,
     RejectReason.FIELD_VALUE,
@@ -176,7 +176,7 @@
             with self.subTest(value=value[:40]):
                 change = read(value)
                 self.assertIsInstance(change, InstanceRejected)
-                self.assertIn(change.reason, (UNREADABLE, TYPE))
+                self.assertIn(change.reason, (UNDECODABLE, TYPE))
 
     def test_an_id_that_fits_no_header_names_none(self):
         for instance_id in ("", "a b", "a\r\nb", "\u00e9", "x" * 300):
@@ -209,7 +209,11 @@
         strategies.sets(strategies.sampled_from([*GOOD]), max_size=2),
     )
     def test_an_entry_is_taken_only_if_it_names_an_instance(self, good, changed, dropped):
-        document = {key: value for key, value in {**good, **changed}.items() if key not in dropped}
+        document = {
+            key: changed_value
+            for key, changed_value in {**good, **changed}.items()
+            if key not in dropped
+        }
         change = read(document)
         if isinstance(change, InstanceListed):
             self.assertTrue(is_valid(document), document)
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -131,7 +131,7 @@
 
 
 class NoticesTest(unittest.TestCase):
-    def received(self, answer, call):
+    def received_notices(self, answer, call):
         """Return the notices when ``call(instances, instance, on_notice)`` gets a response."""
         notices = []
 
@@ -153,8 +153,8 @@
         for name, answer, expected in answers:
             with self.subTest(name):
                 empty = expected is None or expected.is_empty
-                notices = [n for n in self.received(answer, call) if not n.is_empty]
-                self.assertEqual(notices, [] if empty else [expected])
+                nonempty = [n for n in self.received_notices(answer, call) if not n.is_empty]
+                self.assertEqual(nonempty, [] if empty else [expected])
 
     def test_a_request_hears_its_own_answer_only(self):
         async def call(instances, instance, on_notice):
--- a/tests/platform/test_vocabulary.py
+++ b/tests/platform/test_vocabulary.py
@@ -53,7 +53,7 @@
 class VocabularyTest(unittest.TestCase):
     def reported(self, answer, call):
         """Return the unrecognized values reported when ``call`` gets a response over a socket."""
-        values = []
+        unrecognized = []
 
         async def main():
             server = RawServer(answer)
@@ -61,12 +61,12 @@
                 listeners = await nursery.start(trio.serve_tcp, server.handle, 0)
                 port = listeners[0].socket.getsockname()[1]
                 client = HttpClient()
-                await call(client, f"127.0.0.1:{port}", values.append)
+                await call(client, f"127.0.0.1:{port}", unrecognized.append)
                 await client.aclose()
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
-        return [(value.location, value.name, value.status) for value in values]
+        return [(item.location, item.name, item.status) for item in unrecognized]
 
     def reported_from_head(self, answer):
         async def call(client, address, on_unrecognized):
@@ -143,10 +143,10 @@
         )
 
     def reported_by_directory(self, **documents):
-        values = []
-        directory = PlatformDirectory(StoredDocuments(**documents), values.append)
+        unrecognized = []
+        directory = PlatformDirectory(StoredDocuments(**documents), unrecognized.append)
         trio.run(directory.snapshot)
-        return [(value.location, value.name, value.source) for value in values]
+        return [(item.location, item.name, item.source) for item in unrecognized]
 
     def test_fields_of_an_entry_that_nothing_reads_are_told(self):
         entry = {**ENGINE, "mood": {"deep": [[[1]]]}}
@@ -167,7 +167,7 @@
         entry = json.dumps({**ENGINE, "mood": 0}).replace(
             ": 0}", ": " + "[" * 900 + "]" * 900 + "}"
         )
-        values = []
-        directory = PlatformDirectory(StoredDocuments(), values.append)
+        unrecognized = []
+        directory = PlatformDirectory(StoredDocuments(), unrecognized.append)
         change = directory._read_all((StoredValue("servers/i1", entry.encode(), POSITION),))
         self.assertEqual(len(change), 1)
