--- a/hopstep/platform/cache_events.py
+++ b/hopstep/platform/cache_events.py
@@ -20,7 +20,7 @@
 )
 
 ANSWER_SECONDS = 0.7
-"""Longest wait for a response, in seconds, beyond the wait for events."""
+"""Longest wait for a response, beyond the wait for events."""
 
 MILLISECONDS = 1_000
 OK = 200
--- a/hopstep/platform/front.py
+++ b/hopstep/platform/front.py
@@ -160,7 +160,7 @@
     """Cancel a request when its client disconnects.
 
     The server also reports a disconnect after a complete response, while it still closes the
-    connection or prepares it for the next request; that must not be cancelled.
+    connection or prepares it for the next request; neither may be cancelled.
     """
     while True:
         message = await receive()
--- a/hopstep/platform/http_client.py
+++ b/hopstep/platform/http_client.py
@@ -123,7 +123,7 @@
             await self.drop_idle(address)
         self._used_at[address] = now
 
-    async def listens(self, address: str, seconds: float) -> bool | None:
+    async def accepts_connections(self, address: str, seconds: float) -> bool | None:
         """Return whether an address accepts a new connection; None when that stays unknown.
 
         Args:
--- a/hopstep/platform/instances.py
+++ b/hopstep/platform/instances.py
@@ -39,8 +39,8 @@
 from hopstep.ports.weights_orders import EngineReport, OrderOutcome, WeightsOrder, WeightsOrders
 
 CONNECT_SECONDS = 0.4
-ORDER_SECONDS = 0.4
-"""Longest duration of an order or a report, in seconds."""
+CONTROL_SECONDS = 0.4
+"""Longest duration of a control call: an order or a report."""
 
 MILLISECONDS = 1_000
 MISDIRECTED = 421
@@ -48,7 +48,7 @@
 
 FAILURES = (httpcore.ProtocolError, httpcore.NetworkError, httpcore.TimeoutException)
 
-SIGNS = {
+LISTENING_SIGNS = {
     True: InstanceSign.ANSWERS,
     False: InstanceSign.ENDED,
     None: InstanceSign.NO_ANSWER,
@@ -161,7 +161,9 @@
 
     async def probe_connection(self, instance: Instance) -> InstanceSign:
         """Try to connect to an instance; see the port."""
-        return SIGNS[await self._client.listens(instance.address, CONNECT_SECONDS)]
+        return LISTENING_SIGNS[
+            await self._client.accepts_connections(instance.address, CONNECT_SECONDS)
+        ]
 
     def idle_addresses(self) -> set[str]:
         """Return the addresses without requests in progress; see the port."""
@@ -244,7 +246,7 @@
             connect_seconds=CONNECT_SECONDS,
         )
         try:
-            with trio.fail_after(ORDER_SECONDS):
+            with trio.fail_after(CONTROL_SECONDS):
                 async with self._client.open(call, SendTrace(proof)) as response:
                     if _is_control_answer(response):
                         self._report_headers(instance, response)
--- a/hopstep/platform/notices.py
+++ b/hopstep/platform/notices.py
@@ -30,8 +30,8 @@
     leaving = (names.LEAVING, LEAVING_VALUE) in pairs
     dates = _texts(pairs, names.DATE)
     date = dates[0] if dates else ""
-    rest = rest_seconds(_texts(pairs, names.RETRY_AFTER), date) if status == UNAVAILABLE else 0.0
-    return InstanceNotice(leaving, rest, _limit_notice(pairs, date, kind))
+    backoff = rest_seconds(_texts(pairs, names.RETRY_AFTER), date) if status == UNAVAILABLE else 0.0
+    return InstanceNotice(leaving, backoff, _limit_notice(pairs, date, kind))
 
 
 def _limit_notice(
--- a/hopstep/platform/store.py
+++ b/hopstep/platform/store.py
@@ -39,7 +39,7 @@
 
 CONNECT_SECONDS = 1.0
 ANSWER_SECONDS = 2.0
-"""Longest wait for a response, in seconds, beyond the wait time of a watch."""
+"""Longest wait for a response, beyond the wait time of a watch."""
 
 MILLISECONDS = 1_000
 GET = b"GET"
