--- a/hopstep/platform/rejections.py
+++ b/hopstep/platform/rejections.py
@@ -24,7 +24,7 @@
     Attributes:
         reason: Kind of fault.
         field: Path of the field at fault; empty when there is none.
-        detail: What was expected, for a person.
+        detail: What was expected, as text for operators.
     """
 
     reason: RejectReason
--- a/tests/contract/test_store_contract.py
+++ b/tests/contract/test_store_contract.py
@@ -65,9 +65,9 @@
     def test_one_client_is_cut_off_alone(self):
         async def test():
             shared = SharedStore()
-            cut, whole = InMemoryStore(shared), InMemoryStore(shared)
+            cut, uncut = InMemoryStore(shared), InMemoryStore(shared)
             cut.cut_off = True
-            version = await whole.compare_and_swap("a", ABSENT, b"1")
+            version = await uncut.compare_and_swap("a", ABSENT, b"1")
             self.assertEqual(version, StorePlace(UNTOLD_ERA, 1))
             await self.check_call(lambda: cut.get("a"), (StoreError, ErrorCode.STORE_UNAVAILABLE))
 
