--- a/hopstep/early_listeners.py
+++ b/hopstep/early_listeners.py
@@ -1,8 +1,8 @@
 """Listeners that a node opens before it loads its libraries.
 
-Loading takes about a third of a second of processor time. A port that listens meanwhile holds new
-connections in its queue; a closed one refuses them, and clients repeat a request only once or
-twice. Only the standard library is imported here.
+Loading takes about a third of a second of processor time. An open port holds new connections in
+its queue during this time; a closed one refuses them, and clients repeat a request only once or
+twice. This module imports only the standard library.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import tomllib
 
 BACKLOG = 1024
-"""Connections that may wait at a listener: several times what reaches a node while it loads."""
+"""Connections that may wait at a listener: several times those that arrive during loading."""
 
 FIELDS = ("address", "readiness_address", "metrics_address")
 """Settings that name listeners."""
@@ -23,8 +23,8 @@
 def open_listeners(path: str) -> Listeners:
     """Open the listeners that the settings name.
 
-    What can't be read or opened is left out here. The program checks its settings in full and
-    binds what is missing a moment later, and says what is wrong.
+    Addresses that can't be read or opened are skipped. The program later checks its settings in
+    full, binds missing listeners and reports errors.
 
     Args:
         path: Settings file.
@@ -40,7 +40,7 @@
 
 
 def _open(address: str) -> socket.socket | None:
-    """Return a listener at ``ip:port``, or None."""
+    """Return a listener at ``ip:port``; None if it can't be opened."""
     host, _, port = address.rpartition(":")
     try:
         return socket.create_server((host, int(port)), backlog=BACKLOG)
--- a/hopstep/exceptions.py
+++ b/hopstep/exceptions.py
@@ -1,12 +1,12 @@
-"""Every error that hopstep raises, by layer, each with a stable code.
+"""The errors that hopstep raises, by layer, each with a stable code.
 
-Each layer raises its own errors and turns those of the layer below into its own:
+Each layer raises its own errors and converts those of the layer below into its own:
 
-* ``DomainError``: a pure decision that can't be made (bad input, nothing admissible).
+* ``DomainError``: a pure decision failed (bad input, nothing admissible).
 * ``PortError``: an outside system failed; raised by adapters only.
-* ``ServiceError``: an error that services give to the HTTP API, which renders it.
+* ``ServiceError``: an error that services raise to the HTTP API, which renders it.
 
-The codes are published in ``docs/ERRORS.md``; they never change their meaning.
+The codes are published in ``docs/ERRORS.md``; their meaning never changes.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Stable codes that callers and operators see."""
+    """Stable error codes for callers and operators."""
 
     # Requests
     MALFORMED_REQUEST = "malformed_request"
@@ -61,46 +61,46 @@
 
 
 ERROR_GUIDE = {
-    ErrorCode.MALFORMED_REQUEST: "The body or a header is malformed; mend the field in `param`.",
+    ErrorCode.MALFORMED_REQUEST: "The body or a header is malformed; fix the field in `param`.",
     ErrorCode.BODY_TOO_LARGE: "The body is over the router's `max_body_bytes`; send less.",
     ErrorCode.PROMPT_TOO_LONG: "The prompt is over the model's `max_prompt_tokens`; shorten it.",
-    ErrorCode.INVALID_KEY: "The bearer key is absent, malformed or of no tenant.",
+    ErrorCode.INVALID_KEY: "The bearer key is missing, malformed or belongs to no tenant.",
     ErrorCode.UNKNOWN_MODEL: "No model of this name is configured; see `/v1/models`.",
     ErrorCode.UNKNOWN_CLASS: "No request class of this name is configured.",
     ErrorCode.CLASS_NOT_ALLOWED: "The tenant may not use this request class.",
     ErrorCode.NOT_FOUND: "No such path, or a wrong method.",
-    ErrorCode.OUTSIDE_PLACEMENT: "This router is outside the tenant's places; use `endpoints`.",
-    ErrorCode.NO_ADMISSIBLE_BACK_END: "No engine inside the places serves the model now.",
-    ErrorCode.RATE_LIMITED: "A limit of the tenant is used up; `param` names it. Come back later.",
-    ErrorCode.OVERLOADED: "The engines can't take the request in time. Come back later.",
-    ErrorCode.DEADLINE_EXCEEDED: "The class's deadline passed before the answer was whole.",
+    ErrorCode.OUTSIDE_PLACEMENT: "This router is outside the tenant's placement; use `endpoints`.",
+    ErrorCode.NO_ADMISSIBLE_BACK_END: "No engine in the tenant's placement serves the model now.",
+    ErrorCode.RATE_LIMITED: "A limit of the tenant is used up; `param` names it. Retry later.",
+    ErrorCode.OVERLOADED: "The engines can't serve the request in time. Retry later.",
+    ErrorCode.DEADLINE_EXCEEDED: "The class's deadline passed before the answer was complete.",
     ErrorCode.RETRIES_EXHAUSTED: "Attempts failed and the retry budget is used up.",
     ErrorCode.ENGINE_UNREACHABLE: "No engine could be reached.",
-    ErrorCode.PRECONDITION_FAILED: "The engine restarted or changed weights meanwhile.",
+    ErrorCode.PRECONDITION_FAILED: "The engine restarted or changed weights in between.",
     ErrorCode.STREAM_INTERRUPTED: "The answer broke off and could not be continued.",
     ErrorCode.EXECUTION_UNKNOWN: "A request that must run at most once may have run; check first.",
-    ErrorCode.REQUEST_QUARANTINED: "Back ends ended under this request; change it, or see its log.",
+    ErrorCode.REQUEST_QUARANTINED: "Back ends crashed on this request; change it, or see its log.",
     ErrorCode.ALREADY_CLAIMED: "The idempotency key was used before; that request may have run.",
-    ErrorCode.CLAIMS_UNAVAILABLE: "The store of claims is down; only requests with a key wait.",
+    ErrorCode.CLAIMS_UNAVAILABLE: "The store of claims is down; requests with a key are refused.",
     ErrorCode.NOT_READY: "The router has no configuration yet.",
     ErrorCode.STOPPING: "The router is stopping; use another one.",
-    ErrorCode.ISOLATED: "The router is cut off and can't tell whether its placement holds.",
-    ErrorCode.INTERNAL: "A fault in hopstep; see the log for its place.",
-    ErrorCode.INVALID_CONFIGURATION: "The operators' document breaks a rule, which is named.",
+    ErrorCode.ISOLATED: "The router is isolated and can't check that its placement is valid.",
+    ErrorCode.INTERNAL: "A fault in hopstep; the log names its location.",
+    ErrorCode.INVALID_CONFIGURATION: "The operators' document violates the named rule.",
     ErrorCode.CONFIGURATION_CONFLICT: "Another change came first; see the difference, edit again.",
-    ErrorCode.INVALID_SETTINGS: "A settings file or flag is wrong; the message names the field.",
-    ErrorCode.STORE_UNAVAILABLE: "The key-value service gave no answer; nothing was written.",
-    ErrorCode.STORE_OUTCOME_UNKNOWN: "The answer to a write was lost; it may have taken effect.",
+    ErrorCode.INVALID_SETTINGS: "A settings file or flag is invalid; the message names the field.",
+    ErrorCode.STORE_UNAVAILABLE: "The key-value service did not respond; nothing was written.",
+    ErrorCode.STORE_OUTCOME_UNKNOWN: "The response to a write was lost; it may have taken effect.",
     ErrorCode.STORE_CONFLICT: "A compare-and-swap found another version; nothing was written.",
-    ErrorCode.STORE_RATE_LIMITED: "The key-value service refused by its rate limit.",
-    ErrorCode.STORE_HISTORY_LOST: "A watch fell behind what the store remembers; it lists again.",
+    ErrorCode.STORE_RATE_LIMITED: "The key-value service refused the request by its rate limit.",
+    ErrorCode.STORE_HISTORY_LOST: "A watch fell behind the kept history; the router lists again.",
     ErrorCode.PEER_MESSAGE_REJECTED: "A peer's message is truncated, forged, replayed or foreign.",
 }
 """What each code means and what to do, for ``docs/ERRORS.md``."""
 
 
 class Execution(enum.StrEnum):
-    """What a refusal says of the request's execution at an engine."""
+    """Whether a refused or failed request may have run at an engine."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -112,7 +112,7 @@
     Args:
         code: Stable code.
         message: One sentence for a person; never holds prompts, answers or keys.
-        field: Path of the field at fault, such as ``tenants[2].selector``; empty if none.
+        field: Path of the invalid field, such as ``tenants[2].selector``; empty if none.
     """
 
     def __init__(self, code: ErrorCode, message: str, field: str = "") -> None:
@@ -123,11 +123,11 @@
 
 
 class DomainError(HopstepError):
-    """A pure decision that can't be made."""
+    """A pure decision failed."""
 
 
 class ValidationError(DomainError):
-    """A document or request that breaks a rule; ``field`` names where."""
+    """A document or request violates a rule; ``field`` names where."""
 
 
 class PortError(HopstepError):
@@ -143,15 +143,15 @@
 
 
 class StoreRestoredError(StoreConflictError):
-    """What the call relies on is of before a restore of the store from a copy."""
+    """The call relies on state from before the store was restored from a backup."""
 
 
 class StoreOutcomeUnknownError(StoreError):
-    """The request was sent, but no answer came: the effect may have taken place."""
+    """The request was sent, but no response came: it may have taken effect."""
 
 
 class StoreHistoryLostError(StoreError):
-    """Changes since a revision are no longer known; the watch must start from a new listing."""
+    """Changes since a revision are no longer kept; the watch must start from a new listing."""
 
 
 class EngineError(PortError):
@@ -159,8 +159,8 @@
 
     Args:
         execution: ``NOT_RUN`` only when proved: no byte of the request was sent, or the
-            engine itself said so under this attempt's nonce.
-        retry_after_seconds: When the engine asks to be called again; 0 if it doesn't say.
+            engine itself reported so under this attempt's nonce.
+        retry_after_seconds: Delay that the engine asks for before the next call; 0 for none.
     """
 
     def __init__(
@@ -176,15 +176,15 @@
 
 
 class PeerMessageError(PortError):
-    """A peer message that is truncated, forged, replayed or from another cluster."""
+    """A peer message is truncated, forged, replayed or from another cluster."""
 
 
 class ServiceError(HopstepError):
-    """An error on its way to a caller.
+    """An error that is returned to a caller.
 
     Args:
-        execution: What is proved about execution at engines.
-        retry_after_seconds: When the caller should come back; rendered as ``Retry-After``.
+        execution: Proved outcome at engines.
+        retry_after_seconds: Delay before a retry by the caller; rendered as ``Retry-After``.
         endpoints: Addresses of routers that may serve the request (placement refusals).
     """
 
--- a/hopstep/exchange_node.py
+++ b/hopstep/exchange_node.py
@@ -1,4 +1,4 @@
-"""Runs one node that carries routed exchanges: listeners, signals, planned stop."""
+"""Runs one node that forwards routed exchanges: listeners, signals, planned stop."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         settings_path: File that is read again on SIGHUP.
         services: The node's services.
         clients: Application for clients.
-        listeners: Those that are open already.
+        listeners: Listeners that are open already.
     """
     app = ListenerSwitch(
         clients,
@@ -78,7 +78,7 @@
     *,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Turn SIGTERM and SIGINT into a planned stop, SIGHUP into another look at the settings."""
+    """Start a planned stop on SIGTERM and SIGINT, read the settings again on SIGHUP."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
         task_status.started()
         async for number in received:
@@ -89,7 +89,7 @@
 
 
 def _reload(settings: ExchangeSettings, path: Path) -> ExchangeSettings:
-    """Read the settings again and say what has changed; it takes effect with the next start."""
+    """Read the settings again and log changed fields, which take effect at the next start."""
     try:
         changed = load_exchange_settings(path)
     except SettingsError as error:
--- a/hopstep/exchange_services.py
+++ b/hopstep/exchange_services.py
@@ -1,4 +1,4 @@
-"""The services of one node that carries routed exchanges, over ports given from outside."""
+"""The services of one node that forwards routed exchanges, built on ports passed by the caller."""
 
 from __future__ import annotations
 
@@ -49,26 +49,29 @@
 
 MILLISECONDS = 1_000.0
 ACCEPT_SECONDS = 2.8
-"""A stopping node serves for so long: load balancers notice within two questions."""
+"""Seconds that a stopping node still serves: load balancers notice within two readiness checks."""
 
 CLOSING_SECONDS = 1.0
-"""Part of the grace time that is left for closing connections."""
+"""Seconds of the grace time that are reserved for closing connections."""
 
 
-FIRST_TELLING_SECONDS = 0.6
-"""A node that has just started hears of instances from other nodes within three messages."""
+FIRST_REPORT_SECONDS = 0.6
+"""Seconds in which a node that has just started receives other nodes' reports of instances.
+
+Three messages take this long.
+"""
 
 
 class ExchangePorts(msgspec.Struct, frozen=True):
-    """Everything outside the process.
+    """Ports to everything outside the process.
 
     Attributes:
         store: Key-value store.
-        directory: What operators and instances publish.
+        directory: Configuration and entries that operators and instances publish.
         calls: Requests to instances.
         orders: Orders to engines.
         nodes: Datagrams between nodes.
-        cache_events: What cache stores and engines keep.
+        cache_events: Cache contents that cache stores and engines report.
         generator: Source of random choices.
     """
 
@@ -82,17 +85,17 @@
 
 
 class ExchangeServices:
-    """The services of one node; ``run`` starts them. The process and the tests share this."""
+    """The services of one node; ``run`` starts them. Used by the process and by tests."""
 
     def __init__(
         self, settings: ExchangeSettings, ports: ExchangePorts, node_key: bytes = b""
     ) -> None:
-        """Join the services. Must be called inside the event loop.
+        """Create and connect the services. Must be called inside the event loop.
 
         Args:
             settings: Settings of the node.
-            ports: Everything outside.
-            node_key: Signs the messages of this process to other nodes.
+            ports: Ports to everything outside the process.
+            node_key: Key that signs this process's messages to other nodes.
         """
         record = node_record(settings, node_key)
         bounds = settings.bounds
@@ -106,7 +109,7 @@
             self.weights,
             bounds.revocation_ms / MILLISECONDS,
         )
-        self.knowledge.table.first_telling.expect(trio.current_time() + FIRST_TELLING_SECONDS)
+        self.knowledge.table.first_telling.expect(trio.current_time() + FIRST_REPORT_SECONDS)
         limits = freshness_limits(min(bounds.configuration_ms, bounds.drain_ms) / MILLISECONDS)
         self.pauses = PauseWatch(generator)
         self.pauses.on_pause(self.knowledge.table.excuse)
@@ -123,7 +126,7 @@
         self.knowledge.instances.follow_ends(
             lambda life, evidence: self.quarantine.note_ended(str(life), evidence)
         )
-        self.quarantine.follow_ends(self._suspend_ended)
+        self.quarantine.follow_ends(self._suspend_terminated)
         self.quarantine_records = QuarantineRecords(self.quarantine, ports.store, generator)
         self.knowledge.records.follow(
             QUARANTINE_PREFIX,
@@ -195,26 +198,26 @@
         )
         self.reaper = ConnectionReaper(ports.calls, self.knowledge.table, self.pauses)
         self.registration = Registration(record, ports.store, self.knowledge, generator)
-        self._watch_gauges()
+        self._register_gauges()
 
-    def _suspend_ended(self, life: str) -> None:
-        """Send nothing to an instance that has ended, until its entry lapses.
+    def _suspend_terminated(self, life: str) -> None:
+        """Send nothing to a terminated instance until its entry expires.
 
-        Without this each other node finds that out by a request of its own.
+        Otherwise each node would find out by a failed request of its own.
         """
         view = self.knowledge.table.of_life(life)
         if view is not None:
             view.suspend(trio.current_time() + ENTRY_LAPSE_SECONDS)
 
-    def _watch_gauges(self) -> None:
-        """Show what the node knows and holds among its metrics."""
+    def _register_gauges(self) -> None:
+        """Publish the node's state as metrics."""
         watch_knowledge(self.metrics, self.knowledge)
         watch_work(self.metrics, self.lifecycle, self.quarantine, self.lease)
         watch_limits(self.metrics, self.notices)
 
     @property
     def is_ready(self) -> bool:
-        """Whether a request sent here would be served."""
+        """Whether the node accepts requests."""
         return self.lifecycle.ready and self.knowledge.keys.is_fresh
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -235,7 +238,7 @@
             task_status.started()
 
     async def wait_drained(self) -> None:
-        """Wait for a planned stop, and return when no request is active."""
+        """Wait for a planned stop, then until no request is active."""
         await self.lifecycle.wait_stopping()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.lease.release)
@@ -243,7 +246,7 @@
 
 
 def node_record(settings: ExchangeSettings, node_key: bytes) -> NodeRecord:
-    """Return a node's entry for other nodes."""
+    """Return the entry that announces a node to other nodes."""
     capacity = settings.processor_share * settings.processor_cores
     address = settings.peer_public_address or settings.peer_address
     return NodeRecord(address, settings.zone, node_key, capacity, MESSAGE_FORM)
--- a/hopstep/exchange_settings.py
+++ b/hopstep/exchange_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node that carries routed exchanges."""
+"""Settings of a node that forwards routed exchanges."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class ExchangeBounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the deployment promises; times in milliseconds unless the name says otherwise.
+    """Guarantees of the deployment; times in milliseconds unless the name says otherwise.
 
     Attributes:
         grace_seconds: From the request to stop until the process is killed.
-        configuration_ms: From a configuration's acknowledgement until every node acts by it.
-        drain_ms: From the acknowledgement that an instance leaves until it is sent nothing new.
-        revocation_ms: After a key was taken away, no request with it may run later than this.
+        configuration_ms: From a configuration's acknowledgement until every node applies it.
+        drain_ms: From the acknowledgement that an instance drains until it gets no new requests.
+        revocation_ms: From the revocation of a key until no request with it may run.
         retry_ratio: Retries of all nodes for each request to a service.
         retry_extra: Retries that are always allowed in a window, over all nodes.
         retry_window_seconds: Length of that window.
-        lease_ms: Time of the rollout holder's lease, and the pause between two holders.
-        other_zone_ms: Delay that a request to an instance of another zone counts for in choices.
+        lease_ms: Duration of the rollout lease, and the pause between two holders.
+        other_zone_ms: Delay added for an instance of another zone when instances are compared.
         weights_ms: From the naming of weights until no request may start on older ones.
         quota_window_seconds: Length of the windows over which tenants' quotas are counted.
-        quota_overshoot: Share by which a quota may be exceeded in a window.
-        quota_slack: Units of the quota by which it may be exceeded beyond that.
+        quota_overshoot: Fraction by which a quota may be exceeded in a window.
+        quota_slack: Units of the quota by which it may be exceeded in addition.
     """
 
     grace_seconds: float = 8.0
@@ -46,15 +46,15 @@
         name: Unique name of the machine.
         zone: Zone of the machine.
         address: ``ip:port`` of the clients' listener.
-        readiness_address: ``ip:port`` where load balancers ask whether the node is ready.
+        readiness_address: ``ip:port`` of the readiness checks by load balancers.
         peer_address: ``ip:port`` of the UDP socket for other nodes.
-        metrics_address: ``ip:port`` of the metrics; empty for none.
-        peer_public_address: Where other nodes reach ``peer_address``; the same if empty.
+        metrics_address: ``ip:port`` of the metrics listener; empty for none.
+        peer_public_address: Address by which other nodes reach ``peer_address``; the same if empty.
         store: ``ip:port`` of the store.
-        processor_share: Part of a core that the process may use.
-        processor_cores: How many times as fast that core is.
+        processor_share: Fraction of a core that the process may use.
+        processor_cores: Speed factor of that core.
         log_level: debug, info, warning or error.
-        bounds: What the deployment promises.
+        bounds: Guarantees of the deployment.
     """
 
     name: str
--- a/hopstep/library_logs.py
+++ b/hopstep/library_logs.py
@@ -1,7 +1,7 @@
-"""Log lines of libraries, turned into one catalogued event.
+"""Converts log records of libraries into one catalogued event.
 
-A library's line may quote what it worked on, so only its origin and the error's type are
-passed on, never its text.
+A library's message may quote request data, so only its origin and the error's type are logged,
+never its text.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def capture_library_logs() -> None:
-    """Send the warnings of all libraries to ``LibraryLogHandler``, and nothing below them."""
+    """Send warnings and errors of all libraries to ``LibraryLogHandler``; drop lower levels."""
     root = logging.getLogger()
     root.handlers = [LibraryLogHandler()]
     root.setLevel(logging.WARNING)
--- a/hopstep/logs.py
+++ b/hopstep/logs.py
@@ -13,27 +13,27 @@
 from hopstep.log_events import LogEvent
 
 LINES_PER_SECOND = 100.0
-"""Lines of one kind of event that are written in a second; further ones are counted."""
+"""Lines of one event that are written per second; further ones are dropped and counted."""
 
 DROPPED_FIELD = "dropped_before"
-"""Field of a line: how many of its kind were dropped before it."""
+"""Field of a line: number of lines of the same event that were dropped before it."""
 
 
 class TextOutput(Protocol):
-    """Where lines go."""
+    """Output stream of log lines."""
 
     def write(self, text: str, /) -> int:
-        """Take text."""
+        """Write text, or buffer it."""
 
     def flush(self) -> None:
-        """Write what waits."""
+        """Write buffered text."""
 
 
 class LineBudget:
-    """Bounds the lines of each kind of event, so that no kind drowns another.
+    """Limits the rate of each event's lines, so that frequent events don't displace others.
 
-    A processor of ``structlog``: it drops a line beyond the budget and tells with the next one of
-    its kind how many were dropped.
+    A processor of ``structlog``: it drops lines beyond the rate, and the next line of the same
+    event carries the number of dropped ones.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
         lines_per_second: float = LINES_PER_SECOND,
         clock: Callable[[], float] = steady_seconds,
     ) -> None:
-        """Start with a full budget for each kind.
+        """Start with a full budget for each event.
 
         Args:
-            lines_per_second: Rate, and the most lines that may come at once.
+            lines_per_second: Rate for each event, also the largest burst in lines.
             clock: Steady clock, seconds.
         """
         self._rate = lines_per_second
@@ -55,7 +55,7 @@
     def __call__(
         self, _logger: Any, _method: str, line: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        """Let a line pass, or raise ``DropEvent``."""
+        """Return the line if the budget allows it; raise ``DropEvent`` otherwise."""
         number = str(line.get("number", ""))
         now = self._clock()
         left, at = self._left.get(number, (self._rate, now))
@@ -72,12 +72,12 @@
 
 
 def configure_logging(level: str, node: str, output: TextOutput | None = None) -> None:
-    """Send JSON lines to a text stream.
+    """Configure logging as JSON lines on a text stream.
 
     Args:
         level: Lowest level that is written: debug, info, warning or error.
         node: Name of this process, a field of every line.
-        output: Where lines go; standard error if None.
+        output: Output stream; standard error if None.
     """
     structlog.configure(
         processors=[
@@ -101,13 +101,13 @@
 
     Args:
         event: Entry of ``hopstep.log_events``.
-        **fields: Values of the event's declared fields, and no others.
+        **fields: Values of the event's declared fields.
 
     Raises:
         ValueError: When a field isn't declared in the catalogue.
     """
     undeclared = set(fields) - set(event.fields)
     if undeclared:
-        raise ValueError(f"{event.number} has no fields {sorted(undeclared)}")
+        raise ValueError(f"event {event.number} does not declare the fields {sorted(undeclared)}")
     logger = structlog.get_logger()
     getattr(logger, event.level.value)(event.name, number=event.number, **fields)
--- a/hopstep/node.py
+++ b/hopstep/node.py
@@ -1,4 +1,4 @@
-"""Composition of one node: the only place that joins adapters and services."""
+"""Composition of one router: connects adapters and services."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
         transport: UdpPeerTransport,
         tls: TlsContexts,
     ) -> None:
-        """Join the parts; ``run`` starts them. Must be called inside the event loop.
+        """Connect the parts; ``run`` starts them. Must be called inside the event loop.
 
         Args:
             settings: Settings of the node.
             client: HTTP client for the platform's services and for peers.
-            codec: Signs and checks peers' messages.
-            transport: Opened socket for peers' messages.
-            tls: Contexts of the listener and of outgoing connections.
+            codec: Signs and verifies messages between peers.
+            transport: Open socket for messages between peers.
+            tls: TLS contexts of the listener and of outgoing connections.
         """
         self._settings = settings
         self._client = client
@@ -85,7 +85,7 @@
         emit(log_events.PROCESS_STOPPED)
 
     async def _serve(self, nursery: trio.Nursery) -> None:
-        """Serve callers until drained."""
+        """Serve callers until a planned stop has drained the node."""
         app = create_app(self._make_context(nursery))
         async with trio.open_nursery() as serving:
             bound = await serving.start(
@@ -105,14 +105,14 @@
     async def _follow_signals(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Turn SIGTERM and SIGINT into a planned stop; further ones change nothing."""
+        """Start a planned stop on SIGTERM and SIGINT; further signals have no effect."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
             task_status.started()
             async for _ in received:
                 self._services.lifecycle.stop()
 
     def _make_ports(self, transport: UdpPeerTransport) -> RouterPorts:
-        """Return the adapters of everything outside."""
+        """Return the adapters to everything outside the process."""
         machine_list = self._settings.machine_list
         return RouterPorts(
             engines=self._engines,
@@ -124,7 +124,7 @@
         )
 
     def _make_context(self, nursery: trio.Nursery) -> ApiContext:
-        """Return what the HTTP API needs."""
+        """Return the context of the HTTP API."""
         transfer = self._services.synchronization.transfer
         return make_api_context(
             self._settings,
@@ -147,7 +147,7 @@
 
     Raises:
         PortError: When the peers' socket can't be bound, or a file that the settings name
-            can't be used; names the field.
+            can't be used; ``field`` names the setting.
     """
     incarnation = int(time_of_day_seconds() * MILLISECONDS)
     tls = load_tls(settings.tls)
@@ -168,7 +168,7 @@
 
 
 def _load_keys(peers: PeerSettings) -> tuple[PeerKeys, tuple[WatchedFiles[dict[str, bytes]], ...]]:
-    """Return the cluster's keys, and their file if they have one."""
+    """Return the cluster's keys, and their file to watch if there is one."""
     if not peers.key_file:
         return PeerKeys.derived(peers.cluster), ()
     keys = FilePeerKeys(Path(peers.key_file))
--- a/hopstep/settings_loader.py
+++ b/hopstep/settings_loader.py
@@ -1,4 +1,4 @@
-"""Settings from a TOML file, overridden by flags, checked strictly."""
+"""Loads settings from a TOML file, overridden by flags, and validates them."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 Settings = TypeVar("Settings", RouterSettings, ExchangeSettings)
 
 EXIT_BAD_SETTINGS = 2
-"""Exit code of a process whose settings are bad."""
+"""Exit code of a process whose settings are invalid."""
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
 
 
 class SettingsError(HopstepError):
-    """Settings that can't be used; the message names the file or flags, field and expectation."""
+    """Invalid settings; the message names the file or flags, the field and the expectation."""
 
     def __init__(self, source: str, field: str, expectation: str) -> None:
-        """Say what is wrong.
+        """Build the message.
 
         Args:
-            source: Settings file, or the flag at fault.
-            field: Path of the field; empty when the whole file is at fault.
-            expectation: What was expected.
+            source: Settings file, or the invalid flag.
+            field: Path of the field; empty when the whole file is invalid.
+            expectation: Expected value, and the given one.
         """
-        place = f"{source}: {field}" if field else source
-        super().__init__(ErrorCode.INVALID_SETTINGS, f"{place}: {expectation}", field)
+        location = f"{source}: {field}" if field else source
+        super().__init__(ErrorCode.INVALID_SETTINGS, f"{location}: {expectation}", field)
         self.source = source
 
 
@@ -57,7 +57,7 @@
         flag: Name of the flag.
         path: Path of the field.
         kind: Type of the flag.
-        help: What the field means.
+        help: Help text of the flag.
     """
 
     flag: str
@@ -194,11 +194,11 @@
 
 _BOUND_FIELDS = ExchangeBounds.__struct_fields__
 _TOLERANCES = ("bounds.quota_overshoot", "bounds.quota_slack")
-"""Bounds of which none may be tolerated at all."""
+"""Bounds that may be 0."""
 
 
 def _check_exchange(settings: ExchangeSettings) -> None:
-    """Check what the types of a node's settings don't say."""
+    """Check the rules for a node's settings that its types don't express."""
     _check_texts(settings)
     addresses = {
         "address": settings.address,
@@ -234,7 +234,7 @@
 
 
 def _check(settings: RouterSettings) -> None:
-    """Check what the types don't say."""
+    """Check the rules that the types don't express."""
     _check_texts(settings)
     _check_addresses(settings)
     _check_numbers(settings)
@@ -295,5 +295,5 @@
 
 
 def _invalid(field: str, expectation: str) -> ValidationError:
-    """Return the error for a bad value."""
+    """Return the error for an invalid value."""
     return ValidationError(ErrorCode.INVALID_SETTINGS, expectation, field)
--- a/hopstep/unused_modules.py
+++ b/hopstep/unused_modules.py
@@ -1,12 +1,12 @@
-"""Modules that a node's libraries import and that a node never uses: placeholders in their place.
+"""Placeholders for modules that a node's libraries import but that a node never uses.
 
-A node loads its libraries at each of its many starts, and holds them all its life. The libraries
-import more than a node runs: servers and clients of other protocols, other event loops, blocking
-twins of what it uses. Without these a start is shorter, and a
-process holds less.
+A node loads its libraries at every start and keeps them in memory. The libraries import more than
+a node runs: servers and clients of other protocols, other event loops, blocking variants of the
+asynchronous classes that it uses. Without these modules a start is shorter, and a process takes
+less memory.
 
-A placeholder has whatever name is asked of it, so that ``from module import Name`` works, also as
-a base class or in an annotation. To use one is a fault and raises ``UnusedModuleError``.
+A placeholder provides any name, so that ``from module import Name`` works, also as a base class or
+in an annotation. Instantiating such a name is an error and raises ``UnusedModuleError``.
 """
 
 from __future__ import annotations
@@ -22,35 +22,35 @@
     # Other event loops, for the asynchronous loggers of structlog and for hypercorn's sockets.
     "asyncio",
     "multiprocessing",
-    # Protocols of hypercorn that a node doesn't speak.
+    # Protocols of hypercorn that a node doesn't use.
     "h2",
     "wsproto",
     # The exposition server and the push client of prometheus_client.
     "http.server",
     "urllib.request",
     "wsgiref.simple_server",
-    # The blocking twin of httpcore's connections.
+    # The blocking variant of httpcore's connections.
     "httpcore._sync",
 )
 
 
 class UnusedModuleError(ImportError):
-    """Something was used that a node doesn't load.
+    """A module was used that a node replaces by a placeholder.
 
-    An error of imports, so that a library which uses something of a placeholder while it is loaded
-    itself does without, as if the module weren't installed (httpcore and ``h2``).
+    It is an ``ImportError``, so that a library which uses a placeholder during its own import
+    treats the module as not installed (httpcore and ``h2``).
     """
 
 
 class _Unused:
-    """What a placeholder gives for each of its names."""
+    """Base of the classes that a placeholder provides for its names."""
 
     def __init__(self, *_arguments: Any, **_options: Any) -> None:
         raise UnusedModuleError(f"{type(self).__module__}.{type(self).__name__} isn't loaded")
 
 
 class _Placeholder(types.ModuleType):
-    """A module without contents; its submodules are placeholders too."""
+    """An empty module; its submodules are placeholders too."""
 
     __path__: list[str] = []
 
@@ -64,7 +64,7 @@
 
 
 class _PlaceholderFinder(importlib.abc.MetaPathFinder, importlib.abc.Loader):
-    """Finds placeholders for some modules and all below them."""
+    """Finds placeholders for given modules and their submodules."""
 
     def __init__(self, names: Sequence[str]) -> None:
         self._names = frozenset(names)
@@ -72,7 +72,7 @@
     def find_spec(
         self, name: str, _path: Sequence[str] | None, _target: types.ModuleType | None = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Return how to make a placeholder; None for all other modules."""
+        """Return the spec of a placeholder; None for all other modules."""
         parts = name.split(".")
         parents = (".".join(parts[:count]) for count in range(1, len(parts) + 1))
         if self._names.isdisjoint(parents):
@@ -84,15 +84,15 @@
         return _Placeholder(spec.name)
 
     def exec_module(self, module: types.ModuleType) -> None:
-        """Do nothing: it has no contents."""
+        """Do nothing: a placeholder is empty."""
 
 
 def leave_unused_modules_out(names: Sequence[str] = UNUSED_MODULES) -> None:
-    """Put placeholders in the place of modules; those that are loaded already stay.
+    """Replace modules by placeholders; modules that are already loaded stay.
 
-    Called once, before the libraries are loaded.
+    Call it once, before the libraries are loaded.
 
     Args:
-        names: The modules, with all below them.
+        names: The modules; their submodules are replaced too.
     """
     sys.meta_path.insert(0, _PlaceholderFinder(names))
