--- a/hopstep/log_events.py
+++ b/hopstep/log_events.py
@@ -1,7 +1,7 @@
 """Catalogue of numbered log events.
 
-Every log line of hopstep is one of these events. ``docs/EVENTS.md`` lists them and is held to
-this module by a test. Prompts, answers and keys are never fields of an event.
+Every log line of hopstep is one of these events. ``docs/EVENTS.md`` lists them; a test compares it
+with this module. Prompts, answers and keys are never fields of an event.
 
 Ranges: HS1xxx process and settings, HS2xxx HTTP API, HS3xxx attempts and routing,
 HS4xxx configuration, HS5xxx membership and peers, HS6xxx engines, HS7xxx claims and limits.
@@ -30,7 +30,7 @@
         number: ``HS`` and four digits; never reused.
         name: Snake-case name, the ``event`` of the log line.
         level: Severity.
-        fields: Names of the fields that the line carries.
+        fields: Names of the fields of the line.
         action: What an operator should do.
     """
 
@@ -60,21 +60,21 @@
     "process_paused",
     Level.WARNING,
     ("seconds",),
-    "Look at the machine: the process got no processor time, and clients waited meanwhile.",
+    "Check the machine: the process got no processor time, and clients had to wait.",
 )
 CONNECTIONS_DROPPED = LogEvent(
     "HS1009",
     "connections_dropped",
     Level.INFO,
     ("peer", "reason"),
-    "Nothing once; if it recurs for one peer: something between here and there drops connections.",
+    "Nothing once; if it recurs for one peer: a device on the route drops connections.",
 )
 LIBRARY_WARNING = LogEvent(
     "HS1007",
     "library_warning",
     Level.WARNING,
     ("library", "severity", "error_type", "location"),
-    "Look the place up in the library; its own text is withheld, for it may quote a request.",
+    "Look up the location in the library; its text is withheld, as it may quote a request.",
 )
 CERTIFICATE_LOADED = LogEvent(
     "HS1020",
@@ -88,35 +88,35 @@
     "certificate_rejected",
     Level.ERROR,
     ("field", "reason"),
-    "Unless HS1020 follows within seconds: mend the file; the earlier certificate stays in use.",
+    "Unless HS1020 follows within seconds: fix the file; the earlier certificate stays in use.",
 )
 AUTHORITIES_LOADED = LogEvent(
     "HS1022",
     "authorities_loaded",
     Level.INFO,
     ("field", "file", "fingerprints"),
-    "Nothing; connections made from now on are checked by these authorities.",
+    "Nothing; new connections are verified by these authorities.",
 )
 AUTHORITIES_REJECTED = LogEvent(
     "HS1023",
     "authorities_rejected",
     Level.ERROR,
     ("field", "reason"),
-    "Unless HS1022 follows within seconds: mend the file; the earlier authorities stay in use.",
+    "Unless HS1022 follows within seconds: fix the file; the earlier authorities stay in use.",
 )
 PEER_KEYS_REPLACED = LogEvent(
     "HS1024",
     "peer_keys_replaced",
     Level.INFO,
     ("signing", "verifying"),
-    "Nothing; take the next step of a rotation once every router has logged this one.",
+    "Nothing; take the next step of a rotation once every router has logged this event.",
 )
 REQUEST_REFUSED = LogEvent(
     "HS2001",
     "request_refused",
     Level.DEBUG,
     ("request_id", "tenant", "code", "execution"),
-    "Nothing; the caller has the reason.",
+    "Nothing; the response gives the reason to the caller.",
 )
 ANSWER_FAILED = LogEvent(
     "HS2002",
@@ -147,7 +147,7 @@
     "request_crashed",
     Level.ERROR,
     ("request_id", "error_type", "location"),
-    "Report it: a fault in hopstep. The process goes on.",
+    "Report it: a fault in hopstep. The process continues.",
 )
 CONFIGURATION_APPLIED = LogEvent(
     "HS4001", "configuration_applied", Level.INFO, ("revision", "source"), "Nothing."
@@ -157,7 +157,7 @@
     "configuration_store_failed",
     Level.WARNING,
     ("code", "error"),
-    "Look at the key-value service; the configuration in force stays.",
+    "Check the key-value service; the configuration in force stays.",
 )
 CONFIGURATION_STORE_RECOVERED = LogEvent(
     "HS4003", "configuration_store_recovered", Level.INFO, ("revision",), "Nothing."
@@ -167,7 +167,7 @@
     "configuration_peer_failed",
     Level.INFO,
     ("peer", "error"),
-    "Nothing, unless it repeats for one peer: look at that peer.",
+    "Nothing, unless it repeats for one peer: check that peer.",
 )
 CONFIGURATION_TRANSFER_REJECTED = LogEvent(
     "HS4005",
@@ -181,21 +181,21 @@
     "configuration_maintenance_failed",
     Level.INFO,
     ("error",),
-    "Nothing; it is tried again.",
+    "Nothing; it is retried.",
 )
 CONFIGURATION_CHANGE_REWRITTEN = LogEvent(
     "HS4007",
     "configuration_change_rewritten",
     Level.WARNING,
     ("revision", "change_id", "author", "era"),
-    "Nothing: the store was restored from a copy without this accepted change.",
+    "Nothing: the store was restored from a backup without this accepted change.",
 )
 CONFIGURATION_CHANGE_DISPLACED = LogEvent(
     "HS4008",
     "configuration_change_displaced",
     Level.ERROR,
     ("revision", "lost", "lost_author", "taken_by", "taken_by_author", "era"),
-    "Submit the lost change anew if it is still wanted: its place in the sequence is another's.",
+    "Submit the lost change again if it is still wanted: another change took its revision.",
 )
 ENGINE_ANSWER_MALFORMED = LogEvent(
     "HS6001",
@@ -209,7 +209,7 @@
     "claims_unavailable",
     Level.WARNING,
     ("reason",),
-    "Look after the key-value store; requests with an idempotency key are refused meanwhile.",
+    "Check the key-value store; until it responds, requests with an idempotency key are refused.",
 )
 CLAIM_REFUSED = LogEvent(
     "HS7002",
@@ -229,11 +229,11 @@
     "claim_unreadable",
     Level.ERROR,
     ("version",),
-    "Find out who writes below claims/ in the key-value store.",
+    "Find out which client writes below claims/ in the key-value store.",
 )
 CLAIMS_SWEPT = LogEvent("HS7006", "claims_swept", Level.INFO, ("deleted", "kept"), "Nothing.")
 CLAIM_SWEEP_FAILED = LogEvent(
-    "HS7007", "claim_sweep_failed", Level.WARNING, ("reason",), "Look after the key-value store."
+    "HS7007", "claim_sweep_failed", Level.WARNING, ("reason",), "Check the key-value store."
 )
 
 
@@ -249,7 +249,7 @@
     "engine_unreachable",
     Level.WARNING,
     ("engine", "reason"),
-    "Look at the engine; requests go to the others meanwhile.",
+    "Check the engine; requests go to the others until it is reachable.",
 )
 ENGINE_REACHABLE = LogEvent("HS6503", "engine_reachable", Level.INFO, ("engine",), "Nothing.")
 ENGINE_LEAVING = LogEvent("HS6504", "engine_leaving", Level.INFO, ("engine",), "Nothing.")
@@ -258,7 +258,7 @@
     "cache_events_lost",
     Level.DEBUG,
     ("engine", "lost"),
-    "Nothing; the cache picture corrects itself by answers.",
+    "Nothing; the cache index is corrected by engines' responses.",
 )
 WEIGHTS_ORDERED = LogEvent(
     "HS6510", "weights_ordered", Level.INFO, ("engine", "fence", "weights"), "Nothing."
@@ -268,21 +268,21 @@
     "weights_order_failed",
     Level.WARNING,
     ("engine", "fence", "reason"),
-    "The order is given again; look at the engine if this goes on.",
+    "The order is repeated; check the engine if this continues.",
 )
 MACHINE_LIST_UNAVAILABLE = LogEvent(
     "HS6520",
     "machine_list_unavailable",
     Level.WARNING,
     (),
-    "Look at the platform; the last list stands, and engines still say themselves.",
+    "Check the platform; the last list stays in use, and engines still announce their state.",
 )
 ATTEMPT_INTERRUPTED = LogEvent(
     "HS3301",
     "attempt_interrupted",
     Level.INFO,
     ("request_id", "engine", "nonce", "state", "code", "delivered_tokens"),
-    "Nothing, unless it repeats for one engine: look at that engine.",
+    "Nothing, unless it repeats for one engine: check that engine.",
 )
 ATTEMPT_RETRIED = LogEvent(
     "HS3302",
@@ -296,21 +296,21 @@
     "request_failed",
     Level.WARNING,
     ("request_id", "code", "execution", "attempts"),
-    "Look for the attempts of the same request before it.",
+    "Look up the earlier attempts of the same request.",
 )
 FRAME_DROPPED = LogEvent(
     "HS3304",
     "frame_dropped",
     Level.INFO,
     ("engine", "nonce", "verdict"),
-    "Nothing, unless it repeats for one engine: look at that engine.",
+    "Nothing, unless it repeats for one engine: check that engine.",
 )
 CANCEL_FAILED = LogEvent(
     "HS3305",
     "cancel_failed",
     Level.INFO,
     ("engine", "nonce", "code"),
-    "Nothing; the engine may compute an answer that nobody reads.",
+    "Nothing; the engine may compute an answer that no caller reads.",
 )
 HEDGE_STARTED = LogEvent(
     "HS3306", "hedge_started", Level.DEBUG, ("request_id", "engine"), "Nothing."
@@ -320,7 +320,7 @@
     "member_changed",
     Level.INFO,
     ("member", "state", "incarnation", "zone"),
-    "Nothing for single members; many at once in one zone mean that it is cut off.",
+    "Nothing for single members; many at once in one zone mean that the zone is cut off.",
 )
 MEMBERSHIP_REFUTED = LogEvent(
     "HS5002",
@@ -348,7 +348,7 @@
     "peer_keys_rejected",
     Level.ERROR,
     ("reason",),
-    "Mend the key file; the earlier keys stay in use until then.",
+    "Fix the key file; the earlier keys stay in use until then.",
 )
 
 NODE_MESSAGE_REJECTED = LogEvent(
@@ -356,14 +356,14 @@
     "node_message_rejected",
     Level.WARNING,
     ("reason", "count"),
-    "Nothing for a few as nodes start; if `malformed` rises: a version with other messages.",
+    "Nothing for a few while nodes start; if `malformed` rises: a version with other messages.",
 )
 NODE_FORMS_CHANGED = LogEvent(
     "HS5007",
     "node_forms_changed",
     Level.INFO,
     ("own", "nodes_by_form"),
-    "Nothing while a version is rolled out or back; otherwise find the nodes left behind.",
+    "Nothing while a version is rolled out or back; otherwise find the nodes of another version.",
 )
 
 EXCHANGE_ENDED = LogEvent(
@@ -395,7 +395,7 @@
         "retry_after_ms",
         "retry_reason",
     ),
-    "Nothing by itself; see the operators' page for how to get from a request to its cause.",
+    "Nothing by itself; the operators' page shows how to trace a request to its cause.",
 )
 EXCHANGE_REFUSED = LogEvent(
     "HS3102",
@@ -428,7 +428,7 @@
         "sent",
         "next_step",
     ),
-    "If one instance recurs: look at its own logs; if one `fingerprint` does: at the request.",
+    "If one instance recurs: check its own logs; if one `fingerprint` does: check the request.",
 )
 
 INSTANCE_ENDED = LogEvent(
@@ -436,49 +436,49 @@
     "instance_ended",
     Level.INFO,
     ("instance", "evidence", "requests"),
-    "Look at the instance's own logs; `requests` answers of this node broke off with it.",
+    "Check the instance's own logs; `requests` answers of this node broke off with it.",
 )
 INSTANCE_ENDED_UNDER_REQUEST = LogEvent(
     "HS3105",
     "instance_ended_under_request",
     Level.WARNING,
     ("fingerprint", "tenant", "route", "instance", "seen_by", "ends"),
-    "Several instances ended while this request was under way: look at what it asks for.",
+    "Several instances terminated while they ran this request: check the request.",
 )
 REQUEST_QUARANTINED = LogEvent(
     "HS3106",
     "request_quarantined",
     Level.WARNING,
     ("fingerprint", "tenant", "route", "ends", "seconds"),
-    "The request is refused meanwhile; the operators' page says how to find it and to allow it.",
+    "The request is refused for `seconds`; the operators' page says how to find and allow it.",
 )
 REQUEST_RELEASED = LogEvent(
     "HS3107",
     "request_released",
     Level.INFO,
     ("fingerprint", "tenant", "route", "reason"),
-    "Nothing; if instances end under it again it is refused again.",
+    "Nothing; if instances terminate under it again, it is refused again.",
 )
 QUARANTINED_REQUEST_TRIED = LogEvent(
     "HS3108",
     "quarantined_request_tried",
     Level.INFO,
     ("fingerprint", "tenant", "route"),
-    "Nothing: a whole answer releases the request, an end keeps it refused.",
+    "Nothing: a complete response releases the request; a termination keeps it refused.",
 )
 QUARANTINED_REQUEST_NOT_TRIED = LogEvent(
     "HS3109",
     "quarantined_request_not_tried",
     Level.INFO,
     ("fingerprint", "reason"),
-    "Nothing: the store didn't answer, or the try showed nothing and is `given_back`.",
+    "Nothing: the store didn't respond, or the trial was inconclusive and is `given_back`.",
 )
 QUOTA_EXCEEDED = LogEvent(
     "HS3110",
     "quota_exceeded",
     Level.INFO,
     ("request_id", "tenant", "cost", "room", "share", "used", "nodes", "wait_ms"),
-    "Nothing, or raise the tenant's quota; few `nodes` tell of a node that hears few others.",
+    "Nothing, or raise the tenant's quota; few `nodes` mean that the node gets few reports.",
 )
 
 SERVING_CONFIGURATION_APPLIED = LogEvent(
@@ -493,7 +493,7 @@
     "directory_entry_rejected",
     Level.ERROR,
     ("key", "reason", "field", "detail"),
-    "Mend it; an instance is out of use until then, else what was known before stays in force.",
+    "Fix it; an instance is unused until then; otherwise the earlier entry stays in force.",
 )
 DIRECTORY_HISTORY_LOST = LogEvent(
     "HS4103",
@@ -530,7 +530,7 @@
         "lacking",
         "source",
     ),
-    "The store was restored from a copy: see the operators' page.",
+    "The store was restored from a backup: see the operators' page.",
 )
 OWN_ENTRY_REWRITTEN = LogEvent(
     "HS4110",
@@ -544,7 +544,7 @@
     "store_restore_suspected",
     Level.WARNING,
     ("era", "nodes_behind"),
-    "Nothing: keys are served once other nodes, or two seconds, have shown what the copy lacks.",
+    "Nothing: keys are served once other nodes, or two seconds, have shown what the backup lacks.",
 )
 STORE_ANSWER_OUTDATED = LogEvent(
     "HS4108",
@@ -559,7 +559,7 @@
     "settings_rejected",
     Level.ERROR,
     ("reason",),
-    "Mend the settings file; the earlier settings stay in use.",
+    "Fix the settings file; the earlier settings stay in use.",
 )
 INSTANCE_LISTED = LogEvent(
     "HS6101",
@@ -586,88 +586,88 @@
     "instance_lapsed",
     Level.INFO,
     ("instance", "source"),
-    "Nothing: it is used on for two seconds; HS6102 follows unless its entry comes back.",
+    "Nothing: it stays in use for two seconds; HS6102 follows unless its entry is restored.",
 )
 INSTANCE_ENTRY_OUTDATED = LogEvent(
     "HS6115",
     "instance_entry_outdated",
     Level.INFO,
     ("instance", "born_ms", "known", "source", "era", "revision"),
-    "Nothing: after a restore of the store an old entry is shown; the instance isn't used by it.",
+    "Nothing: after a restore the store shows an old entry; it isn't used for the instance.",
 )
 INSTANCE_SAYS_LEAVING = LogEvent(
     "HS6111",
     "instance_says_leaving",
     Level.INFO,
     ("instance", "life", "service", "source", "age_ms"),
-    "Nothing: it gets no new requests; if it stays listed as ready, look at its writes.",
+    "Nothing: it gets no new requests; if it stays listed as ready, check its store writes.",
 )
 INSTANCE_WANTS_REST = LogEvent(
     "HS6112",
     "instance_wants_rest",
     Level.INFO,
     ("instance", "life", "service", "rest_ms"),
-    "Nothing once: this node leaves it alone for so long; if it recurs, it is overloaded.",
+    "Nothing once: this node sends it nothing for `rest_ms`; if it recurs, it is overloaded.",
 )
 INSTANCE_LIMIT_CHANGED = LogEvent(
     "HS6113",
     "instance_limit_changed",
     Level.INFO,
     ("instance", "life", "service", "limit", "previous", "source", "age_ms"),
-    "Nothing: all nodes together send it so many requests a second; -1 is no limit.",
+    "Nothing: `limit` is the requests per second of all nodes together; -1 is no limit.",
 )
 WORD_UNKNOWN = LogEvent(
     "HS6114",
     "word_unknown",
     Level.WARNING,
     ("place", "name", "source", "status"),
-    "Read on the other side's pages what it asks for: this version doesn't heed it.",
+    "Look up the value in the sender's documentation: this version ignores it.",
 )
 WEIGHTS_NAMED = LogEvent(
     "HS6103",
     "weights_named",
     Level.INFO,
     ("model", "version", "age_ms", "counted_ms", "era", "revision"),
-    "Nothing: of the greatest age that the naming may have, time without the store isn't counted.",
+    "Nothing: `counted_ms` counts towards the age limit, without the time without the store.",
 )
 WEIGHTS_ORDER_SENT = LogEvent(
     "HS6104",
     "weights_order_sent",
     Level.INFO,
     ("instance", "model", "version", "fencing_token", "outcome"),
-    "If rejected or unknown recurs: look at the engine's own logs.",
+    "If rejected or unknown recurs: check the engine's own logs.",
 )
 CACHE_STORE_CHANGED = LogEvent(
     "HS6107",
     "cache_store_changed",
     Level.WARNING,
     ("address", "reachable"),
-    "If false: look at the cache store; prompts are read anew meanwhile.",
+    "If false: check the cache store; until it is reachable, prompts are read again.",
 )
 ENGINE_EVENTS_CHANGED = LogEvent(
     "HS6108",
     "engine_events_changed",
     Level.INFO,
     ("instance", "readable"),
-    "If false for long: look at the engine; its cache is taken for what was sent to it.",
+    "If false for long: check the engine; its cache is estimated from the requests sent to it.",
 )
 ROLLOUT_LEASE_ACQUIRED = LogEvent(
     "HS6105",
     "rollout_lease_acquired",
     Level.INFO,
     ("fencing_token", "era", "resumed"),
-    "Nothing: resumed is an own lease that still existed after an outage or a restart.",
+    "Nothing: `resumed` means that its own lease still existed after an outage or a restart.",
 )
 ROLLOUT_LEASE_LOST = LogEvent(
     "HS6106",
     "rollout_lease_lost",
     Level.WARNING,
     ("fencing_token", "reason"),
-    "Nothing: another node takes over once the lease has lapsed.",
+    "Nothing: another node takes over once the lease has expired.",
 )
 
 
 def catalogue() -> tuple[LogEvent, ...]:
-    """Return every event of this module, by number."""
+    """Return all events of this module, ordered by number."""
     events = [value for value in globals().values() if isinstance(value, LogEvent)]
     return tuple(sorted(events, key=lambda event: event.number))
