--- a/hopstep/cli/command.py
+++ b/hopstep/cli/command.py
@@ -1,4 +1,4 @@
-"""What all commands share: flags, help and exit codes by ``absl``."""
+"""Common parts of all commands: flags, help and exit codes, by ``absl``."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     Args:
         run: The command.
         documentation: What ``--help`` prints before the flags.
-        bad_usage: Exit code of a bad flag.
+        bad_usage: Exit code for an invalid flag.
         arguments: Command line; the process's own if None.
     """
     arguments = list(sys.argv if arguments is None else arguments)
     if len(arguments) == 1:
-        # Without flags the application of absl adds nothing; a start is shorter without loading it.
+        # Without flags ``absl.app`` isn't needed; a start is shorter if it isn't loaded.
         sys.exit(run(_parse_flags(bad_usage, arguments)))
     from absl import app
 
-    # The help of absl begins with the documentation of the main module, which is a generated
-    # script when the command was installed.
+    # absl's help text begins with the docstring of the main module, which is a generated script
+    # when the command is installed.
     sys.modules["__main__"].__doc__ = documentation
     app.run(
         lambda rest: sys.exit(run(rest)),
@@ -40,7 +40,7 @@
 
 
 def _parse_flags(bad_usage: int, arguments: Sequence[str]) -> list[str]:
-    """Parse flags; a bad one ends the process."""
+    """Parse flags; exit the process on an invalid one."""
     try:
         return flags.FLAGS(arguments)
     except flags.Error as error:
--- a/hopstep/cli/ctl.py
+++ b/hopstep/cli/ctl.py
@@ -87,7 +87,7 @@
     Args:
         arguments: Command line after flags were taken out, the program's name first.
     """
-    # The client library reports each request at its lowest level but one.
+    # The client library logs each request at level INFO.
     logging.getLogger("httpx").setLevel(logging.WARNING)
     try:
         result = trio.run(_run_verb, arguments)
@@ -164,12 +164,12 @@
 
 
 def _router_scheme() -> str:
-    """Return the scheme by which routers are asked."""
+    """Return the URL scheme of requests to routers."""
     return "https" if _TRUSTED.value else "http"
 
 
 def _verification() -> ssl.SSLContext | bool:
-    """Return how routers' certificates are checked."""
+    """Return the verification of routers' certificates, for the HTTP client."""
     if not _TRUSTED.value:
         return True
     try:
@@ -179,7 +179,7 @@
 
 
 def _attributes() -> ChangeAttributes:
-    """Return who changes what and why."""
+    """Return the attributes of a change from the flags."""
     return ChangeAttributes(
         _CHANGE_ID.value or uuid.uuid4().hex,
         _AUTHOR.value or _user_name(),
@@ -190,7 +190,7 @@
 
 
 def _user_name() -> str:
-    """Return the user's name, or the user's number where there is none."""
+    """Return the user's name, or ``uid-`` and the user id if there is none."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -198,7 +198,7 @@
 
 
 def _bad_usage(message: str) -> ValidationError:
-    """Return the error for a bad command line."""
+    """Return the error for an invalid command line."""
     return ValidationError(ErrorCode.INVALID_CONFIGURATION, message)
 
 
@@ -210,7 +210,7 @@
 
 
 def _print(result: VerbResult) -> None:
-    """Print a result: results to standard output, errors in text form to standard error."""
+    """Print a result to standard output, or an error in text form to standard error."""
     if _FORMAT.value == "json":
         print(msgspec.json.encode(result.document).decode())
         return
@@ -219,7 +219,7 @@
 
 
 def main() -> None:
-    """Enter the command."""
+    """Run the command."""
     run_command(run, __doc__ or "", int(ExitCode.BAD_INPUT))
 
 
--- a/hopstep/cli/node.py
+++ b/hopstep/cli/node.py
@@ -1,7 +1,7 @@
-"""Entry of a node that carries routed exchanges on the users' platform.
+"""Entry point of a node that forwards routed exchanges on the users' platform.
 
 This module loads only the standard library until the node's listeners are open: connections then
-wait in their queues while the rest of the program loads, where a closed port would refuse them.
+wait in their queues while the rest of the program loads; a closed port would refuse them.
 
 Exit codes: 0 after a planned stop; 2 for settings that can't be used.
 """
@@ -11,7 +11,7 @@
 import signal
 
 if __name__ == "__main__":
-    # Without a handler SIGHUP ends the process, also while the rest is loaded.
+    # Without a handler SIGHUP terminates the process, also while libraries load.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import gc  # noqa: E402
@@ -27,16 +27,16 @@
 
 
 def main() -> None:
-    """Open the listeners, then load and enter the command."""
-    # Entered as a command; the settings are read after this line.
+    """Open the listeners, then load and run the command."""
+    # The installed command doesn't run the lines above; the settings are read after this line.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # What is loaded lives as long as the process: to look for garbage after every few hundred new
-    # objects makes a start longer.
+    # Loaded modules live as long as the process: collecting after every few hundred new objects
+    # lengthens the start.
     gc.set_threshold(LOADING_OBJECTS)
     leave_unused_modules_out()
-    # Arguments may name other settings, so listeners wait until these are parsed.
-    started_plainly = len(sys.argv) == 1
-    listeners = open_listeners(os.environ.get(SETTINGS_VARIABLE, "")) if started_plainly else {}
+    # Flags may name other settings, so listeners are then opened after the flags are parsed.
+    has_no_flags = len(sys.argv) == 1
+    listeners = open_listeners(os.environ.get(SETTINGS_VARIABLE, "")) if has_no_flags else {}
     from hopstep.cli import node_process
 
     node_process.main(listeners, __doc__ or "")
--- a/hopstep/cli/node_process.py
+++ b/hopstep/cli/node_process.py
@@ -1,4 +1,4 @@
-"""The command that ``hopstep.cli.node`` enters once its listeners are open."""
+"""The command that ``hopstep.cli.node`` runs once its listeners are open."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
 
 
 async def run_node(settings: ExchangeSettings, path: Path, listeners: Listeners) -> None:
-    """Join the platform's adapters and the node's services, and serve.
+    """Connect the platform's adapters with the node's services, and serve.
 
     Args:
         settings: Settings of the node.
-        path: Their file.
-        listeners: Those that are open already.
+        path: Settings file.
+        listeners: Listeners that are open already.
     """
     platform_client = HttpClient()
     unknown_words = UnknownWords()
@@ -78,7 +78,7 @@
     """Run one node and return the exit code.
 
     Args:
-        listeners: Those that are open already.
+        listeners: Listeners that are open already.
         arguments: Command line after flags were taken out, the program's name first.
     """
     if len(arguments) > 1:
@@ -99,10 +99,10 @@
 
 
 def main(listeners: Listeners, documentation: str) -> None:
-    """Enter the command.
+    """Run the command.
 
     Args:
-        listeners: Those that are open already.
+        listeners: Listeners that are open already.
         documentation: What ``--help`` prints before the flags.
     """
     run_command(functools.partial(run, listeners), documentation, EXIT_BAD_SETTINGS)
--- a/hopstep/cli/reference_docs.py
+++ b/hopstep/cli/reference_docs.py
@@ -1,7 +1,7 @@
 """Writes ``docs/EVENTS.md`` and ``docs/ERRORS.md`` from the catalogues in the code.
 
 Run ``python -m hopstep.cli.reference_docs`` after a change to ``hopstep.log_events``,
-``hopstep.exceptions`` or the statuses of the HTTP API; a test holds the pages to the code.
+``hopstep.exceptions`` or the statuses of the HTTP API; a test compares the pages with the code.
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
             "# Errors",
             "",
             'An error body is `{"error": {...}}` with `code` (below, never changes its',
-            "meaning), `message`, `type`, `param` (the field at fault, or null), `execution`,",
-            "`retry_after_seconds` and `endpoints` (routers inside the tenant's places, on",
+            "meaning), `message`, `type`, `param` (the invalid field, or null), `execution`,",
+            "`retry_after_seconds` and `endpoints` (routers in the tenant's placement, on",
             "placement refusals). Every refusal carries `Retry-After`. `execution` is `not_run`",
             "only when that is proved, else `unknown`. A stream that fails ends with an error",
             "event of the same shape and without `[DONE]`. This page is written by",
@@ -69,7 +69,7 @@
 
 
 def _status(code: ErrorCode) -> str:
-    """Return the HTTP status with which callers meet a code."""
+    """Return the HTTP status of responses with a code; ``-`` if callers never get it."""
     if code is ErrorCode.INTERNAL:
         return str(DEFAULT_STATUS)
     return str(STATUS_BY_CODE.get(code, "-"))
--- a/hopstep/cli/router.py
+++ b/hopstep/cli/router.py
@@ -57,7 +57,7 @@
 
 
 def main() -> None:
-    """Enter the command."""
+    """Run the command."""
     run_command(run, __doc__ or "", EXIT_BAD_SETTINGS)
 
 
--- a/hopstep/ctl/__init__.py
+++ b/hopstep/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""Verbs of the operators' command; ``hopstep.cli.ctl`` reads its command line."""
+"""Verbs of the operators' command; ``hopstep.cli.ctl`` parses its command line."""
--- a/hopstep/ctl/documents.py
+++ b/hopstep/ctl/documents.py
@@ -1,4 +1,4 @@
-"""Reading and writing operators' files."""
+"""Reads and writes operators' configuration files."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def read_configuration(path: Path) -> Configuration:
-    """Return the document of a TOML file, or of a JSON file named ``*.json``.
+    """Return the configuration in a TOML file, or in a JSON file named ``*.json``.
 
     Raises:
-        ValidationError: When the file can't be read or holds no configuration; rules beyond
+        ValidationError: When the file can't be read or is no configuration; rules beyond
             types are checked by ``validate``.
     """
     try:
@@ -30,12 +30,12 @@
 
 
 def write_configuration(configuration: Configuration) -> str:
-    """Return a document as indented JSON, which ``read_configuration`` reads."""
+    """Return a configuration as indented JSON, which ``read_configuration`` reads."""
     return msgspec.json.format(msgspec.json.encode(configuration), indent=2).decode()
 
 
 def _parse(path: Path, text: str) -> Any:
-    """Return the maps and lists of a file."""
+    """Return the decoded maps and lists of a file."""
     try:
         if path.suffix == ".json":
             return msgspec.json.decode(text)
--- a/hopstep/ctl/editing.py
+++ b/hopstep/ctl/editing.py
@@ -36,14 +36,14 @@
 
 
 class ChangeAttributes(msgspec.Struct, frozen=True):
-    """Who changes what and why.
+    """Attributes of a change that the operator gives.
 
     Attributes:
         change_id: Identity of the change.
-        author: Who makes it.
-        note: Why.
-        base_revision: Revision that the operator's file was made from; None for the latest.
-        timeout_seconds: Longest time for settling.
+        author: Author of the change.
+        note: Reason of the change.
+        base_revision: Revision on which the operator's file is based; None for the latest.
+        timeout_seconds: Longest wait for the outcome.
     """
 
     change_id: str
@@ -72,12 +72,12 @@
 
     Attributes:
         status: accepted, rejected, unknown or unchanged.
-        revision: Accepted revision; of the unchanged document otherwise; 0 if unknown.
+        revision: Accepted revision, or that of the unchanged document; 0 if unknown.
         change_id: Identity of the change.
         base_revision: Base that a resubmission must name.
-        message: One sentence.
-        conflicts: Requested items against accepted ones.
-        problems: Rules that the document would break.
+        message: One sentence for the operator.
+        conflicts: Differences of requested items from accepted ones.
+        problems: Rules that the document would violate.
     """
 
     status: str
@@ -99,7 +99,7 @@
 
 
 async def diff_file(store: ConfigurationStore, path: Path) -> VerbResult:
-    """Show what a file would change in the latest configuration."""
+    """Show the changes that a file would make to the latest configuration."""
     wanted = read_configuration(path)
     latest = (await store.read_history()).latest
     differences = describe_edits(latest.configuration, diff(latest.configuration, wanted))
@@ -110,7 +110,7 @@
 async def apply_file(
     store: ConfigurationStore, path: Path, attributes: ChangeAttributes
 ) -> VerbResult:
-    """Submit what a file changes against its base."""
+    """Submit the differences of a file from its base revision."""
     wanted = read_configuration(path)
     problems = validate(wanted)
     if problems:
@@ -130,7 +130,7 @@
 async def drain_back_end(
     store: ConfigurationStore, name: str, leaving: bool, attributes: ChangeAttributes
 ) -> VerbResult:
-    """Mark a back end as leaving, or take the mark away."""
+    """Mark a back end as leaving, or remove the mark."""
     history = await store.read_history()
     found = history.find(attributes.change_id)
     if found is not None:
@@ -154,12 +154,12 @@
 
 
 def _found_result(found: AcceptedChange, same: bool, attributes: ChangeAttributes) -> VerbResult:
-    """Return the result of a change whose identity is in the sequence.
+    """Return the result for a change whose identity was accepted before.
 
     Args:
         found: The accepted change.
-        same: Whether it does what is asked for now.
-        attributes: Those given now.
+        same: Whether its edits equal the requested ones.
+        attributes: Attributes of the present request.
     """
     outcome = SubmitOutcome(SubmitStatus.ACCEPTED, found.revision)
     if not same:
@@ -169,7 +169,7 @@
 
 
 def _base(history: ConfigurationHistory, revision: int | None) -> AcceptedConfiguration:
-    """Return the configuration that an operator's change was made from."""
+    """Return the configuration on which an operator's change is based."""
     if revision is None:
         return history.latest
     base = history.at(revision)
@@ -189,7 +189,7 @@
     edits: tuple[Edit, ...],
     attributes: ChangeAttributes,
 ) -> VerbResult:
-    """Submit edits and say what became of them."""
+    """Submit edits and return the outcome."""
     if not edits:
         document = ApplyDocument("unchanged", base_revision, attributes.change_id, base_revision)
         return VerbResult(f"unchanged: revision {base_revision}", document)
@@ -201,7 +201,7 @@
 def _apply_result(
     outcome: SubmitOutcome, base_revision: int, attributes: ChangeAttributes
 ) -> VerbResult:
-    """Return the outcome for a person and for programs."""
+    """Return the outcome as text and as a document."""
     conflicts = tuple(describe_conflict(conflict) for conflict in outcome.conflicts)
     document = ApplyDocument(
         outcome.status.value,
@@ -212,8 +212,8 @@
         conflicts,
         outcome.problems,
     )
-    head = f"{outcome.status.value}: {outcome.message or f'revision {outcome.revision}'}"
-    lines = [head]
+    status_line = f"{outcome.status.value}: {outcome.message or f'revision {outcome.revision}'}"
+    lines = [status_line]
     for conflict, difference in zip(outcome.conflicts, conflicts, strict=True):
         lines.append(f"conflict with revision {conflict.revision} by {conflict.author}:")
         lines.append(str(difference))
--- a/hopstep/ctl/edits.py
+++ b/hopstep/ctl/edits.py
@@ -1,4 +1,4 @@
-"""Differences as operators see them."""
+"""Differences between configurations, as shown to operators."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def describe_edits(old: Configuration, edits: Iterable[Edit]) -> tuple[ItemDifference, ...]:
-    """Return what edits change in ``old``, field by field."""
+    """Return the differences that edits make to ``old``, field by field."""
     return tuple(
         describe_item(edit.section, edit.name, find_item(old, edit.section, edit.name), edit.item)
         for edit in edits
--- a/hopstep/ctl/quarantine.py
+++ b/hopstep/ctl/quarantine.py
@@ -1,4 +1,4 @@
-"""Verbs that list the requests kept from back ends since these end under them, and allow one."""
+"""Verbs for requests that crash back ends: list the quarantined ones, and release one."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from hopstep.services.quarantine.records import QUARANTINE_PREFIX, StoredRequest
 
 LIFTED = msgspec.json.encode(StoredRequest(lifted=True))
-"""Value by which operators allow a request: nothing that is known so far counts any longer."""
+"""Stored value by which operators allow a request: earlier terminations no longer count."""
 
 
-class KeptRequest(msgspec.Struct, frozen=True):
-    """A request under which back ends have ended.
+class QuarantineEntry(msgspec.Struct, frozen=True):
+    """A request under which back ends terminated.
 
     Attributes:
-        fingerprint: In hexadecimal digits, as in the log.
-        tenant: Its caller.
+        fingerprint: Fingerprint in hexadecimal digits, as in the log.
+        tenant: Tenant that sent it.
         route: Its route or class.
-        ends: The lives that count, each with the node that saw its end.
+        ends: Terminated incarnations that count, each with the node that saw the termination.
         refused: Whether it is refused.
     """
 
@@ -40,9 +40,9 @@
 
 
 class QuarantineDocument(msgspec.Struct, frozen=True):
-    """Result of ``quarantine``; see ``KeptRequest``."""
+    """Result of ``quarantine``; see ``QuarantineEntry``."""
 
-    requests: tuple[KeptRequest, ...]
+    requests: tuple[QuarantineEntry, ...]
 
 
 class ReleaseDocument(msgspec.Struct, frozen=True):
@@ -53,14 +53,14 @@
 
 
 async def show_quarantine(store: KeyValueStorePort) -> VerbResult:
-    """List the kept requests; those that can't be read are left out."""
+    """List the stored requests; unreadable ones are skipped."""
     listing = await store.listing(QUARANTINE_PREFIX)
     stored = [_read(value.key, value.value) for value in listing.values]
     readable = [request for request in stored if request is not None]
     ledger = CrashLedger(node="")
-    for told, _ in readable:
-        ledger.merge(told, now=0.0)
-    document = QuarantineDocument(tuple(_kept(*request, ledger) for request in readable))
+    for request_crashes, _ in readable:
+        ledger.merge(request_crashes, now=0.0)
+    document = QuarantineDocument(tuple(_describe(*request, ledger) for request in readable))
     lines = [str(request) for request in document.requests]
     return VerbResult("\n".join(lines) or "no request is kept", document)
 
@@ -70,11 +70,11 @@
 
     Args:
         store: The store.
-        fingerprint: In hexadecimal digits, as in the log.
+        fingerprint: Fingerprint in hexadecimal digits, as in the log.
 
     Raises:
         ValidationError: When it isn't a fingerprint.
-        StoreError: When nothing was written.
+        StoreError: When the store failed and nothing was written.
     """
     try:
         bytes.fromhex(fingerprint)
@@ -90,13 +90,13 @@
         await store.compare_and_swap(key, kept.version, LIFTED)
     except StoreConflictError:
         document = ReleaseDocument(fingerprint, released=False)
-        text = "a node has written more of it meanwhile; try again"
+        text = "a node changed the entry at the same time; try again"
         return VerbResult(text, document, ExitCode.REJECTED)
     return VerbResult("it may run again", ReleaseDocument(fingerprint, released=True))
 
 
 def _read(key: str, value: bytes) -> tuple[RequestCrashes, StoredRequest] | None:
-    """Return a kept request; None when it can't be read."""
+    """Return a stored request; None when it can't be read."""
     try:
         fingerprint = bytes.fromhex(key.removeprefix(QUARANTINE_PREFIX))
         stored = msgspec.json.decode(value, type=StoredRequest)
@@ -105,19 +105,23 @@
     return RequestCrashes(fingerprint, stored.crashes, stored.cleared), stored
 
 
-def _kept(told: RequestCrashes, stored: StoredRequest, ledger: CrashLedger) -> KeptRequest:
-    """Return a request as it is shown.
+def _describe(
+    request_crashes: RequestCrashes, stored: StoredRequest, ledger: CrashLedger
+) -> QuarantineEntry:
+    """Return a request as shown to operators.
 
     Args:
-        told: What is known of it.
-        stored: How it is named.
-        ledger: All kept requests; one may explain ends of another.
+        request_crashes: Its crashes.
+        stored: Its stored entry, which names tenant and route.
+        ledger: All stored requests; one may explain terminations of another.
     """
-    crashes = [crash for crash in told.crashes if crash.life not in told.cleared]
-    return KeptRequest(
-        fingerprint=told.fingerprint.hex(),
+    crashes = [
+        crash for crash in request_crashes.crashes if crash.life not in request_crashes.cleared
+    ]
+    return QuarantineEntry(
+        fingerprint=request_crashes.fingerprint.hex(),
         tenant=stored.tenant,
         route=stored.route,
         ends=tuple(f"{crash.life} seen by {crash.node}" for crash in crashes),
-        refused=ledger.refused_seconds(told.fingerprint, now=0.0) > 0,
+        refused=ledger.refused_seconds(request_crashes.fingerprint, now=0.0) > 0,
     )
--- a/hopstep/ctl/reading.py
+++ b/hopstep/ctl/reading.py
@@ -23,10 +23,10 @@
     """One accepted change.
 
     Attributes:
-        revision: Revision that it made.
+        revision: Revision that it created.
         change_id: Its identity.
-        author: Who made it.
-        note: Why.
+        author: Its author.
+        note: Its reason.
         edited: Sections and names of the edited items.
     """
 
@@ -52,8 +52,8 @@
 
     Attributes:
         kind: Kind of back end.
-        admissible: Names of those that may be used.
-        exclusions: Why each other one may not.
+        admissible: Names of the back ends that may be used.
+        exclusions: Reasons why the others may not.
     """
 
     kind: BackEndKind
@@ -111,10 +111,10 @@
 def explain(
     accepted: AcceptedConfiguration, tenant_name: str, class_name: str, model_name: str
 ) -> VerbResult:
-    """Tell which back ends a request may use, and why each other one is ruled out.
+    """Return which back ends a request may use, and why the others are excluded.
 
     Args:
-        accepted: Configuration to look at.
+        accepted: Configuration to explain.
         tenant_name: Tenant.
         class_name: Class; empty for the tenant's default.
         model_name: Model.
@@ -138,7 +138,7 @@
 
 
 def _document(kind: BackEndKind, placement: Placement) -> PlacementDocument:
-    """Return a placement by names."""
+    """Return a placement with names in place of back ends."""
     admissible = tuple(back_end.name for back_end in placement.admissible)
     return PlacementDocument(kind, admissible, placement.exclusions)
 
--- a/hopstep/ctl/results.py
+++ b/hopstep/ctl/results.py
@@ -1,4 +1,4 @@
-"""What a verb gives back: an exit code and something to print."""
+"""Results of verbs: an exit code and a document to print."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class VerbResult(msgspec.Struct, frozen=True):
-    """The end of a verb.
+    """The result of a verb.
 
     Attributes:
         text: Lines for a person.
-        document: The same for programs; printed with ``--format json``.
+        document: The same data for programs; printed with ``--format json``.
         exit_code: Exit code.
     """
 
@@ -36,8 +36,8 @@
 
     Attributes:
         code: Stable code.
-        message: One sentence.
-        field: Path of the field at fault; empty if none.
+        message: One sentence for a person.
+        field: Path of the invalid field; empty if none.
     """
 
     code: str
--- a/hopstep/ctl/status.py
+++ b/hopstep/ctl/status.py
@@ -1,4 +1,4 @@
-"""The verb that asks routers how they are."""
+"""The verb that asks routers for their status."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """What one router says; fields that it doesn't say keep their defaults.
+    """Status of one router; fields that its response lacks keep their defaults.
 
     Attributes:
-        address: Where it was asked.
-        reachable: Whether it answered.
+        address: Address that was asked.
+        reachable: Whether it responded.
         name: Its name.
         zone: Its zone.
         revision: Configuration revision in force.
         confirmed_seconds: Age of the proof that this revision was the latest; -1 for none.
         ready: Whether it takes requests.
         stopping: Whether it drains.
-        active_requests: Requests in work.
-        members: Live members that it sees.
-        displaced: Accepted changes that a restore of the store has taken away for good.
-        error: Why it wasn't reachable.
+        active_requests: Active requests.
+        members: Live members in its view.
+        displaced: Accepted changes that were permanently lost in a restore of the store.
+        error: Reason why it wasn't reachable.
     """
 
     address: str = ""
@@ -74,7 +74,7 @@
 async def show_status(
     client: httpx.AsyncClient, addresses: Sequence[str], scheme: str = "http"
 ) -> VerbResult:
-    """Ask each router; the exit code is ``UNAVAILABLE`` when one doesn't answer."""
+    """Ask each router; the exit code is ``UNAVAILABLE`` when one doesn't respond."""
     statuses: dict[str, RouterStatus] = {}
 
     async def ask_one(address: str) -> None:
@@ -91,7 +91,7 @@
 
 
 async def _ask(client: httpx.AsyncClient, address: str, scheme: str) -> RouterStatus:
-    """Return what one router says."""
+    """Return the status of one router."""
     try:
         url = f"{scheme}://{address}{STATUS_PATH}"
         response = await client.get(url, timeout=TIMEOUT_SECONDS)
--- a/hopstep/ctl/trace.py
+++ b/hopstep/ctl/trace.py
@@ -1,4 +1,4 @@
-"""Verb ``trace``: from a request's id to its cause, over the logs of any number of nodes."""
+"""Verb ``trace``: explains a request's outcome from the logs of any number of nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hopstep.log_events import LogEvent
 
 CONTEXT_SECONDS = 6.0
-"""Changes of belief are shown from this long before the request."""
+"""Seconds before the request from which changes of nodes' state are shown."""
 
 REQUEST_FIELD = "request_id"
 FINGERPRINT_FIELD = "fingerprint"
@@ -46,7 +46,7 @@
     log_events.WEIGHTS_ORDER_SENT,
     log_events.CACHE_STORE_CHANGED,
 )
-"""Changes of what a node believes."""
+"""Changes of a node's state and of its view of instances."""
 
 NOTICE_NUMBERS = frozenset(
     {
@@ -55,14 +55,14 @@
         log_events.INSTANCE_LIMIT_CHANGED.number,
     }
 )
-"""Words of instances, which keep requests of their whole service from them."""
+"""Notices of instances, which may exclude them for all requests to their service."""
 
 QUARANTINE_EVENTS: tuple[LogEvent, ...] = (
     log_events.INSTANCE_ENDED_UNDER_REQUEST,
     log_events.REQUEST_QUARANTINED,
     log_events.REQUEST_RELEASED,
 )
-"""What is believed of a request, under its fingerprint."""
+"""Changes of a request's quarantine, found by its fingerprint."""
 
 
 class LogLine(msgspec.Struct, frozen=True):
@@ -94,8 +94,8 @@
     Attributes:
         request_id: The request.
         cause: Why it ended as it did.
-        known: By which places in the store's history its node believed what it decided by.
-        lines: Its lines and the changes of belief around it, oldest first.
+        known: Store positions of the state by which its node decided.
+        lines: Its lines and the changes of nodes' state around it, oldest first.
     """
 
     request_id: str
@@ -105,7 +105,7 @@
 
 
 def trace_request(request_id: str, paths: Sequence[Path]) -> VerbResult:
-    """Return the time line of a request and its cause.
+    """Return the time line of a request and the cause of its outcome.
 
     Args:
         request_id: The request.
@@ -122,17 +122,17 @@
     if not own:
         document = TraceDocument(request_id, "no line names this request", "", ())
         return VerbResult(document.cause, document, ExitCode.REJECTED)
-    context = [*_context(own, lines), *_ends(own, lines)]
-    cause = explain_end(own, context)
+    context = [*_context(own, lines), *_quarantine_lines(own, lines)]
+    cause = explain_outcome(own, context)
     shown = sorted((*own, *context), key=lambda line: line.at)
-    known = explain_places(own, lines)
+    known = explain_positions(own, lines)
     document = TraceDocument(request_id, cause, known, tuple(str(line) for line in shown))
     text = (*document.lines, f"known by: {known}", f"cause: {cause}")
     return VerbResult("\n".join(text), document)
 
 
-def explain_places(own: Sequence[LogLine], lines: Sequence[LogLine]) -> str:
-    """Return where in the store's history a node had what it decided a request by.
+def explain_positions(own: Sequence[LogLine], lines: Sequence[LogLine]) -> str:
+    """Return the store positions of the state by which a node decided a request.
 
     Args:
         own: Lines of the request, oldest first.
@@ -153,28 +153,28 @@
         if line.number == log_events.INSTANCE_LISTED.number
         and line.fields.get("instance") == instance
     ]
-    parts = [f"the store up to {_place(last)}, keys as of {last.fields.get('age_ms')} ms before"]
-    parts += [f"configuration {version} {_told(line)}" for line in configurations[-1:]]
-    parts += [f"{instance} {_told(line)}" for line in entries[-1:]]
+    parts = [f"the store up to {_position(last)}, keys as of {last.fields.get('age_ms')} ms before"]
+    parts += [f"configuration {version} {_origin(line)}" for line in configurations[-1:]]
+    parts += [f"{instance} {_origin(line)}" for line in entries[-1:]]
     return "; ".join(parts)
 
 
-def _told(line: LogLine) -> str:
-    """Return where a change was made, and who told it."""
-    return f"of {_place(line)}, from {line.fields.get('source')}"
+def _origin(line: LogLine) -> str:
+    """Return the store position of a change and the source that reported it."""
+    return f"of {_position(line)}, from {line.fields.get('source')}"
 
 
-def _place(line: LogLine) -> str:
-    """Return the place that a line names."""
+def _position(line: LogLine) -> str:
+    """Return the store position in a line."""
     return f"era {line.fields.get('era')} revision {line.fields.get('revision')}"
 
 
-def explain_end(own: Sequence[LogLine], context: Sequence[LogLine]) -> str:
-    """Return why a request ended as it did.
+def explain_outcome(own: Sequence[LogLine], context: Sequence[LogLine]) -> str:
+    """Return the cause of a request's outcome.
 
     Args:
         own: Lines of the request, oldest first.
-        context: Changes of belief around it.
+        context: Changes of nodes' state around it.
     """
     last = own[-1]
     if last.number == log_events.EXCHANGE_REFUSED.number:
@@ -185,9 +185,9 @@
     if code == ErrorCode.REQUEST_QUARANTINED.value:
         return _explain_quarantine(execution, context)
     if execution:
-        promise = "not run" if execution == "not_run" else "it may have run"
+        effect = "not run" if execution == "not_run" else "it may have run"
         explained = _explain_attempts(failures, last)
-        return f"{code}, {promise}; {explained}{_explain_barriers(last)}{_explain_rest(last)}"
+        return f"{code}, {effect}; {explained}{_explain_barriers(last)}{_explain_backoff(last)}"
     if outcome == "cut":
         return f"the answer was cut off; {_explain_attempts(failures, last)}"
     if outcome == "client_left":
@@ -213,22 +213,22 @@
 
 
 def _explain_quarantine(execution: str, context: Sequence[LogLine]) -> str:
-    """Return why a request is kept from instances."""
-    promise = "not run" if execution == "not_run" else "it may have run"
+    """Return why a request is quarantined."""
+    effect = "not run" if execution == "not_run" else "it may have run"
     number = log_events.REQUEST_QUARANTINED.number
     ends = next((x.fields.get("ends", ()) for x in context if x.number == number), ())
-    return f"refused, {promise}: instances have ended under it: {', '.join(ends)}"
+    return f"refused, {effect}: instances have ended under it: {', '.join(ends)}"
 
 
 def _explain_barriers(last: LogLine) -> str:
-    """Return what kept a request from the instances that may serve it at other times."""
+    """Return what excluded instances that may otherwise serve the request."""
     kept_from = last.fields.get("kept_from") or {}
     parts = [f"{count} {barrier}" for barrier, count in sorted(kept_from.items())]
     return f"; kept from instances: {', '.join(parts)}" if parts else ""
 
 
-def _explain_rest(last: LogLine) -> str:
-    """Return what is said where all instances that may serve a request had asked for rest."""
+def _explain_backoff(last: LogLine) -> str:
+    """Return the explanation if all instances that may serve the request were backing off."""
     if last.fields.get("retry_reason") != RetryReason.RESTING.value:
         return ""
     wait_ms = last.fields.get("retry_after_ms")
@@ -236,7 +236,7 @@
 
 
 def _explain_attempts(failures: Sequence[LogLine], last: LogLine) -> str:
-    """Return what went wrong with a request's attempts."""
+    """Return the failures of a request's attempts."""
     if not failures:
         instance = last.fields.get("instance")
         if not instance:
@@ -247,7 +247,7 @@
 
 
 def _context(own: Sequence[LogLine], lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return changes of belief at the request's nodes, or of its instances."""
+    """Return changes of the state of the request's nodes and of its instances."""
     numbers = {event.number for event in CONTEXT_EVENTS}
     nodes = {line.node for line in own}
     instances = {line.fields.get("instance") for line in own} - {None, ""}
@@ -269,8 +269,8 @@
     ]
 
 
-def _ends(own: Sequence[LogLine], lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return what any node saw of instances that ended under the request, whoever sent it."""
+def _quarantine_lines(own: Sequence[LogLine], lines: Iterable[LogLine]) -> list[LogLine]:
+    """Return any node's lines on terminations under the request, also when sent by others."""
     fingerprints = {line.fields.get(FINGERPRINT_FIELD) for line in own} - {None, ""}
     numbers = {event.number for event in QUARANTINE_EVENTS}
     return [
@@ -281,7 +281,7 @@
 
 
 def _read(path: Path) -> Iterable[LogLine]:
-    """Yield the lines of a log that are events; text before the first brace is passed over."""
+    """Yield the lines of a log that are events; text before the first brace is ignored."""
     try:
         text = path.read_text(encoding="utf-8", errors="replace")
     except OSError as error:
