--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,7 +1,7 @@
 """Run the tests: ``python -m tests [NAME...]``.
 
-Log lines of the code under test are dropped, so that failures stand out; the tests of the logs
-configure their own.
+Log lines of the code under test are dropped, so that failures are easy to see; tests of logging
+configure their own output.
 """
 
 import sys
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""Exit codes and messages of the installed commands, as operators meet them."""
+"""Exit codes and messages of the installed commands."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 CTL, ROUTER, EMULATOR = "hopstep.cli.ctl", "hopstep.cli.router", "emulator.cli.main"
 CLOSED_PORT = "127.0.0.1:9"
 
-# Module, arguments, exit code, and what the output names.
+# Module, arguments, exit code, and a text that the output must contain.
 CASES = (
     (CTL, ["--help"], 1, "Verbs: ``validate FILE``"),
     (CTL, ["validate", str(EXAMPLE)], 0, ""),
@@ -30,7 +30,7 @@
 
 
 def run_command(module, arguments):
-    """Run a command to its end."""
+    """Run a command until it exits."""
     command = [sys.executable, "-m", module, *arguments]
     return subprocess.run(  # noqa: S603 - the arguments are constants of this module
         command, capture_output=True, text=True, timeout=60, cwd=ROOT, check=False
@@ -39,12 +39,12 @@
 
 class CommandTest(unittest.TestCase):
     def test_exit_codes_and_messages(self):
-        for module, arguments, code, named in CASES:
+        for module, arguments, code, expected in CASES:
             with self.subTest(module=module, arguments=arguments):
                 done = run_command(module, arguments)
                 output = done.stdout + done.stderr
                 self.assertEqual(done.returncode, code, output)
-                self.assertIn(named, output)
+                self.assertIn(expected, output)
                 self.assertNotIn("Traceback", output)
 
     def test_bad_settings_name_file_and_field(self):
--- a/tests/cli/test_reference_docs.py
+++ b/tests/cli/test_reference_docs.py
@@ -1,4 +1,4 @@
-"""The pages of events and errors say what the code says."""
+"""The pages of events and errors agree with the code."""
 
 from __future__ import annotations
 
--- a/tests/ctl/test_trace.py
+++ b/tests/ctl/test_trace.py
@@ -1,4 +1,4 @@
-"""Three kinds of failed requests, from the id to the cause, by the node's own log lines."""
+"""``trace`` finds the cause of failed requests in the node's own log lines."""
 
 import json
 import tempfile
@@ -25,17 +25,17 @@
         self.path = Path(directory.name) / "log"
         self.lines = []
 
-    def record(self, _logger, _method, line):
+    def record_line(self, _logger, _method, line):
         seconds = trio.current_time() % 60
         self.lines.append({**line, "node": "n0", "timestamp": f"{EPOCH}{seconds:09.6f}+00:00"})
         raise structlog.DropEvent
 
-    def play(self, script):
+    def record_log(self, script):
         world = ExchangeWorld()
         world.add("p0")
         world.add("e0", "llm")
         before = structlog.get_config()
-        structlog.configure(processors=[self.record])
+        structlog.configure(processors=[self.record_line])
         try:
             world.run(script)
         finally:
@@ -52,7 +52,7 @@
             await trio.sleep(6.5)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("isolated", result.document.cause)
         self.assertIn("lost the store at", result.document.cause)
@@ -60,14 +60,14 @@
 
     def test_a_request_after_a_restore_shows_by_which_era_it_was_decided(self):
         async def script(world):
-            copy = world.shared.model.copy()
+            backup = world.shared.model.copy()
             world.publish(ConfigurationPublished(configuration(2)))
             await trio.sleep(2.0)
-            world.shared.restore(copy)
+            world.shared.restore(backup)
             await trio.sleep(3.0)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         document = self.trace().document
         self.assertIn("the store up to era 1 revision", document.known)
         self.assertIn("configuration 2 of era 0 revision", document.known)
@@ -86,7 +86,7 @@
             await trio.sleep(0.1)
             await world.request("unsafe", body=b"fatal", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         cause = self.trace().document.cause
         self.assertIn("refused, not run: instances have ended under it", cause)
         self.assertEqual(cause.count("seen by n0"), 3)
@@ -100,7 +100,7 @@
                 await world.request("unsafe")
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("answered 200 by p1", result.document.cause)
         [line] = [line for line in result.document.lines if "instance_says_leaving" in line]
@@ -114,7 +114,7 @@
             await trio.sleep(0.1)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("overloaded, not run", result.document.cause)
         self.assertIn("all instances of plain rest, for", result.document.cause)
@@ -129,7 +129,7 @@
                 await world.request("unsafe")
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("kept from instances: 1 limited", result.document.cause)
         self.assertTrue(any("instance_limit_changed" in line for line in result.document.lines))
@@ -140,7 +140,7 @@
             await trio.sleep(5.5)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         self.assertIn("lost the store at", self.trace().document.cause)
 
     def test_a_cut_stream_leads_to_its_instance(self):
@@ -148,7 +148,7 @@
             world.instances.servers["e0"].behaviour = Behaviour.BREAK_STREAM
             await world.request("stream", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         cause = self.trace().document.cause
         self.assertIn("cut off", cause)
         self.assertIn("e0: broke off", cause)
@@ -158,7 +158,7 @@
             world.instances.servers["p0"].behaviour = Behaviour.LOSE_ANSWER
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         cause = self.trace().document.cause
         self.assertIn("may have run", cause)
         self.assertIn("p0: broke off", cause)
@@ -168,7 +168,7 @@
             world.instances.servers["e0"].event_seconds = 0.5
             await world.request("stream", request_id="r", patience=5.0)
 
-        self.play(script)
+        self.record_log(script)
         self.assertRegex(self.trace().document.cause, r"answered 200 by e0.*pause 5\d\d ms")
 
     def test_unknown_ids_and_unreadable_logs_are_told(self):
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -13,7 +13,7 @@
 STATEFUL_PATTERN = "test_*stateful*.py"
 
 _FACTOR = flags.DEFINE_float(
-    "factor", 200.0, "How many times as many steps as in CI, over all seeds together."
+    "factor", 200.0, "Number of steps as a multiple of CI's, over all seeds together."
 )
 _FIRST_SEED = flags.DEFINE_integer("first_seed", 1, "First seed.")
 _SEEDS = flags.DEFINE_integer("seeds", 10, "Number of seeds.", lower_bound=1)
@@ -31,7 +31,7 @@
 
 
 def main(_arguments: list[str]) -> int:
-    """Run the range of seeds and print the verdict."""
+    """Run the range of seeds and print the result."""
     logging.set_verbosity(logging.WARNING)
     seeds = range(_FIRST_SEED.value, _FIRST_SEED.value + _SEEDS.value)
     failed: list[int] = []
--- a/tests/fuzz_settings.py
+++ b/tests/fuzz_settings.py
@@ -1,8 +1,8 @@
 """Sizes and seeds of stateful fuzzing, the same for every machine.
 
 ``HOPSTEP_FUZZ_FACTOR`` multiplies the number of examples, ``HOPSTEP_FUZZ_SEED`` chooses the
-random seed. Without a seed the examples are derived from the test alone, so that two runs
-give the same verdict.
+random seed. Without a seed the examples are derived from the test alone, so that repeated runs
+give the same result.
 """
 
 import os
@@ -17,12 +17,12 @@
 
 
 def factor() -> float:
-    """Return how many times as many examples as in CI are run."""
+    """Return the number of examples as a multiple of CI's."""
     return float(os.environ.get(FACTOR_VARIABLE, "1"))
 
 
 def seed() -> int | None:
-    """Return the chosen seed, or None for derived examples."""
+    """Return the chosen seed; None if examples are derived from the test."""
     value = os.environ.get(SEED_VARIABLE)
     return int(value) if value else None
 
@@ -56,17 +56,17 @@
     base_examples: int = DEFAULT_MAX_EXAMPLES,
     base_steps: int = DEFAULT_STEP_COUNT,
 ) -> None:
-    """Run a state machine; raises what its rules or invariants raise."""
+    """Run a state machine; errors of its rules and invariants are raised."""
     chosen = seed()
     if chosen is not None:
-        # The seed is kept on the class, and wrong variants that derive from the machine must not
-        # inherit it: their examples are the same in every run.
+        # hypothesis stores the seed on the class. Faulty variants that derive from the machine
+        # must not inherit it: their examples are the same in every run.
         machine = hypothesis.seed(chosen)(type(machine.__name__, (machine,), {}))
     run_state_machine_as_test(machine, settings=settings(base_examples, base_steps))
 
 
 def variant_settings(examples: int) -> hypothesis.settings:
-    """Return the settings of a machine that is wrong on purpose.
+    """Return the settings of a machine that is faulty on purpose.
 
     The examples are the same in every run, also under a seed, and the failure isn't shrunk.
     """
@@ -76,7 +76,7 @@
 
 
 def is_caught(machine: type[RuleBasedStateMachine], base_examples: int = 100) -> bool:
-    """Return whether a machine that is wrong on purpose breaks its oracle."""
+    """Return whether a machine that is faulty on purpose fails its assertions."""
     try:
         run_state_machine_as_test(machine, settings=variant_settings(base_examples))
     except AssertionError:
--- a/tests/processes/__init__.py
+++ b/tests/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of real processes on loopback; bounded, without timing asserts."""
+"""Tests of real processes on loopback, with time limits but without assertions on timing."""
--- a/tests/processes/harness.py
+++ b/tests/processes/harness.py
@@ -42,7 +42,7 @@
 
 
 class SmallFleet:
-    """The fleet and a client."""
+    """A running fleet and a client for it."""
 
     def __init__(self, fleet: Fleet, group: ProcessGroup, client: RouterClient) -> None:
         self.fleet = fleet
@@ -57,7 +57,7 @@
         return LoadRequest("tenant", KEY, "quick", "small", prompt, output_tokens)
 
     async def send(self, output_tokens: int) -> LoadResult:
-        """Send one request, again when it is proved not run."""
+        """Send one request, and send it again while it is proved not run."""
         return await send_until_settled(
             self.client, itertools.repeat(self.router), self.request(output_tokens)
         )
@@ -73,7 +73,7 @@
     configuration: Configuration = CONFIGURATION,
     tls: TlsSettings = PLAIN_HTTP,
 ) -> AsyncIterator[SmallFleet]:
-    """Start the fleet, and leave nothing running."""
+    """Start the fleet; all its processes are stopped at the end."""
     options = FleetOptions(router_arguments=router_arguments, tls=tls)
     context = client_context(tls.trusted) if tls.certificate else None
     with (
--- a/tests/processes/test_exchange_node.py
+++ b/tests/processes/test_exchange_node.py
@@ -1,4 +1,4 @@
-"""A node as a process: started by its settings file, serving over sockets, stopped by a signal."""
+"""A node as a process: started with a settings file, serving over sockets, stopped by a signal."""
 
 import contextlib
 import json
@@ -48,7 +48,7 @@
 
 
 def free_ports(count):
-    """Return ports that were free a moment ago."""
+    """Return ports that were free when they were probed."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [opened.getsockname()[1] for opened in sockets]
     for opened in sockets:
@@ -57,7 +57,7 @@
 
 
 def instance_app():
-    """An instance that answers with what it got."""
+    """Return an instance that answers with the body that it received."""
     app = quart_trio.QuartTrio(__name__)
     app.bodies = []
     app.headers = []
@@ -248,7 +248,9 @@
                 answer = await self.request(client, url, **options)
                 self.assertEqual(answer.status_code, status)
             self.assertEqual(instances.bodies, [b"hello"])
-            smuggled = await self.raw(url, b"POST /p/x HTTP/1.1\r\nHost: h.example\r\nA\r\n\r\n")
+            smuggled = await self.send_raw(
+                url, b"POST /p/x HTTP/1.1\r\nHost: h.example\r\nA\r\n\r\n"
+            )
             self.assertTrue(smuggled.startswith(b"HTTP/1.1 400"))
             self.assertEqual((await self.request(client, url)).status_code, 200)
             await self.wait_logged("exchange_ended", 2)
@@ -260,7 +262,7 @@
         outcomes = [e["outcome"] for e in self.events() if e["event"] == "exchange_ended"]
         self.assertEqual(outcomes, ["200", "200"])
 
-    async def raw(self, url, data):
+    async def send_raw(self, url, data):
         host, _, port = url.removeprefix("http://").rpartition(":")
         stream = await trio.open_tcp_stream(host, int(port))
         async with stream:
@@ -301,15 +303,15 @@
                 await trio.sleep(0.3)
                 process.send_signal(signal.SIGTERM)
                 with trio.fail_after(GRACE_SECONDS):
-                    answers = await self.ask_until_refused(url)
+                    answers = await self.send_until_refused(url)
                     code = await trio.to_thread.run_sync(process.wait, abandon_on_cancel=True)
             self.assertEqual(code, 0)
             self.assertEqual(set(answers), {200, 503})
 
         self.run_node(script)
 
-    async def ask_until_refused(self, url):
-        """Ask on new connections; each is answered at once or refused by a reset or closed port."""
+    async def send_until_refused(self, url):
+        """Send on new connections; each gets a prompt answer, a reset or a closed port."""
         answers = []
         async with httpx.AsyncClient(timeout=0.4) as client:
             while True:
@@ -326,10 +328,10 @@
                     if paused:
                         process.send_signal(signal.SIGSTOP)
                     for _ in range(5):
-                        await self.ask_and_leave(url, b"/p/endless", wait_seconds)
+                        await self.send_and_disconnect(url, b"/p/endless", wait_seconds)
                     process.send_signal(signal.SIGCONT)
                     await self.wait_idle(instances)
-            answer = await self.raw(url, self.request_bytes(b"/p/x", b"last"))
+            answer = await self.send_raw(url, self.request_bytes(b"/p/x", b"last"))
             self.assertTrue(answer.startswith(b"HTTP/1.1 200"))
             arrived = len(instances.bodies)
             await trio.sleep(0.5)
@@ -340,7 +342,7 @@
         self.assertLessEqual(outcomes, {"200", "client_left"})
 
     async def wait_logged(self, event, count):
-        """Wait for so many lines of an event: a client has its answer before they are written."""
+        """Wait for ``count`` lines of an event: a client may get its answer before the log line."""
         with trio.fail_after(LOGGED_SECONDS):
             while True:
                 if sum(line["event"] == event for line in self.events()) >= count:
@@ -348,7 +350,7 @@
                 await trio.sleep(0.05)
 
     async def wait_idle(self, instances):
-        """Wait until an instance works on nothing; its work would take a minute."""
+        """Wait until an instance has no active request; an endless one would take a minute."""
         with trio.fail_after(5.0):
             while True:
                 if not instances.active:
@@ -356,14 +358,14 @@
                 await trio.sleep(0.05)
 
     def request_bytes(self, path, request_id):
-        """Return a whole request as it goes over the wire."""
+        """Return the bytes of a complete request."""
         return (
             b"POST %b HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %b\r\nX-Api-Key: %b\r\n"
             b"Content-Length: 5\r\n\r\nhello" % (path, request_id, KEY.encode())
         )
 
-    async def ask_and_leave(self, url, path, wait_seconds):
-        """Send a request and close the connection, at once or a little later."""
+    async def send_and_disconnect(self, url, path, wait_seconds):
+        """Send a request and close the connection after a wait."""
         host, _, port = url.removeprefix("http://").rpartition(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
             await stream.send_all(self.request_bytes(path, os.urandom(4).hex().encode()))
@@ -386,15 +388,15 @@
     def test_the_ports_listen_while_the_libraries_still_load(self):
         ports = free_ports(4)
         self.write_settings(ports)
-        stand_in = self.path.parent / "trio.py"
-        stand_in.write_text("import time\ntime.sleep(600)\n")
-        process = self.start(PYTHONPATH=str(stand_in.parent))
+        fake_trio = self.path.parent / "trio.py"
+        fake_trio.write_text("import time\ntime.sleep(600)\n")
+        process = self.start(PYTHONPATH=str(fake_trio.parent))
         for port in ports[:2]:
-            self.connect_while_it_runs(process, port).close()
+            self.connect_while_running(process, port).close()
         self.assertEqual(self.events(), [])
 
-    def connect_while_it_runs(self, process, port):
-        """Return a connection as soon as one is accepted, unless the process ends before."""
+    def connect_while_running(self, process, port):
+        """Return a connection as soon as one is accepted; fail if the process has exited."""
         while True:
             self.assertIsNone(process.poll(), "the process has ended")
             with contextlib.suppress(ConnectionRefusedError):
@@ -405,10 +407,10 @@
         self.write_settings(ports)
         gate = self.path.parent / "gate"
         os.mkfifo(gate)
-        stand_in = self.path.parent / "trio.py"
-        stand_in.write_text(f"open({str(gate)!r}).read()\nraise SystemExit(7)\n")
-        process = self.start(PYTHONPATH=str(stand_in.parent))
-        self.connect_while_it_runs(process, ports[0]).close()
+        fake_trio = self.path.parent / "trio.py"
+        fake_trio.write_text(f"open({str(gate)!r}).read()\nraise SystemExit(7)\n")
+        process = self.start(PYTHONPATH=str(fake_trio.parent))
+        self.connect_while_running(process, ports[0]).close()
         process.send_signal(signal.SIGHUP)
         gate.write_text("go on")
         self.assertEqual(process.wait(START_SECONDS), 7)
--- a/tests/processes/test_half_sent_body.py
+++ b/tests/processes/test_half_sent_body.py
@@ -1,4 +1,4 @@
-"""A planned stop while the body of a request is half-sent."""
+"""A planned stop while only half of a request's body has been sent."""
 
 from __future__ import annotations
 
--- a/tests/processes/test_paused.py
+++ b/tests/processes/test_paused.py
@@ -1,4 +1,4 @@
-"""Engines and routers that are stopped by SIGSTOP in the middle of streams, and go on."""
+"""Engines and routers that are paused by SIGSTOP during streams, and resumed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def stream_through_pauses(small: SmallFleet, process: str) -> list[LoadResult]:
-    """Return the answers of streams during which a process was paused twice."""
+    """Return the results of streams during which a process was paused twice."""
     results: list[LoadResult] = []
 
     async def stream() -> None:
--- a/tests/processes/test_planned_stop.py
+++ b/tests/processes/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Planned and unplanned ends of a router process, under streams."""
+"""Planned stops and kills of a router process during streams."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 STREAMS = 6
 LONG_OUTPUT_TOKENS = 240
-"""An answer that lasts longer than closing connections may take after the drain."""
+"""Tokens of an answer that takes longer than closing connections after the drain."""
 EXIT_POLLS = 400
 POLL_SECONDS = 0.05
 
@@ -31,7 +31,7 @@
 
 
 async def wait_exit(process: subprocess.Popen[bytes]) -> int | None:
-    """Wait for a process to end by itself and return its exit code."""
+    """Wait for a process to exit by itself and return its exit code."""
     for _ in range(EXIT_POLLS):
         if process.poll() is not None:
             break
@@ -40,7 +40,7 @@
 
 
 def run_bounded(check: Callable[[], Awaitable[None]]) -> None:
-    """Run an asynchronous test within the bound."""
+    """Run an asynchronous test with a time limit."""
 
     async def main() -> None:
         with trio.fail_after(TEST_TIMEOUT_SECONDS):
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -1,7 +1,7 @@
 """A short soak with real processes: fixed seeds, and those that failed once.
 
-The seeds fix what is drawn, not how processes interleave. Longer soaks are started by hand, by
-``hopstep-emulator soak``; what they found stands in docs/FINDINGS.md and docs/SOAK.md.
+The seeds determine the random choices, not the interleaving of processes. Longer soaks are started
+by hand with ``hopstep-emulator soak``; docs/FINDINGS.md and docs/SOAK.md list their findings.
 """
 
 import tempfile
@@ -18,10 +18,10 @@
 NODES = 5
 RATE = 30.0
 SOAKS = ((2, ""), (3, ""), (5, SHORT.name), (8, WORDS.name), (9, LIMITS.name), (11, RESTORES.name))
-"""Seeds and profiles: ways to the store that are lost under changes; planned work under changes;
-fatal requests, later lives of instances, entries of other writers and suspended machines; instances
-that say in their answers that they leave or want rest; that name limits; and a store that comes
-back from copies.
+"""Seeds and profiles: lost routes to the store during changes; planned work during changes;
+fatal requests, later incarnations of instances, entries of other writers and suspended machines;
+instances that announce in responses that they are shutting down or want backoff; instances that
+announce limits; and a store that is restored from backups.
 """
 
 
--- a/tests/processes/test_tls.py
+++ b/tests/processes/test_tls.py
@@ -1,4 +1,4 @@
-"""Whole processes over TLS: callers to router, router to engine, router to router."""
+"""Real processes over TLS: callers to router, router to engine, router to router."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self.addCleanup(self.files.close)
 
     async def wait_served(self, address: str, fingerprint: str) -> None:
-        """Wait until new connections meet a certificate."""
+        """Wait until new connections are served a certificate."""
         while await self.files.served_fingerprint(address) != fingerprint:  # noqa: ASYNC110
             await trio.sleep(POLL_SECONDS)
 
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -1,13 +1,13 @@
-"""Test runner which reports per module and admits a short list of known failures.
+"""Test runner that reports per module and accepts a short list of known failures.
 
-Known failures stand in ``KNOWN-RED.txt`` at the root of the repository, one a line::
+Known failures are listed in ``KNOWN-RED.txt`` at the root of the repository, one per line::
 
     tests.test_ring.RingTest.test_wraps, cause in a few words, issue
 
 A listed test that fails is printed and counted as skipped. A listed test that
 passes, is skipped or isn't found by a full run makes the run fail, so that the
-list can't go stale. Listed names are those of tests: a failing ``setUpClass`` or
-``setUpModule`` can't be listed.
+list stays up to date. Only tests can be listed, not a failing ``setUpClass`` or
+``setUpModule``.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 
 
 class Outcome(StrEnum):
-    """How one test ended."""
+    """Outcome of one test."""
 
     PASSED = "passed"
     FAILED = "failed"
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test known to fail for a real fault not yet mended."""
+    """A test known to fail because of a real fault that is not yet fixed."""
 
     name: str
     cause: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """The outcome of one test, with the reasons when it failed or was skipped."""
+    """The outcome of one test, with the reasons if it failed or was skipped."""
 
     outcome: Outcome
     details: list[str] = field(default_factory=list)
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """The judged outcomes of a run."""
+    """Outcomes of a run, after known failures are taken into account."""
 
     passed: int
     failed: int
@@ -83,7 +83,7 @@
 
 
 class RecordingResult(unittest.TestResult):
-    """A test result which keeps one record for each test, the worst outcome winning."""
+    """A test result that keeps one record for each test, with its worst outcome."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -110,7 +110,7 @@
         self._note(test, Outcome.SKIPPED, reason)
 
     def addExpectedFailure(self, test: unittest.TestCase, err: ErrorInfo) -> None:  # noqa: N802
-        """Record an expected failure as a failure: only the list of known failures excuses."""
+        """Record an expected failure as a failure: only listed known failures are accepted."""
         super().addExpectedFailure(test, err)
         self._note(test, Outcome.FAILED, "expectedFailure is not admitted\n" + format_error(err))
 
@@ -136,7 +136,7 @@
 
 
 def severity(outcome: Outcome) -> int:
-    """Rank an outcome; a test keeps the highest it met."""
+    """Return the rank of an outcome; a test keeps its highest one."""
     return (Outcome.PASSED, Outcome.SKIPPED, Outcome.FAILED).index(outcome)
 
 
@@ -155,7 +155,7 @@
     """Parse the list of known failures.
 
     Args:
-        text: Lines of ``dotted.test.name, cause, issue``; ``#`` opens a comment line.
+        text: Lines of ``dotted.test.name, cause, issue``; ``#`` starts a comment line.
 
     Returns:
         The entries by test name.
@@ -174,7 +174,7 @@
 
 
 def parse_entry(line: str) -> KnownRed:
-    """Parse one line; the cause may hold commas.
+    """Parse one line; the cause may contain commas.
 
     Args:
         line: A line of the list.
@@ -226,7 +226,7 @@
 
     Args:
         suite: The tests to run.
-        stream: Where the lines go.
+        stream: Output stream of the lines.
 
     Returns:
         The records by test name.
@@ -242,15 +242,15 @@
     return records
 
 
-def judge(
+def evaluate(
     records: Mapping[str, Record], known_red: Mapping[str, KnownRed], *, complete: bool
 ) -> Report:
-    """Weigh the records against the known failures.
+    """Compare the records with the known failures.
 
     Args:
         records: The records by test name.
         known_red: The known failures by test name.
-        complete: Whether all tests were to run, so that a listed test not met is stale.
+        complete: Whether all tests should run, so that a listed test that didn't run is stale.
 
     Returns:
         The report; each stale entry counts as one failure.
@@ -282,7 +282,7 @@
 
 
 def print_skips(records: Mapping[str, Record], stream: TextIO) -> None:
-    """Print the tests that were skipped, with their reasons."""
+    """Print the skipped tests with their reasons."""
     for name, record in records.items():
         if record.outcome is Outcome.SKIPPED:
             print(f"skipped: {name}, {'; '.join(record.details)}", file=stream)
@@ -318,6 +318,6 @@
         return 1
     records = run_suite(load_suite(names), sys.stdout)
     print_skips(records, sys.stdout)
-    report = judge(records, known_red, complete=not names)
+    report = evaluate(records, known_red, complete=not names)
     print_report(report, sys.stdout)
     return report.exit_code
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -14,14 +14,14 @@
 
 
 class Clocks:
-    """The machine's clocks, of which one goes on while it is suspended."""
+    """The machine's clocks, one of which advances while the machine is suspended."""
 
     def __init__(self):
         self.suspended = 0.0
-        self.read = time.clock_gettime
+        self.real_gettime = time.clock_gettime
 
     def clock_gettime(self, number):
-        seconds = self.read(time.CLOCK_MONOTONIC)
+        seconds = self.real_gettime(time.CLOCK_MONOTONIC)
         return seconds + self.suspended if number == time.CLOCK_BOOTTIME else seconds
 
 
--- a/tests/test_garbage_collection.py
+++ b/tests/test_garbage_collection.py
@@ -17,7 +17,7 @@
 
 
 class GarbageCollectionTest(unittest.TestCase):
-    """The process's imports are left out; cycles made later are still found."""
+    """Imported objects are excluded; cycles created later are still collected."""
 
     def setUp(self) -> None:
         self.addCleanup(gc.unfreeze)
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -9,7 +9,7 @@
 
 
 class Sample(unittest.TestCase):
-    """Cases of each outcome, run by hand; not loaded by discovery."""
+    """Cases of each outcome, run by the tests below; discovery doesn't load them."""
 
     def passes(self) -> None:
         pass
@@ -80,47 +80,47 @@
 
 class JudgeTest(unittest.TestCase):
     def test_pass(self) -> None:
-        report = runner.judge(run_samples("passes", "skips"), {}, complete=True)
+        report = runner.evaluate(run_samples("passes", "skips"), {}, complete=True)
         self.assertEqual(report.summary, "1 passed, 0 failed, 1 skipped")
         self.assertEqual(report.exit_code, 0)
 
     def test_failure_is_printed_in_full(self) -> None:
-        report = runner.judge(run_samples("passes", "fails"), {}, complete=True)
+        report = runner.evaluate(run_samples("passes", "fails"), {}, complete=True)
         self.assertEqual(report.exit_code, 1)
         self.assertIn("AssertionError: on purpose", report.failures[0])
 
     def test_no_tests_is_a_failure(self) -> None:
-        self.assertEqual(runner.judge({}, {}, complete=True).exit_code, 1)
+        self.assertEqual(runner.evaluate({}, {}, complete=True).exit_code, 1)
 
     def test_only_skips_is_a_failure(self) -> None:
-        self.assertEqual(runner.judge(run_samples("skips"), {}, complete=True).exit_code, 1)
+        self.assertEqual(runner.evaluate(run_samples("skips"), {}, complete=True).exit_code, 1)
 
     def test_known_red_counts_as_skipped(self) -> None:
-        report = runner.judge(run_samples("passes", "fails"), listed("fails"), complete=True)
+        report = runner.evaluate(run_samples("passes", "fails"), listed("fails"), complete=True)
         self.assertEqual(report.summary, "1 passed, 0 failed, 1 skipped")
         self.assertEqual(report.exit_code, 0)
         self.assertEqual(report.known, (f"known red: {sample_name('fails')}, a cause, #1",))
 
     def test_known_red_excuses_no_other_test(self) -> None:
-        report = runner.judge(run_samples("fails", "errors"), listed("fails"), complete=True)
+        report = runner.evaluate(run_samples("fails", "errors"), listed("fails"), complete=True)
         self.assertEqual(report.summary, "0 passed, 1 failed, 1 skipped")
         self.assertEqual(report.exit_code, 1)
 
     def test_known_red_that_passes_or_skips_is_stale(self) -> None:
         for method in ("passes", "skips"):
             with self.subTest(method=method):
-                report = runner.judge(run_samples(method), listed(method), complete=True)
+                report = runner.evaluate(run_samples(method), listed(method), complete=True)
                 self.assertEqual(report.summary, "0 passed, 1 failed, 0 skipped")
                 self.assertEqual(report.exit_code, 1)
 
     def test_known_red_not_met_is_stale_in_a_complete_run_only(self) -> None:
         records = run_samples("passes")
-        self.assertEqual(runner.judge(records, listed("fails"), complete=True).exit_code, 1)
-        self.assertEqual(runner.judge(records, listed("fails"), complete=False).exit_code, 0)
+        self.assertEqual(runner.evaluate(records, listed("fails"), complete=True).exit_code, 1)
+        self.assertEqual(runner.evaluate(records, listed("fails"), complete=False).exit_code, 0)
 
     def test_closing_lines(self) -> None:
         stream = io.StringIO()
-        report = runner.judge(run_samples("passes", "fails"), listed("fails"), complete=True)
+        report = runner.evaluate(run_samples("passes", "fails"), listed("fails"), complete=True)
         runner.print_report(report, stream)
         self.assertEqual(
             stream.getvalue().splitlines()[-2:],
--- a/tests/test_settings_loader.py
+++ b/tests/test_settings_loader.py
@@ -20,7 +20,7 @@
 seeds = ["127.0.0.1:1"]
 """
 
-# Each row: text in place of ``GOOD``, flags, and what the error must name.
+# Each row: settings text, flags, and texts that the error must contain.
 BAD = (
     ("name = ", (), ("expected TOML",)),
     (GOOD + "colour = 1", (), ("peers.colour",)),
--- a/tests/test_unused_modules.py
+++ b/tests/test_unused_modules.py
@@ -1,4 +1,4 @@
-"""What a node's libraries import and a node never uses isn't loaded in it."""
+"""A node doesn't load modules that its libraries import and that it never uses."""
 
 import json
 import subprocess
@@ -23,7 +23,7 @@
 
 
 def run_script(script):
-    """Return what a script prints in a process of its own."""
+    """Run a script in a separate process and return its decoded output."""
     command = [sys.executable, "-c", script]
     shown = subprocess.run(command, capture_output=True, text=True, check=True)  # noqa: S603
     return json.loads(shown.stdout)
--- a/tests/tls_files.py
+++ b/tests/tls_files.py
@@ -58,14 +58,14 @@
         return fingerprint(issued.cert_chain_pems[0].bytes())
 
     async def served_fingerprint(self, address: str) -> str:
-        """Return the fingerprint of the certificate that a new connection meets."""
+        """Return the fingerprint of the certificate that a new connection is served."""
         stream = await self.connect(address)
         served = fingerprint(stream.getpeercert(binary_form=True))
         await stream.aclose()
         return served
 
     async def connect(self, address: str) -> trio.SSLStream:
-        """Return a new connection that checks the certificate."""
+        """Return a new connection that verifies the certificate."""
         host, _, port = address.rpartition(":")
         context = client_context(str(self.trusted))
         stream = await trio.open_ssl_over_tcp_stream(
