--- a/hopstep/exchange_services.py
+++ b/hopstep/exchange_services.py
@@ -124,7 +124,7 @@
         urgent = UrgentBox()
         self.quarantine = Quarantine(settings.name)
         self.knowledge.instances.follow_ends(
-            lambda life, evidence: self.quarantine.note_ended(str(life), evidence)
+            lambda incarnation, evidence: self.quarantine.note_ended(str(incarnation), evidence)
         )
         self.quarantine.follow_ends(self._suspend_terminated)
         self.quarantine_records = QuarantineRecords(self.quarantine, ports.store, generator)
@@ -200,12 +200,12 @@
         self.registration = Registration(record, ports.store, self.knowledge, generator)
         self._register_gauges()
 
-    def _suspend_terminated(self, life: str) -> None:
+    def _suspend_terminated(self, incarnation: str) -> None:
         """Send nothing to a terminated instance until its entry expires.
 
         Otherwise each node would find out by a failed request of its own.
         """
-        view = self.knowledge.table.of_life(life)
+        view = self.knowledge.table.of_life(incarnation)
         if view is not None:
             view.suspend(trio.current_time() + ENTRY_LAPSE_SECONDS)
 
--- a/tests/ctl/test_quarantine.py
+++ b/tests/ctl/test_quarantine.py
@@ -70,7 +70,7 @@
 
         self.run_with_store(scenario)
 
-    def test_what_is_not_kept_or_no_fingerprint_is_refused(self):
+    def test_unknown_requests_and_malformed_fingerprints_are_refused(self):
         async def scenario(store):
             result = await release_request(store, FINGERPRINT)
             self.assertEqual(result.exit_code, ExitCode.REJECTED)
--- a/tests/ctl/test_trace.py
+++ b/tests/ctl/test_trace.py
@@ -91,7 +91,7 @@
         self.assertIn("refused, not run: instances have ended under it", cause)
         self.assertEqual(cause.count("seen by n0"), 3)
 
-    def test_a_request_that_was_kept_from_an_instance_shows_its_word(self):
+    def test_a_request_that_avoids_an_instance_shows_its_notice(self):
         async def script(world):
             world.add("p1")
             await trio.sleep(1.0)
@@ -107,7 +107,7 @@
         self.assertIn("instance=p0", line)
         self.assertIn("source=answer", line)
 
-    def test_a_request_refused_since_all_rest_leads_to_their_words(self):
+    def test_a_request_refused_as_all_instances_back_off_shows_their_notices(self):
         async def script(world):
             world.instances.servers["p0"].sheds_for = 2.0
             await world.request("unsafe")
@@ -134,7 +134,7 @@
         self.assertIn("kept from instances: 1 limited", result.document.cause)
         self.assertTrue(any("instance_limit_changed" in line for line in result.document.lines))
 
-    def test_a_store_that_is_silent_is_named_with_the_first_refusal(self):
+    def test_an_unresponsive_store_is_named_with_the_first_refusal(self):
         async def script(world):
             world.directories[0].dark = True
             await trio.sleep(5.5)
@@ -163,7 +163,7 @@
         self.assertIn("may have run", cause)
         self.assertIn("p0: broke off", cause)
 
-    def test_a_late_answer_tells_its_times(self):
+    def test_a_late_answer_shows_its_times(self):
         async def script(world):
             world.instances.servers["e0"].event_seconds = 0.5
             await world.request("stream", request_id="r", patience=5.0)
@@ -171,7 +171,7 @@
         self.record_log(script)
         self.assertRegex(self.trace().document.cause, r"answered 200 by e0.*pause 5\d\d ms")
 
-    def test_unknown_ids_and_unreadable_logs_are_told(self):
+    def test_unknown_ids_and_unreadable_logs_are_reported(self):
         self.path.write_text('no json\n{"event": "x"}\n')
         self.assertIs(self.trace("none").exit_code, ExitCode.REJECTED)
         with self.assertRaises(ValidationError):
--- a/tests/processes/test_exchange_node.py
+++ b/tests/processes/test_exchange_node.py
@@ -169,7 +169,7 @@
         fields = {"host": "h.example", "attempt-id": "r1", "x-api-key": key, **headers}
         return await client.post(url + path, headers=fields, content=body)
 
-    def test_what_only_a_node_may_set_never_comes_from_a_client(self):
+    def test_headers_that_only_nodes_may_set_are_dropped_from_client_requests(self):
         forged = (
             "Hold: 1",
             "hold: 2",
@@ -321,7 +321,7 @@
                     return answers
                 await trio.sleep(0.02)
 
-    def test_clients_that_leave_end_what_runs_for_them(self):
+    def test_requests_of_disconnected_clients_are_cancelled(self):
         async def script(_client, url, process, instances):
             for paused in (False, True):
                 for wait_seconds in (0.0, 0.2):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -39,7 +39,7 @@
 
         self.assertGreaterEqual(self.run_suspended(main), SUSPENDED_SECONDS)
 
-    def test_what_is_overdue_after_it_ends_before_anything_else_goes_on(self):
+    def test_overdue_deadlines_expire_before_any_task_continues(self):
         async def main(clocks):
             with trio.move_on_after(SUSPENDED_SECONDS / 2) as lease:
                 await trio.sleep(0.01)
@@ -61,7 +61,7 @@
 
         self.assertTrue(self.run_suspended(main))
 
-    def test_it_never_steps_with_the_time_of_day(self):
+    def test_the_clock_never_steps_with_the_time_of_day(self):
         async def main(_clocks):
             before = trio.current_time()
             with mock.patch.object(time, "time", lambda: 0.0):
@@ -78,7 +78,7 @@
 
 
 class CommandsTest(unittest.TestCase):
-    def test_nodes_and_routers_run_on_it(self):
+    def test_nodes_and_routers_run_on_the_suspension_clock(self):
         for module in (node_process, router):
             with self.subTest(module=module.__name__):
                 source = Path(module.__file__).read_text(encoding="utf-8")
