--- a/hopstep/cli/ctl.py
+++ b/hopstep/cli/ctl.py
@@ -61,11 +61,11 @@
 
 _STORE = flags.DEFINE_string("store", "", "ip:port of the key-value service.")
 _FORMAT = flags.DEFINE_enum("format", "text", ["text", "json"], "Output format.")
-_NOTE = flags.DEFINE_string("note", "", "Why the change is made (apply, drain).")
-_AUTHOR = flags.DEFINE_string("author", "", "Who makes the change; default: the user's name.")
+_NOTE = flags.DEFINE_string("note", "", "Reason of the change (apply, drain).")
+_AUTHOR = flags.DEFINE_string("author", "", "Author of the change; default: the user's name.")
 _CHANGE_ID = flags.DEFINE_string("change_id", "", "Identity of a change to submit again.")
 _BASE_REVISION = flags.DEFINE_integer(
-    "base_revision", None, "Revision that the change was made from; default: the latest."
+    "base_revision", None, "Revision on which the change is based; default: the latest."
 )
 _TIMEOUT_SECONDS = flags.DEFINE_float("timeout_seconds", 30.0, "Longest wait for an outcome.")
 _REVISION = flags.DEFINE_integer("revision", None, "Revision to show; default: the latest.")
@@ -73,12 +73,12 @@
 _TRUSTED = flags.DEFINE_string(
     "trusted", "", "PEM file of authorities; routers are then asked over TLS (status)."
 )
-_UNDO = flags.DEFINE_bool("undo", False, "Take the leaving mark away (drain).")
+_UNDO = flags.DEFINE_bool("undo", False, "Remove the leaving mark (drain).")
 _TENANT = flags.DEFINE_string("tenant", "", "Tenant (explain).")
 _CLASS = flags.DEFINE_string("class", "", "Request class; default: the tenant's (explain).")
 _MODEL = flags.DEFINE_string("model", "", "Model (explain).")
 _LOGS = flags.DEFINE_list("logs", [], "Log files of nodes (trace).")
-_FILE = flags.DEFINE_string("file", "", "Explain this file in place of the store's document.")
+_FILE = flags.DEFINE_string("file", "", "File to explain instead of the store's document.")
 
 
 def run(arguments: Sequence[str]) -> int:
--- a/hopstep/cli/node.py
+++ b/hopstep/cli/node.py
@@ -20,7 +20,7 @@
 
 from hopstep.early_listeners import open_listeners  # noqa: E402
 from hopstep.platform.names import SETTINGS_VARIABLE  # noqa: E402
-from hopstep.unused_modules import leave_unused_modules_out  # noqa: E402
+from hopstep.unused_modules import replace_unused_modules  # noqa: E402
 
 LOADING_OBJECTS = 5_000
 """New objects, less those freed, between two collections while the libraries are loaded."""
@@ -33,7 +33,7 @@
     # Loaded modules live as long as the process: collecting after every few hundred new objects
     # lengthens the start.
     gc.set_threshold(LOADING_OBJECTS)
-    leave_unused_modules_out()
+    replace_unused_modules()
     # Flags may name other settings, so listeners are then opened after the flags are parsed.
     has_no_flags = len(sys.argv) == 1
     listeners = open_listeners(os.environ.get(SETTINGS_VARIABLE, "")) if has_no_flags else {}
--- a/hopstep/cli/node_process.py
+++ b/hopstep/cli/node_process.py
@@ -38,7 +38,7 @@
 NODE_KEY_BYTES = 16
 
 flags.DEFINE_string(
-    "node_settings", None, "TOML settings file; by default the one the platform names."
+    "node_settings", None, "TOML settings file; by default the one that the platform names."
 )
 
 
--- a/hopstep/ctl/editing.py
+++ b/hopstep/ctl/editing.py
@@ -121,8 +121,8 @@
         same = all(
             find_item(wanted, edit.section, edit.name) == edit.item for edit in found.change.edits
         )
-        return _found_result(found, same, attributes)
-    base = _base(history, attributes.base_revision)
+        return _resubmission_result(found, same, attributes)
+    base = _base_configuration(history, attributes.base_revision)
     edits = diff(base.configuration, wanted)
     return await _submit(store, base.revision, edits, attributes)
 
@@ -138,8 +138,8 @@
             edit.name == name and isinstance(edit.item, BackEnd) and edit.item.leaving is leaving
             for edit in found.change.edits
         )
-        return _found_result(found, same, attributes)
-    base = _base(history, attributes.base_revision)
+        return _resubmission_result(found, same, attributes)
+    base = _base_configuration(history, attributes.base_revision)
     for back_end in base.configuration.back_ends:
         if back_end.name == name:
             break
@@ -153,7 +153,9 @@
     return await _submit(store, base.revision, (edit,), attributes)
 
 
-def _found_result(found: AcceptedChange, same: bool, attributes: ChangeAttributes) -> VerbResult:
+def _resubmission_result(
+    found: AcceptedChange, same: bool, attributes: ChangeAttributes
+) -> VerbResult:
     """Return the result for a change whose identity was accepted before.
 
     Args:
@@ -168,7 +170,9 @@
     return _apply_result(outcome, found.change.base_revision, attributes)
 
 
-def _base(history: ConfigurationHistory, revision: int | None) -> AcceptedConfiguration:
+def _base_configuration(
+    history: ConfigurationHistory, revision: int | None
+) -> AcceptedConfiguration:
     """Return the configuration on which an operator's change is based."""
     if revision is None:
         return history.latest
--- a/hopstep/early_listeners.py
+++ b/hopstep/early_listeners.py
@@ -13,7 +13,7 @@
 BACKLOG = 1024
 """Connections that may wait at a listener: several times those that arrive during loading."""
 
-FIELDS = ("address", "readiness_address", "metrics_address")
+LISTENER_FIELDS = ("address", "readiness_address", "metrics_address")
 """Settings that name listeners."""
 
 Listeners = dict[str, socket.socket]
@@ -34,7 +34,7 @@
             settings = tomllib.load(file)
     except (OSError, ValueError):
         return {}
-    addresses = (settings.get(field) for field in FIELDS)
+    addresses = (settings.get(field) for field in LISTENER_FIELDS)
     opened = ((address, _open(address)) for address in addresses if isinstance(address, str))
     return {address: listener for address, listener in opened if listener is not None}
 
--- a/hopstep/settings_loader.py
+++ b/hopstep/settings_loader.py
@@ -76,7 +76,7 @@
         "peer_address", ("peers", "address"), FlagKind.TEXT, "ip:port of the peers' UDP socket."
     ),
     _FlagField(
-        "seeds", ("peers", "seeds"), FlagKind.LIST, "UDP addresses to join by, with commas."
+        "seeds", ("peers", "seeds"), FlagKind.LIST, "UDP addresses to join by, comma-separated."
     ),
     _FlagField("cluster", ("peers", "cluster"), FlagKind.TEXT, "Name of the cluster."),
     _FlagField("key_file", ("peers", "key_file"), FlagKind.TEXT, "File of cluster keys."),
@@ -157,7 +157,7 @@
     Raises:
         SettingsError: When a field is unknown, missing, of a wrong type or out of range.
     """
-    return _parse(document, source, RouterSettings, _check)
+    return _parse(document, source, RouterSettings, _check_router)
 
 
 def load_exchange_settings(path: Path) -> ExchangeSettings:
@@ -233,7 +233,7 @@
     section[field.path[-1]] = value
 
 
-def _check(settings: RouterSettings) -> None:
+def _check_router(settings: RouterSettings) -> None:
     """Check the rules that the types don't express."""
     _check_texts(settings)
     _check_addresses(settings)
--- a/hopstep/unused_modules.py
+++ b/hopstep/unused_modules.py
@@ -87,7 +87,7 @@
         """Do nothing: a placeholder is empty."""
 
 
-def leave_unused_modules_out(names: Sequence[str] = UNUSED_MODULES) -> None:
+def replace_unused_modules(names: Sequence[str] = UNUSED_MODULES) -> None:
     """Replace modules by placeholders; modules that are already loaded stay.
 
     Call it once, before the libraries are loaded.
--- a/tests/test_unused_modules.py
+++ b/tests/test_unused_modules.py
@@ -9,8 +9,8 @@
 
 SCRIPT = """
 import json, sys
-from hopstep.unused_modules import UnusedModuleError, leave_unused_modules_out
-leave_unused_modules_out()
+from hopstep.unused_modules import UnusedModuleError, replace_unused_modules
+replace_unused_modules()
 from hopstep.cli import node_process
 import asyncio, h2.connection
 try:
