--- a/emulator/exchange_platform/__init__.py
+++ b/emulator/exchange_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of the users' platform, written from its published protocol."""
+"""Stand-in for the users' platform, written from its published protocol."""
--- a/emulator/exchange_platform/http_instance.py
+++ b/emulator/exchange_platform/http_instance.py
@@ -1,7 +1,7 @@
 """An instance of a service over HTTP, by the platform's published protocol.
 
-It answers plain requests and streams of events, checks its preconditions, takes fenced orders to
-load weights, and tells a listener what it did. Faults are fields that may change at any time.
+It answers plain requests and event streams, checks preconditions, takes fenced orders to load
+weights, and reports what it does to a listener. Faults are fields that may change at any time.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 class InstanceTraits(msgspec.Struct, frozen=True):
-    """What an instance is.
+    """Fixed properties of one incarnation of an instance.
 
     Attributes:
-        instance_id: Its id; it may start again under it.
+        instance_id: Its id, which a restart keeps.
         service: Name of its service.
         zone: Its zone.
-        slots: Requests at once; more are refused as not run.
+        slots: Largest number of concurrent requests; more are refused as not run.
         model: Name of its model; empty for a plain service.
         load_seconds: Time to load weights.
         born_ms: Unix time of this start in milliseconds.
@@ -52,19 +52,19 @@
 
     @property
     def life(self) -> str:
-        """The instance and this start of it."""
+        """Name of this incarnation: the instance's id and the time of its start."""
         return f"{self.instance_id}@{self.born_ms}"
 
 
 class InstanceFaults(msgspec.Struct):
-    """Shares of requests that go wrong, and lost answers to orders.
+    """Shares (0 to 1) of requests, streams and orders that are hit by a fault.
 
     Attributes:
-        failing: Answered with 500 after the run.
-        losing: Run, and the answer breaks off.
+        failing: Requests answered with 500 after the run.
+        losing: Requests that run, but whose response breaks off.
         breaking: Streams that break off midway.
-        late_orders: Orders that get no answer and are carried out later.
-        late_order_seconds: How much later.
+        late_orders: Orders that get no answer and are executed later.
+        late_order_seconds: Delay of these orders.
     """
 
     failing: float = 0.0
@@ -75,12 +75,12 @@
 
 
 class InstanceWords(msgspec.Struct):
-    """What an instance says of itself in its answers, whatever its entry says.
+    """Notices in an instance's response headers, independent of its entry in the store.
 
     Attributes:
-        leaving: Every answer says that it leaves.
-        rest_seconds: Every request is refused, and so much rest is asked for; 0 for none.
-        limit: Every answer names so many requests a second, from all nodes; None for no limit.
+        leaving: Whether every response announces that the instance is about to shut down.
+        rest_seconds: Backoff that refusals ask for; while above 0, every request is refused.
+        limit: Announced limit in requests per second, over all nodes; None for no limit.
     """
 
     leaving: bool = False
@@ -89,7 +89,7 @@
 
 
 class RunHeaders(msgspec.Struct, frozen=True):
-    """What an instance was told of a request."""
+    """Headers that an instance received with a request."""
 
     request_id: str
     tenant: str
@@ -98,31 +98,31 @@
 
 
 class InstanceListener(Protocol):
-    """Hears what an instance does."""
+    """Receives events of an instance."""
 
     def arrived(self, instance: HttpInstance, request_id: str) -> None:
-        """A request has come, run or not."""
+        """Handle the arrival of a request, before it is run or refused."""
 
     def said(self, instance: HttpInstance, request_id: str, words: InstanceWords) -> None:
-        """An answer to a request says something of the instance."""
+        """Handle a response that carries notices of the instance."""
 
     def began(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
-        """A request begins to run."""
+        """Handle the start of a run."""
 
     def ended(self, instance: HttpInstance, stamp: str) -> None:
-        """A run has ended, whole or not."""
+        """Handle the end of a run, complete or not."""
 
     def ordered(self, instance: HttpInstance, holder: str, token: int) -> None:
-        """An order is carried out."""
+        """Handle the execution of an order."""
 
     def asked(self, instance: HttpInstance) -> None:
-        """A report or an order has come."""
+        """Handle the arrival of an order or of a query for the report."""
 
     def changed(self, instance: HttpInstance) -> None:
-        """The instance's entry has changed."""
+        """Handle a change of the instance's entry."""
 
     def met_fatal(self, instance: HttpInstance, request: str) -> None:
-        """A request that ends the instance begins to run; it is named by its caller."""
+        """Handle the start of a request, named by its caller, that crashes the instance."""
 
 
 class _Order(msgspec.Struct, rename="camel"):
@@ -140,11 +140,11 @@
     def __init__(
         self, traits: InstanceTraits, listener: InstanceListener, generator: random.Random
     ) -> None:
-        """Start healthy and empty.
+        """Start without faults and without requests.
 
         Args:
-            traits: What it is.
-            listener: Told what it does.
+            traits: Fixed properties of the instance.
+            listener: Receives the instance's events.
             generator: Draws faults.
         """
         self.traits = traits
@@ -162,11 +162,11 @@
         self._nursery: trio.Nursery | None = None
 
     def use_nursery(self, nursery: trio.Nursery) -> None:
-        """Let loads and late orders run in a nursery."""
+        """Set the nursery in which loads and late orders run."""
         self._nursery = nursery
 
     def entry(self, address: str) -> dict[str, object]:
-        """Return the entry by which the instance lists itself."""
+        """Return the entry that the instance publishes in the store."""
         traits = self.traits
         models = [{"name": traits.model, "version": self.version}] if traits.model else []
         return {
@@ -183,7 +183,7 @@
         }
 
     async def serve(self) -> quart.Response:
-        """Answer the present request."""
+        """Handle the current request."""
         headers = quart.request.headers
         request_id = headers.get("Attempt-Id", "")
         body = await quart.request.get_data()
@@ -216,7 +216,7 @@
         return await self._plain(request_id, stamp, fields, float(wanted.get("work_ms", 20.0)))
 
     def _refusal(self, headers: Headers) -> quart.Response | None:
-        """Return the refusal of a request that isn't run; None to run it."""
+        """Return the response that refuses a request; None if it can run."""
         own = self.traits.instance_id
         expected = headers.get("Expect-Version")
         if headers.get("Expect-Instance", own) != own or (
@@ -236,7 +236,7 @@
 
     @contextlib.contextmanager
     def _running(self, stamp: str) -> Iterator[None]:
-        """Count a run as active until it ends."""
+        """Count a run as active while the context is open."""
         self.active += 1
         try:
             yield
@@ -247,7 +247,7 @@
     async def _plain(
         self, request_id: str, stamp: str, fields: dict[str, str], work_ms: float
     ) -> quart.Response:
-        """Work, and answer whole."""
+        """Run a plain request and return its response."""
         with self._running(stamp):
             await trio.sleep(work_ms / MILLISECONDS)
         if self._draws(self.faults.losing):
@@ -259,7 +259,7 @@
     async def _events(
         self, request_id: str, stamp: str, first: int, count: int
     ) -> AsyncIterator[bytes]:
-        """Yield events, or break off in the middle of one."""
+        """Yield the events of a stream, or break off in the middle of one."""
         breaks_at = -1
         if self._draws(self.faults.breaking):
             breaks_at = self._generator.randrange(first, max(first + 1, count))
@@ -273,7 +273,7 @@
                 yield event
 
     async def order(self) -> quart.Response:
-        """Take an order, or lose its answer and carry it out later."""
+        """Execute an order, or lose its answer and execute it later."""
         if quart.request.headers.get("Expect-Instance", "") != self.traits.instance_id:
             return quart.Response(b"", status=MISDIRECTED)
         order = msgspec.json.decode(await quart.request.get_data(), type=_Order)
@@ -283,12 +283,12 @@
         return quart.Response(b"", status=self._take(order))
 
     async def _carry_out_late(self, order: _Order) -> None:
-        """Carry an order out after its answer was lost."""
+        """Execute an order after its answer was lost."""
         await trio.sleep(self.faults.late_order_seconds)
         self._take(order)
 
     def _take(self, order: _Order) -> int:
-        """Carry an order out if its conditions hold; return the status."""
+        """Execute an order if its conditions hold; return the HTTP status."""
         if order.fencing_token < self._highest_fence:
             return 412
         self._highest_fence = order.fencing_token
@@ -305,14 +305,14 @@
         return 202
 
     async def _load(self, version: int) -> None:
-        """Load weights."""
+        """Load a weights version."""
         await trio.sleep(self.traits.load_seconds)
         self.version = version
         self._busy = False
         self._listener.changed(self)
 
     def report(self) -> dict[str, object]:
-        """Return what the instance tells of itself."""
+        """Return the instance's report."""
         return {
             "busy": self._busy,
             "callSequence": self.order_sequence,
@@ -322,24 +322,24 @@
         }
 
     def tell_words(self, request_id: str, *, rests: bool) -> None:
-        """Tell the listener what an answer says of the instance, if it says anything."""
+        """Notify the listener of the notices in a response, if there are any."""
         said = self.words
         words = InstanceWords(said.leaving, said.rest_seconds if rests else 0.0, said.limit)
         if words != InstanceWords():
             self._listener.said(self, request_id, words)
 
     def note_asked(self) -> None:
-        """Tell the listener of a report or an order."""
+        """Notify the listener of an order or a query for the report."""
         self._listener.asked(self)
 
     def _stamp(self, request_id: str) -> str:
-        """Return a signature that is new for each run."""
+        """Return a signature that is unique to a run."""
         salt = self._generator.randbytes(8)
         text = f"{self.traits.instance_id} {request_id}".encode()
         return hashlib.blake2b(text, key=salt, digest_size=8).hexdigest()
 
     def _draws(self, share: float) -> bool:
-        """Return whether a fault strikes."""
+        """Draw whether a fault occurs that has this share."""
         return share > 0 and self._generator.random() < share
 
 
@@ -349,7 +349,7 @@
 
     @app.after_request
     async def say(response: quart.Response) -> quart.Response:
-        """Let an answer say what the instance says of itself, and tell the listener."""
+        """Add the instance's notices to a response and notify the listener."""
         request_id = quart.request.headers.get("Attempt-Id", "")
         if instance.words.leaving:
             response.headers["Server-Leaving"] = "1"
@@ -361,13 +361,13 @@
 
     @app.get("/report")
     async def report() -> quart.Response:
-        """Tell of the instance."""
+        """Return the instance's report."""
         instance.note_asked()
         return json_response(instance.report())
 
     @app.get("/kv-events")
     async def cache_events() -> quart.Response:
-        """Answer after the wait that nothing has changed: these instances keep no segments."""
+        """Return no events after the wait, as these instances keep no segments."""
         await trio.sleep(float(quart.request.headers.get("Wait-Ms", "0")) / MILLISECONDS)
         position = int(quart.request.args.get("since", "0"))
         return json_response(
@@ -382,7 +382,7 @@
 
     @app.post("/order")
     async def order() -> quart.Response:
-        """Take an order."""
+        """Execute an order."""
         instance.note_asked()
         return await instance.order()
 
--- a/emulator/exchange_platform/instances.py
+++ b/emulator/exchange_platform/instances.py
@@ -1,6 +1,6 @@
-"""Instances in process, on trio's clock: they run requests, fail in many ways and load weights.
+"""In-process instances on trio's clock: they run requests, load weights and fail on demand.
 
-Each instance keeps a record of what it ran, so that tests can check what must hold.
+Each instance records its runs, so that tests can check invariants.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 from hopstep.ports.weights_orders import EngineReport, OrderOutcome, WeightsOrder, WeightsOrders
 
 FATAL_SECONDS = 0.1
-"""From the beginning of a fatal request to the instance's end, as seen at the users' engines."""
+"""Time from the start of a fatal request to the instance's crash, as seen at users' engines."""
 
 LOOK_SECONDS = 0.003
-"""A connection within a region."""
+"""Time to open a connection within a region."""
 
 FAILURE_STATUS = 500
 SUCCESS_STATUS = 200
 
 
 class Behaviour(enum.StrEnum):
-    """What an instance does with requests."""
+    """Behaviour of an instance towards requests."""
 
     SERVE = "serve"
     FAIL = "fail"
@@ -62,18 +62,18 @@
 
 
 UNHEARD = frozenset({Behaviour.NO_CONNECTION})
-"""Behaviours of an instance that can't be reached and may live."""
+"""Behaviours of an instance that can't be reached but may be running."""
 
 
 class Run(msgspec.Struct, frozen=True):
-    """One request that an instance began to work on.
+    """One request that an instance began to run.
 
     Attributes:
-        request_id: The request.
-        at: Steady clock, seconds.
+        request_id: Id of the request.
+        at: Start time on the monotonic clock, in seconds.
         version: Weights version at the instance.
-        salt: Text under which segments are kept.
-        resume_after: Last event that the client had.
+        salt: Cache salt that separates the segments of tenants.
+        resume_after: Id of the last event that the client has received.
     """
 
     request_id: str
@@ -87,10 +87,10 @@
     """One instance."""
 
     def __init__(self, instance: Instance) -> None:
-        """Start healthy.
+        """Start without faults.
 
         Args:
-            instance: As it publishes itself.
+            instance: The instance's published entry.
         """
         self.instance = instance
         self.behaviour = Behaviour.SERVE
@@ -120,29 +120,29 @@
         self._ended = trio.Event()
 
     def end(self) -> None:
-        """End at once: answers under way break off, and nothing listens any more."""
+        """Terminate at once: responses in progress break off, connections are refused."""
         if self.ended_at is None:
             self.ended_at = trio.current_time()
             self._ended.set()
 
     @property
     def is_reachable(self) -> bool:
-        """Whether it takes connections."""
+        """Whether it accepts connections."""
         return self.ended_at is None and self.behaviour is not Behaviour.UNREACHABLE
 
     def notice(self) -> InstanceNotice:
-        """Return what its answers say of it.
+        """Return the notice in its response headers.
 
-        ``sheds_for`` is the rest that refusals ask for, ``names_limit`` the requests a second that
-        it takes from all nodes together.
+        ``sheds_for`` is the backoff in seconds that refusals ask for, ``names_limit`` the requests
+        per second that the instance accepts from all nodes together.
         """
         return InstanceNotice(self.says_leaving, self.sheds_for, LimitWord(self.names_limit))
 
     async def work(self, seconds: float) -> None:
-        """Let a request's work take time.
+        """Wait for the duration of a request's work.
 
         Raises:
-            InstanceCallError: When the instance ends meanwhile.
+            InstanceCallError: When the instance terminates before the end.
         """
         with trio.move_on_after(seconds):
             await self._ended.wait()
@@ -151,10 +151,10 @@
 
 
 class EmulatedAnswer(InstanceAnswer):
-    """An answer of an emulated instance."""
+    """Response of an emulated instance."""
 
     def __init__(self, server: EmulatedInstance, call: InstanceCall, status: int) -> None:
-        """Answer a call.
+        """Create the response to a call.
 
         Args:
             server: The instance.
@@ -178,7 +178,7 @@
             yield data
 
     async def _stream(self) -> AsyncIterator[bytes]:
-        """Yield events."""
+        """Yield the events of the stream, until its end or the configured break."""
         server = self._server
         behaviour = server.behaviour
         resumed = self._call.resume_after
@@ -198,11 +198,11 @@
     """All instances of a simulated deployment.
 
     Attributes:
-        servers: The instances by id, also those that have ended.
-        on_changed: Told of an instance's changed entry.
-        on_ended: Told of an instance that has ended under a request.
-        fatal_bodies: Bodies of requests that end each instance which begins to work on them.
-        fatal_seconds: From such a beginning to the end.
+        servers: The instances by id, terminated ones included.
+        on_changed: Called with the changed entry of an instance.
+        on_ended: Called with an instance that a request has crashed.
+        fatal_bodies: Bodies of requests that crash each instance that begins to run them.
+        fatal_seconds: Time from the start of such a request to the crash.
         calls: All calls.
         dropped: Addresses whose idle connections were dropped.
     """
@@ -219,7 +219,7 @@
         self._silent: set[str] = set()
 
     def silence_connections(self, address: str) -> None:
-        """Let calls to an address get nothing until its idle connections are dropped."""
+        """Leave calls to an address without response until its idle connections are dropped."""
         self._silent.add(address)
 
     def add(self, instance: Instance) -> EmulatedInstance:
@@ -259,7 +259,7 @@
             raise
 
     async def _begin(self, server: EmulatedInstance, call: InstanceCall) -> InstanceAnswer:
-        """Run a request until the head of its answer."""
+        """Run a request up to the head of its response."""
         if server.sheds_for:
             await trio.sleep(0.001)
             call.hear(server.notice())
@@ -305,23 +305,23 @@
         return EmulatedAnswer(server, call, status)
 
     def restart(self, instance: Instance) -> EmulatedInstance:
-        """End an instance and start it again under its id; it holds nothing of before.
+        """Terminate an instance and start it again, without state, under the same id.
 
         Args:
-            instance: As it publishes itself in its new life.
+            instance: The published entry of its new incarnation.
         """
         self.servers[instance.instance_id].end()
         return self.add(instance)
 
     async def _end_later(self, server: EmulatedInstance) -> None:
-        """End an instance under a request that it has begun."""
+        """Crash an instance some time after it began a fatal request."""
         await trio.sleep(self.fatal_seconds)
         if server.ended_at is None:
             server.end()
             self.on_ended(server)
 
     async def look(self, instance: Instance) -> InstanceSign:
-        """Look at an instance; see the port."""
+        """Probe an instance; see the port."""
         await trio.sleep(LOOK_SECONDS)
         server = self.servers.get(instance.instance_id)
         if server is not None and server.behaviour in UNHEARD:
@@ -330,11 +330,11 @@
         return InstanceSign.ANSWERS if reachable else InstanceSign.ENDED
 
     def idle_addresses(self) -> set[str]:
-        """Return no address: emulated calls keep no connections; see the port."""
+        """Return no address, as emulated calls keep no connections; see the port."""
         return set()
 
     async def drop_idle(self, address: str) -> None:
-        """Leave connections that may have fallen silent; see the port."""
+        """Drop idle connections, which may be unresponsive; see the port."""
         await trio.lowlevel.checkpoint()
         self.dropped.append(address)
         self._silent.discard(address)
@@ -346,7 +346,7 @@
     async def order(
         self, instance: Instance, order: WeightsOrder, hear: NoticeListener = ignore_notice
     ) -> OrderOutcome:
-        """Take an order; see the port."""
+        """Execute an order; see the port."""
         server = self.servers[instance.instance_id]
         await trio.sleep(0.001)
         server.arrived_at.append(trio.current_time())
@@ -361,12 +361,12 @@
         return outcome
 
     async def _carry_out_late(self, server: EmulatedInstance, order: WeightsOrder) -> None:
-        """Take an order whose answer was lost, in whatever life the instance is by then."""
+        """Execute an order later, at the incarnation that the instance then has."""
         await trio.sleep(server.order_delay_seconds)
         self._take(self.servers[server.instance.instance_id], order)
 
     def _take(self, server: EmulatedInstance, order: WeightsOrder) -> OrderOutcome:
-        """Take an order if its conditions hold."""
+        """Execute an order if its conditions hold."""
         server.attempted.append((trio.current_time(), order))
         if order.fencing_token < server.highest_fence:
             return OrderOutcome.FENCED
@@ -382,7 +382,7 @@
         return OrderOutcome.UNDER_WAY
 
     async def _load(self, server: EmulatedInstance, order: WeightsOrder) -> None:
-        """Load weights."""
+        """Load the weights of an order."""
         await trio.sleep(server.load_seconds)
         server.versions[order.weights.model] = order.weights.version
         server.busy = False
@@ -421,5 +421,5 @@
 
 
 def _broken() -> InstanceCallError:
-    """Return the error of an answer that broke off."""
+    """Return the error of a response that broke off."""
     return InstanceCallError(ErrorCode.STREAM_INTERRUPTED, "broke off", Execution.UNKNOWN)
--- a/emulator/exchange_platform/node_network.py
+++ b/emulator/exchange_platform/node_network.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes in process: delayed, lost, repeated and cut, in the real frames."""
+"""In-process datagrams between nodes, in the real frames: delayed, lost, repeated or cut."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
         self._addresses: dict[str, str] = {}
 
     def attach(self, name: str, address: str, key: bytes) -> EmulatedNodeExchange:
-        """Return the exchange of a node; a later one of the same name takes its place."""
+        """Return the exchange of a node; it replaces an earlier one at the same address."""
         sender, receiver = trio.open_memory_channel[bytes](QUEUE_FRAMES)
         self._queues[address] = sender
         self._addresses[address] = name
         return EmulatedNodeExchange(self, name, key, receiver)
 
     def isolate(self, name: str, *, inbound: bool = True, outbound: bool = True) -> None:
-        """Cut a node off from all others, in one or both directions."""
+        """Isolate a node from all others, in one or both directions."""
         for other in set(self._addresses.values()) - {name}:
             if inbound:
                 self.cut.add((other, name))
@@ -51,7 +51,7 @@
                 self.cut.add((name, other))
 
     def post(self, sender: str, address: str, frame: bytes) -> None:
-        """Send a frame on its way."""
+        """Send a frame to an address, subject to the faults."""
         self.frames += 1
         self.bytes += len(frame)
         receiver = self._addresses.get(address, "")
@@ -74,7 +74,7 @@
 
 
 class EmulatedNodeExchange(NodeExchange):
-    """One node's end of the network."""
+    """Connection of one node to the network."""
 
     def __init__(
         self,
@@ -83,13 +83,13 @@
         key: bytes,
         frames: trio.MemoryReceiveChannel[bytes],
     ) -> None:
-        """Join a network.
+        """Connect a node to a network.
 
         Args:
             network: The network.
             name: Name of the node.
-            key: Signs its messages.
-            frames: What arrives.
+            key: Key that signs the node's messages.
+            frames: Channel of arriving frames.
         """
         self._network = network
         self._name = name
--- a/emulator/exchange_platform/store.py
+++ b/emulator/exchange_platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store over HTTP, on the model and faults of the other store stand-in."""
+"""The platform's metadata store over HTTP, with the model and faults of ``emulator.platform``."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     """Return the HTTP application.
 
     Args:
-        shared: The store behind it.
+        shared: The store that it serves.
     """
     app = quart_trio.QuartTrio(__name__)
     _add_reads(app, shared)
@@ -67,7 +67,7 @@
 
     @app.errorhandler(StoreError)
     async def refused(error: StoreError) -> quart.Response:
-        """Render a refusal, or break the answer of a write that is lost."""
+        """Return the response for an error, or break off the response of a lost write."""
         if isinstance(error, StoreOutcomeUnknownError):
             return lost_response()
         refusal = json_response({"error": error.message}, STATUS_OF_CODE[error.code])
@@ -77,7 +77,7 @@
 
 
 def _add_reads(app: quart_trio.QuartTrio, shared: SharedStore) -> None:
-    """Add items, ranges and watches."""
+    """Add the routes of single items, ranges and watches."""
 
     @app.get("/kv-key")
     async def item() -> quart.Response:
@@ -105,7 +105,7 @@
 
     @app.get("/kv-watch")
     async def watch() -> quart.Response:
-        """Return changes, as soon as there are any."""
+        """Return changes as soon as there are any, none after the wait time."""
         arguments = quart.request.args
         after = int(arguments["after"])
         if not shared.model.remembers_after(after):
@@ -120,7 +120,7 @@
 
 
 def _add_writes(app: quart_trio.QuartTrio, shared: SharedStore) -> None:
-    """Add conditional writes; this stand-in takes one key in each."""
+    """Add the route of conditional writes; this stand-in accepts one key in each."""
 
     @app.post("/kv-txn")
     async def transaction() -> quart.Response:
@@ -138,11 +138,11 @@
 
 
 def _add_leases(app: quart_trio.QuartTrio, shared: SharedStore) -> None:
-    """Add leases."""
+    """Add the routes of leases."""
 
     @app.post("/kv-lease")
     async def grant() -> quart.Response:
-        """Return a new lease."""
+        """Grant a lease."""
         read = msgspec.json.decode(await quart.request.get_data(), type=_LeaseRequest)
         effect = await shared.execute_in_era(wire.GrantLease(read.ttl_ms / MILLISECONDS))
         lease_id = int(str(effect.result).removeprefix(LEASE_NAME))
@@ -159,21 +159,21 @@
 
     @app.delete("/kv-lease-end/<int:lease_id>")
     async def end(lease_id: int) -> quart.Response:
-        """End a lease with its keys."""
+        """End a lease and delete its keys."""
         shared.end_lease(f"{LEASE_NAME}{lease_id}")
         await trio.lowlevel.checkpoint()
         return _tell_era(json_response({}), shared.model.era)
 
 
 def _tell_era(response: quart.Response, era: int) -> quart.Response:
-    """Name in an answer the era in which it was made, where the store tells one."""
+    """Add the era header to a response, unless the store reports no era."""
     if era != UNTOLD_ERA:
         response.headers[ERA_HEADER] = str(era)
     return response
 
 
 def _item(value: wire.Item) -> dict[str, object]:
-    """Return an item."""
+    """Return an item as a JSON object."""
     return {
         "privateKey": value.key,
         "value": base64.b64encode(value.value).decode(),
@@ -182,7 +182,7 @@
 
 
 def _event(value: wire.Item) -> dict[str, object]:
-    """Return an item as a watch shows it."""
+    """Return a change as a JSON object of a watch; a deletion has no value."""
     if value.value:
         return _item(value)
     return {"privateKey": value.key, "revision": value.version, "deleted": True}
--- a/emulator/platform/__init__.py
+++ b/emulator/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform: the key-value service and the machine list."""
+"""Stand-ins for the platform's key-value service and machine list."""
--- a/emulator/platform/faults.py
+++ b/emulator/platform/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the platform's stand-ins, as one typed order that tests and operators give."""
+"""Faults of the platform's stand-ins, set by tests and operators through one typed message."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class FaultOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Changes to the faults in force; a field that is None leaves its fault as it is.
+    """Changes to the active faults; a field that is None leaves its fault unchanged.
 
     Attributes:
         outage: Whether the key-value service refuses every call.
         slow_seconds: Delay of every call, half of it before the effect and half after.
-        lost_answers: Number of next writes whose answer is lost after their effect.
-        lost_requests: Number of next writes that are lost, with their answer, before any effect.
-        stale_reads: Number of next reads answered from a cache. The cache holds what was there
-            when the latest outage began, or now if there was none.
+        lost_answers: Number of next writes that take effect but whose answer is lost.
+        lost_requests: Number of next writes that are lost before they take effect.
+        stale_reads: Number of next reads answered from a cache. The cache holds the values of
+            the time when the latest outage began, or of now if there was none.
         dropped_changes: Number of next changes that watches never show.
         requests_per_second: Rate limit; 0 switches it off.
-        lapse_leases: True lets every lease lapse now.
+        lapse_leases: True expires every lease now.
         machine_list_outage: Whether the machine list refuses every call.
-        machine_list_lag_seconds: Age of what the machine list shows.
-        machine_list_flapping: Addresses that are in every second answer only.
+        machine_list_lag_seconds: Delay until a change of the machine list becomes visible.
+        machine_list_flapping: Addresses that only every second answer contains.
     """
 
     outage: bool | None = None
@@ -37,7 +37,7 @@
 
 
 class StoreFaults(msgspec.Struct):
-    """Faults of the key-value service in force; fields as in ``FaultOrder``."""
+    """Active faults of the key-value service; fields as in ``FaultOrder``."""
 
     outage: bool = False
     slow_seconds: float = 0.0
@@ -48,7 +48,7 @@
 
 
 class MachineListFaults(msgspec.Struct):
-    """Faults of the machine list in force; fields as in ``FaultOrder``."""
+    """Active faults of the machine list; fields as in ``FaultOrder``."""
 
     outage: bool = False
     lag_seconds: float = 0.0
--- a/emulator/platform/in_memory.py
+++ b/emulator/platform/in_memory.py
@@ -1,4 +1,4 @@
-"""In-process platform for tests on a virtual clock, with the same faults as over HTTP."""
+"""In-process platform for tests on a virtual clock, with the same faults as the HTTP one."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from hopstep.ports.machine_list import Machine, MachineListPort
 
 DEFAULT_TIMEOUT_SECONDS = 2.0
-"""Longest wait for an answer, beyond what a watch asks for."""
+"""Timeout of a call in seconds; a watch adds its own wait time."""
 
 
 class InMemoryStore(KeyValueStorePort):
-    """One client's handle on a shared store.
+    """One client's connection to a shared store.
 
-    When the store is down or this client is cut off, every method raises ``StoreError``;
-    an answer later than the timeout makes a write's outcome unknown.
+    When the store is down or this client is cut off, every method raises ``StoreError``.
+    The outcome of a write whose answer doesn't come within the timeout is unknown.
 
     Args:
         shared: Store that several clients share.
-        timeout_seconds: Longest wait for an answer, beyond what a watch asks for.
+        timeout_seconds: Timeout of a call; a watch adds its own wait time.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         value: bytes,
         lease: StoreLease | None = None,
     ) -> StorePlace:
-        """Write one key at an expected version; see the port."""
+        """Write a key if it is at the expected version; see the port."""
         name = lease.name if lease is not None else ""
         operation = wire.CompareAndSwap(key, expected_version.revision, value, name)
         effect = await self._call(operation)
@@ -67,12 +67,12 @@
         return StorePlace(effect.era, effect.result)
 
     async def delete(self, key: str, expected_version: StorePlace) -> None:
-        """Delete one key at an expected version; see the port."""
+        """Delete a key if it is at the expected version; see the port."""
         effect = await self._call(wire.Delete(key, expected_version.revision))
         require_write_era(expected_version, None, effect.era)
 
     async def watch(self, prefix: str, after: StorePlace, wait_seconds: float) -> WatchBatch:
-        """Return changes after a place; see the port."""
+        """Return changes after a store position; see the port."""
         operation = wire.Watch(prefix, after.revision, wait_seconds)
         effect = await self._call(operation, extra_seconds=wait_seconds)
         require_era(after.era, effect.era)
@@ -91,7 +91,7 @@
         require_lease_era(lease, effect.era)
 
     async def _call(self, operation: wire.StoreOperation, extra_seconds: float = 0.0) -> Effect:
-        """Carry out an operation within the timeout."""
+        """Execute an operation within the timeout."""
         if self.cut_off:
             await trio.lowlevel.checkpoint()
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "this client is cut off")
@@ -104,10 +104,10 @@
 
 
 class InMemoryMachineList(MachineListPort):
-    """One client's handle on a shared machine list.
+    """One client's connection to a shared machine list.
 
     Args:
-        model: wire.List that several clients share.
+        model: Machine list that several clients share.
     """
 
     def __init__(self, model: MachineListModel) -> None:
@@ -115,7 +115,7 @@
         self._model = model
 
     async def machines(self) -> list[Machine]:
-        """Return the list as the platform shows it now; see the port."""
+        """Return the machines that the list shows now; see the port."""
         await trio.lowlevel.checkpoint()
         if self.cut_off:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "this client is cut off")
--- a/emulator/platform/machine_list.py
+++ b/emulator/platform/machine_list.py
@@ -1,4 +1,4 @@
-"""Pure model of the machine list: what it shows lags behind what was set."""
+"""Pure model of the machine list, whose changes become visible after a lag."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class _Edition(msgspec.Struct, frozen=True):
-    """The whole list from one moment on."""
+    """The complete list that is valid from ``since`` (seconds) on."""
 
     since: float
     machines: tuple[Machine, ...]
 
 
 class MachineListModel:
-    """Editions of the list by time, and the faults in force.
+    """Editions of the list in order of time, and the active faults.
 
     Args:
-        machines: First edition, in force since ever.
+        machines: First edition, valid from the beginning of time.
     """
 
     def __init__(self, machines: tuple[Machine, ...] = ()) -> None:
@@ -29,11 +29,11 @@
         self._answers = 0
 
     def replace(self, machines: tuple[Machine, ...], now: float) -> None:
-        """Make ``machines`` the true list from ``now`` (seconds) on."""
+        """Replace the list by ``machines`` from ``now`` (seconds) on."""
         self._editions.append(_Edition(now, machines))
 
     def order_faults(self, order: FaultOrder) -> None:
-        """Put the machine list's faults of ``order`` in force."""
+        """Activate the machine list's faults of ``order``."""
         if order.machine_list_outage is not None:
             self.faults.outage = order.machine_list_outage
         if order.machine_list_lag_seconds is not None:
@@ -42,7 +42,11 @@
             self.faults.flapping = order.machine_list_flapping
 
     def visible(self, now: float) -> list[Machine]:
-        """Return what the list shows at ``now``; raises ``StoreError`` in an outage."""
+        """Return the machines that the list shows at ``now``.
+
+        Raises:
+            StoreError: In an outage.
+        """
         if self.faults.outage:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the machine list is down")
         self._answers += 1
--- a/emulator/platform/server.py
+++ b/emulator/platform/server.py
@@ -50,7 +50,7 @@
 
     @app.post(STORE_PATH)
     async def store() -> quart.Response:
-        """Carry out one store operation."""
+        """Execute one store operation."""
         operation = msgspec.json.decode(await quart.request.get_data(), type=StoreOperation)
         try:
             effect = await shared.execute_in_era(operation)
@@ -65,7 +65,7 @@
 
     @app.put(ADMIN_MACHINES_PATH)
     async def replace_machines() -> quart.Response:
-        """Replace the true machine list."""
+        """Replace the machine list."""
         content = await quart.request.get_data()
         edition = msgspec.json.decode(content, type=tuple[Machine, ...])
         machine_list.replace(edition, trio.current_time())
@@ -73,7 +73,7 @@
 
     @app.post(ADMIN_FAULTS_PATH)
     async def faults() -> quart.Response:
-        """Put faults in force."""
+        """Activate faults."""
         order = msgspec.json.decode(await quart.request.get_data(), type=FaultOrder)
         shared.order_faults(order)
         machine_list.order_faults(order)
@@ -81,13 +81,13 @@
 
     @app.errorhandler(StoreError)
     async def store_error(error: StoreError) -> quart.Response:
-        """Render a refusal of the store or the machine list."""
+        """Return the response for an error of the store or the machine list."""
         failure = StoreFailure(error.code, error.message)
         return _tell_era(_json(failure, STATUS_OF_CODE[error.code]), shared.model.era)
 
     @app.errorhandler(msgspec.DecodeError)
     async def bad_request(error: msgspec.DecodeError) -> quart.Response:
-        """Render a body that isn't what was expected; the message names the field."""
+        """Return the response for a malformed body; the message names the field."""
         return _json(StoreFailure(ErrorCode.MALFORMED_REQUEST, str(error)), BAD_REQUEST)
 
     return app
@@ -103,14 +103,14 @@
     """Serve the platform until cancelled or ``shutdown_trigger`` returns.
 
     Args:
-        address: ``ip:port`` to listen at; port 0 lets the operating system choose.
+        address: ``ip:port`` to listen on; port 0 lets the operating system choose.
         machines: First edition of the machine list.
         shutdown_trigger: Returns when serving should end.
         task_status: Started with the bound URLs.
     """
     config = hypercorn.Config()
     config.bind = [address]
-    # Broken answers are ordered here and not worth a traceback; quart logs failing handlers.
+    # Broken responses are induced faults and need no traceback; quart logs failing handlers.
     config.loglevel = "CRITICAL"
     app = create_platform_app(SharedStore(), MachineListModel(machines))
     await hypercorn.trio.serve(
@@ -122,7 +122,7 @@
 
 
 def _tell_era(response: quart.Response, era: int) -> quart.Response:
-    """Name in an answer the era in which it was made, where the store tells one."""
+    """Add the era header to a response, unless the store reports no era."""
     if era != UNTOLD_ERA:
         response.headers[ERA_HEADER] = str(era)
     return response
@@ -134,7 +134,7 @@
 
 
 def _lost_answer() -> quart.Response:
-    """Return a response whose connection breaks before its body is whole."""
+    """Return a response whose connection breaks before its body is complete."""
 
     async def broken_body() -> AsyncIterator[bytes]:
         yield b" "
--- a/emulator/platform/shared_store.py
+++ b/emulator/platform/shared_store.py
@@ -1,4 +1,4 @@
-"""The key-value service behind every stand-in: the pure model, its faults and trio's clock."""
+"""The key-value service that all stand-ins share: the pure model, its faults, trio's clock."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from hopstep.exceptions import ErrorCode, StoreError, StoreOutcomeUnknownError
 
 BURST_SECONDS = 1.0
-"""Seconds of the rate limit that may come at once."""
+"""Size of a burst, as seconds of the rate limit."""
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """An operation that took effect.
+    """Result of an executed operation.
 
     Attributes:
         result: The result that the operation's class documents.
-        era: The store's era at that moment.
-        revision: The store's revision at that moment.
+        era: The store's era at the time of execution.
+        revision: The store's revision at the time of execution.
     """
 
     result: Any
@@ -36,10 +36,10 @@
 
 
 class SharedStore:
-    """One key-value service, as all its clients share it.
+    """One key-value service that several clients share.
 
     Args:
-        history_length: Changes that a watch can look back on.
+        history_length: Number of past changes that a watch can read.
     """
 
     def __init__(self, history_length: int = 1024) -> None:
@@ -51,7 +51,7 @@
         self._changed = trio.Event()
 
     def order_faults(self, order: FaultOrder) -> None:
-        """Put the store's faults of ``order`` in force."""
+        """Activate the store's faults of ``order``."""
         self._remember_cache(order)
         for field in self.faults.__struct_fields__:
             value = getattr(order, field)
@@ -70,7 +70,7 @@
             self._announce()
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy."""
+        """Restore the store from a backup."""
         self.model.restore(copy, trio.current_time())
         self._hidden_versions.clear()
         self._announce()
@@ -80,7 +80,7 @@
         await self._changed.wait()
 
     def write_directly(self, operation: wire.StoreOperation, now: float | None = None) -> object:
-        """Carry out a write that no fault touches, as the store may serve some and not others.
+        """Execute a write without faults, as a store may serve some clients and not others.
 
         Args:
             operation: The write.
@@ -91,7 +91,7 @@
         return result
 
     async def execute(self, operation: wire.StoreOperation) -> object:
-        """Carry out an operation under the faults in force.
+        """Execute an operation under the active faults.
 
         Returns:
             The result that the operation's class documents.
@@ -103,7 +103,7 @@
         return (await self.execute_in_era(operation)).result
 
     async def execute_in_era(self, operation: wire.StoreOperation) -> Effect:
-        """Carry out an operation, and tell the era in which it took effect; see ``execute``."""
+        """Execute an operation and return its era and revision too; see ``execute``."""
         delay = self.faults.slow_seconds / 2
         await trio.sleep(delay)
         self._refuse_when_unavailable()
@@ -113,7 +113,7 @@
         return effect
 
     async def _take_effect(self, operation: wire.StoreOperation) -> object:
-        """Carry out an operation now, and lose it or its answer if so ordered."""
+        """Execute an operation now, unless a fault loses it or its answer."""
         if not wire.is_write(operation):
             return await self._read(operation)
         if self.faults.lost_requests > 0:
@@ -137,7 +137,7 @@
         return result
 
     async def _read(self, operation: wire.StoreOperation) -> object:
-        """Answer a read, from the cache if so ordered."""
+        """Execute a read, from the cache if a fault asks for stale reads."""
         if isinstance(operation, wire.Watch):
             return await self._watch(operation)
         if self.faults.stale_reads > 0 and self._cache is not None:
@@ -149,7 +149,7 @@
         return self.model.apply(operation, trio.current_time())
 
     async def _watch(self, operation: wire.Watch) -> wire.Changes:
-        """Wait for a change below the prefix that isn't hidden, or for the time to pass."""
+        """Wait until there is a visible change below the prefix or the wait time is over."""
         deadline = trio.current_time() + operation.wait_seconds
         while True:
             batch = self._visible_changes(operation)
@@ -163,7 +163,7 @@
                 raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store was restored")
 
     def _visible_changes(self, operation: wire.Watch) -> wire.Changes:
-        """Return what a watch shows now."""
+        """Return the changes that a watch shows now."""
         self.model.expire_leases(trio.current_time())
         batch = self.model.changes(operation.prefix, operation.after_revision)
         visible = tuple(
@@ -172,24 +172,24 @@
         return msgspec.structs.replace(batch, values=visible)
 
     def _refuse_when_unavailable(self) -> None:
-        """Raise when an outage or the rate limit refuses a new call."""
+        """Raise ``StoreError`` in an outage or when the rate limit is used up."""
         self._refuse_when_down()
         if not self._bucket.admit(trio.current_time()):
             raise StoreError(ErrorCode.STORE_RATE_LIMITED, "the rate limit is used up")
 
     def _refuse_when_down(self) -> None:
-        """Raise during an outage."""
+        """Raise ``StoreError`` in an outage."""
         if self.faults.outage:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store is down")
 
     def _remember_cache(self, order: FaultOrder) -> None:
-        """Copy what is there when an outage begins, for stale reads after it."""
+        """Copy the values when an outage begins, for stale reads after it."""
         begins = bool(order.outage) and not self.faults.outage
         if begins or (order.stale_reads and self._cache is None):
             self._cache = self.model.snapshot()
 
     def _limit_rate(self, requests_per_second: float) -> None:
-        """Start a new rate limit; 0 switches it off."""
+        """Set a new rate limit; 0 switches it off."""
         if requests_per_second == 0:
             self._bucket = TokenBucket()
             return
@@ -203,5 +203,5 @@
 
 
 def _lost() -> StoreOutcomeUnknownError:
-    """Return the error of a write whose answer never came."""
+    """Return the error of a write whose answer was lost."""
     return StoreOutcomeUnknownError(ErrorCode.STORE_OUTCOME_UNKNOWN, "the answer was lost")
--- a/emulator/platform/store_model.py
+++ b/emulator/platform/store_model.py
@@ -1,7 +1,7 @@
 """Pure model of the key-value service: no clock, no network, no randomness.
 
 The model is one store-wide revision, a table of keys, a bounded history of changes for
-watches, and leases that lapse by the time that callers pass in.
+watches, and leases that expire according to the time that callers pass in.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 """Revision of a key that does not exist."""
 
 DEFAULT_HISTORY_LENGTH = 1024
-"""Changes that a watch can look back on."""
+"""Number of past changes that a watch can read."""
 
 
 class _Lease(msgspec.Struct):
-    """A lease, the time at which it lapses, and the keys bound to it."""
+    """A lease, the time at which it expires (seconds), and the keys bound to it."""
 
     time_to_live_seconds: float
     lapses_at: float
@@ -31,14 +31,14 @@
 
 
 class StoreCopy(msgspec.Struct, frozen=True):
-    """What a copy of the service holds: everything up to a revision.
+    """Backup of the service's state at one revision.
 
     Attributes:
         revision: Store-wide revision.
         values: Values by key.
-        history: Changes that a watch can look back on.
-        leases: Time to live of each lease, with the keys bound to it.
-        leases_granted: Number of leases that were granted.
+        history: Past changes that a watch can read.
+        leases: Time to live in seconds of each lease, and the keys bound to it.
+        leases_granted: Number of leases granted so far.
     """
 
     revision: int
@@ -49,10 +49,10 @@
 
 
 class KeyValueStoreModel:
-    """The service's state and what each operation does to it.
+    """State of the service, and the effect of each operation.
 
     Args:
-        history_length: Changes that a watch can look back on.
+        history_length: Number of past changes that a watch can read.
     """
 
     def __init__(self, history_length: int = DEFAULT_HISTORY_LENGTH) -> None:
@@ -70,11 +70,11 @@
         return self._revision
 
     def snapshot(self) -> dict[str, wire.Item]:
-        """Return a copy of all values, as a cache in front of the service would hold it."""
+        """Return a copy of all values, as a cache in front of the service holds them."""
         return dict(self._values)
 
     def copy(self) -> StoreCopy:
-        """Return a copy of the service as it is now."""
+        """Return a backup of the service's present state."""
         leases = {
             name: (lease.time_to_live_seconds, frozenset(lease.keys))
             for name, lease in self._leases.items()
@@ -84,11 +84,11 @@
         )
 
     def restore(self, copy: StoreCopy, now: float) -> None:
-        """Go back to a copy: what was done since is gone, and revisions and leases come again.
+        """Restore a backup: later changes are lost, and revisions and lease names repeat.
 
         Args:
-            copy: The copy.
-            now: Time in seconds; the copy's leases run from now.
+            copy: The backup.
+            now: Time in seconds; the backup's leases start again now.
         """
         self.era += 1
         self._revision = copy.revision
@@ -104,17 +104,17 @@
         }
 
     def apply(self, operation: wire.StoreOperation, now: float) -> object:
-        """Carry out any operation; a watch answers at once.
+        """Execute an operation; a watch returns without waiting.
 
         Args:
-            operation: What to do.
+            operation: The operation.
             now: Time in seconds, never smaller than at an earlier call.
 
         Returns:
             The result that the operation's class documents.
 
         Raises:
-            StoreConflictError: When a version or lease differs from what was expected.
+            StoreConflictError: When a version or lease differs from the expected one.
         """
         self.expire_leases(now)
         match operation:
@@ -140,42 +140,42 @@
         return 0 <= self._revision - revision <= len(self._history)
 
     def forget_history(self) -> None:
-        """Drop all changes that watches could look back on."""
+        """Drop all past changes that watches could read."""
         self._history.clear()
 
     def changes(self, prefix: str, after_revision: int) -> wire.Changes:
-        """Return changes after a revision; those beyond the history are lost."""
+        """Return changes after a revision, as far back as the history reaches."""
         changes = (change for change in self._history if change.version > after_revision)
         values = tuple(change for change in changes if change.key.startswith(prefix))
         return wire.Changes(self._revision, values)
 
     def expire_leases(self, now: float) -> None:
-        """Let every lease lapse whose time has come."""
+        """Expire every lease whose time to live is over."""
         due = [name for name, lease in self._leases.items() if lease.lapses_at <= now]
         for name in due:
             self.lapse(name)
 
     def next_lapse(self) -> float:
-        """Return the time at which the next lease lapses; infinity if there is none."""
+        """Return the time at which the next lease expires; infinity if there is none."""
         return min((lease.lapses_at for lease in self._leases.values()), default=float("inf"))
 
     def has_lease(self, name: str) -> bool:
-        """Return whether a lease holds."""
+        """Return whether a lease exists and hasn't expired."""
         return name in self._leases
 
     def lapse(self, name: str) -> None:
-        """Let a lease lapse now; its keys vanish."""
+        """Expire a lease now and delete its keys."""
         lease = self._leases.pop(name)
         for key in sorted(lease.keys):
             self._remove(key)
 
     def put_off_lapses(self, seconds: float) -> None:
-        """Let every lease last longer, as in a store whose leases wait while it is down."""
+        """Extend every lease, as a store does that keeps leases while it is down."""
         for lease in self._leases.values():
             lease.lapses_at += seconds
 
     def lapse_all(self) -> None:
-        """Let every lease lapse now."""
+        """Expire every lease now."""
         for name in list(self._leases):
             self.lapse(name)
 
@@ -202,25 +202,25 @@
             )
 
     def _remove(self, key: str) -> None:
-        """Delete a key that may exist."""
+        """Delete a key if it exists."""
         if self._values.pop(key, None) is None:
             return
         self._unbind(key)
         self._record(key, b"")
 
     def _unbind(self, key: str) -> None:
-        """Release a key from its lease, if it has one."""
+        """Remove a key from its lease, if it has one."""
         lease = self._leases.get(self._lease_of_key.pop(key, ""))
         if lease is not None:
             lease.keys.discard(key)
 
     def _record(self, key: str, value: bytes) -> None:
-        """Count a change and keep it for watches."""
+        """Increment the revision and add the change to the history."""
         self._revision += 1
         self._history.append(wire.Item(key, value, self._revision))
 
     def _grant_lease(self, time_to_live_seconds: float, now: float) -> str:
-        """Return a new lease."""
+        """Grant a lease and return its name."""
         if time_to_live_seconds <= 0:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "time_to_live_seconds must be above 0")
         self._leases_granted += 1
@@ -229,7 +229,7 @@
         return name
 
     def _keep_alive(self, name: str, now: float) -> None:
-        """Renew a lease for its whole time to live."""
+        """Renew a lease for its full time to live."""
         lease = self._leases.get(name)
         if lease is None:
             raise StoreConflictError(ErrorCode.STORE_CONFLICT, "the lease has lapsed")
@@ -237,7 +237,7 @@
 
 
 def list_page(values: dict[str, wire.Item], operation: wire.List) -> list[wire.Item]:
-    """Return one page of ``values``, by key."""
+    """Return one page of ``values`` in the order of their keys."""
     keys = sorted(
         key for key in values if key.startswith(operation.prefix) and key > operation.after_key
     )
@@ -245,11 +245,11 @@
 
 
 class TokenBucket:
-    """A rate limit with a burst.
+    """Token bucket that limits a rate and allows bursts.
 
     Args:
         requests_per_second: Sustained rate; infinity for no limit.
-        burst: Requests that may come at once.
+        burst: Largest number of requests at once.
     """
 
     def __init__(self, requests_per_second: float = float("inf"), burst: float = 1.0) -> None:
@@ -259,7 +259,7 @@
         self._updated_at = float("-inf")
 
     def admit(self, now: float) -> bool:
-        """Take a token and return True, or return False when there is none at ``now``."""
+        """Take a token at ``now`` (seconds); return False when there is none."""
         if self._rate == float("inf"):
             return True
         earned = (now - self._updated_at) * self._rate
