--- a/emulator/engine/__init__.py
+++ b/emulator/engine/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for an inference engine: one pure model, served in process and over HTTP."""
+"""Stand-in for an inference engine: one pure model, available in process and over HTTP."""
--- a/emulator/engine/admission.py
+++ b/emulator/engine/admission.py
@@ -1,4 +1,4 @@
-"""What an emulated engine refuses before it queues an attempt; nothing of it has run then."""
+"""Admission checks of an emulated engine, made before an attempt is queued or run."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def check_state(
     request: GenerateRequest, incarnation: str, role: EngineRole, leaving: bool
 ) -> None:
-    """Refuse when the engine isn't the one that was meant, or takes no new work.
+    """Refuse if the request is for another incarnation or the engine accepts no new work.
 
     Raises:
         EngineRefusalError: With ``NOT_RUN``.
@@ -30,7 +30,7 @@
 
 
 def check_weights(request: GenerateRequest, weights: WeightsTable, config: EngineConfig) -> None:
-    """Refuse when other weights than the request's are loaded or under way.
+    """Refuse unless the weights that the request names are loaded.
 
     Raises:
         EngineRefusalError: With ``NOT_RUN``.
@@ -53,7 +53,7 @@
 def check_room(
     request: GenerateRequest, prompt: PreparedPrompt, waiting: int, config: EngineConfig
 ) -> None:
-    """Refuse what can never fit, and what the queue has no room for.
+    """Refuse a request that can never fit in memory, or when the queue is full.
 
     Raises:
         EngineRefusalError: With ``NOT_RUN``.
--- a/emulator/engine/answers.py
+++ b/emulator/engine/answers.py
@@ -1,8 +1,8 @@
 """Deterministic answers of the emulated engine, so that an oracle can check every token.
 
-The text of a token depends on the prompt and on the token's index alone, so an answer that
-is continued on another engine must read as if one engine had made it. An answer continued
-from tokens that the prompt doesn't lead to takes another course, which the oracle then sees.
+The text of a token depends only on the prompt and on the token's index. So an answer that is
+continued on another engine must equal the answer of a single engine. A continuation of tokens
+that don't belong to the prompt gives other text, which the oracle detects.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def prompt_digest(prompt: str) -> str:
-    """Return the hex digest by which runs of ``prompt`` are counted."""
+    """Return the hex digest that identifies ``prompt`` in run records."""
     return hashlib.blake2b(prompt.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def natural_answer_length(digest: str) -> int:
-    """Return the tokens after which the model stops by itself."""
+    """Return the number of tokens after which the model stops by itself."""
     return SHORTEST_NATURAL_ANSWER + int(digest[:8], 16) % NATURAL_ANSWER_SPREAD
 
 
@@ -38,7 +38,7 @@
 
 
 def continuation_digest(digest: str, continued_text: tuple[str, ...]) -> str:
-    """Return the digest under which generation goes on after ``continued_text``."""
+    """Return the digest from which generation continues after ``continued_text``."""
     if continued_text == answer_tokens(digest, 0, len(continued_text)):
         return digest
     return prompt_digest(digest + "".join(continued_text))
@@ -51,7 +51,7 @@
 
     Args:
         prompt: Rendered prompt text.
-        max_tokens: Longest output; continued tokens don't count.
+        max_tokens: Limit of generated tokens; continued tokens don't count.
         continued_text: Tokens that an earlier attempt delivered; not part of the result.
     """
     digest = continuation_digest(prompt_digest(prompt), continued_text)
--- a/emulator/engine/attempts.py
+++ b/emulator/engine/attempts.py
@@ -18,7 +18,7 @@
 
 
 class AttemptState(enum.Enum):
-    """Where an attempt is in its life."""
+    """State of an attempt between its arrival and its end."""
 
     WAITING = "waiting"
     IMPORTING = "importing"
@@ -36,12 +36,12 @@
 
 
 class PreparedPrompt(msgspec.Struct, frozen=True):
-    """What the model needs of a prompt; experiments make it once for many engines.
+    """Hashed form of a prompt; experiments compute it once for many engines.
 
     Attributes:
-        block_keys: Salted keys of the whole blocks, continued tokens included.
-        token_count: Length, continued tokens included.
-        digest: Digest that the answer is made from.
+        block_keys: Salted keys of the full blocks, continued tokens included.
+        token_count: Length in tokens, continued tokens included.
+        digest: Digest from which the answer is derived.
     """
 
     block_keys: Sequence[int]
@@ -66,25 +66,25 @@
     Attributes:
         nonce: Its unique name.
         model: Model name.
-        priority: Lower numbers go first.
-        order: Order of arrival.
+        priority: Priority; lower numbers are scheduled first.
+        order: Sequence number of its arrival.
         prompt: Prepared prompt.
-        first_sequence: Index of its first token in the whole answer.
-        token_limit: Tokens that it generates in full.
-        finish_reason: Why it ends when it isn't cancelled.
+        first_sequence: Index of its first token in the complete answer.
+        token_limit: Tokens that it generates if it isn't cancelled.
+        finish_reason: Why it ends if it isn't cancelled.
         kv_cache_store: Address of the store to write computed blocks to; empty for none.
-        importable_blocks: Length of the prompt's prefix, in blocks, that the store held.
+        importable_blocks: Length of the prompt's prefix, in blocks, that the store holds.
         arrived_at: Time of arrival, in seconds.
-        state: Where it is.
+        state: Present state.
         cached_tokens: Prompt tokens taken from the engine's cache.
         imported_tokens: Prompt tokens taken from the KV cache store.
         prefill_tokens_left: Prompt tokens still to be computed or imported.
         held_blocks: Blocks of its prompt that it holds in the cache.
-        reserved_blocks: Blocks set aside for it that aren't filled yet.
-        first_step: Step of the engine that gave its first token.
-        generated: Tokens generated, set at its end.
-        first_token_at: Time of its first token; infinite before.
-        ended_at: Time of its end; infinite before.
+        reserved_blocks: Blocks reserved for it that aren't filled yet.
+        first_step: Step of the engine that generated its first token.
+        generated: Number of generated tokens, set at its end.
+        first_token_at: Time of its first token, in seconds; infinite before.
+        ended_at: Time of its end, in seconds; infinite before.
     """
 
     nonce: str
@@ -111,11 +111,11 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come of it."""
+        """Whether it has reached a final state."""
         return self.state in ENDED_STATES
 
     def tokens(self, start: int, stop: int) -> tuple[str, ...]:
-        """Return its generated tokens ``start`` to ``stop``, counted from its own first one."""
+        """Return its generated tokens ``start`` to ``stop``, counted from its first token."""
         first = self.first_sequence
         return answer_tokens(self.prompt.digest, first + start, first + stop)
 
--- a/emulator/engine/block_cache.py
+++ b/emulator/engine/block_cache.py
@@ -1,8 +1,8 @@
 """Prefix cache of an emulated engine: salted 16-token blocks in bounded memory.
 
-Keys are chained (``hopstep.domain.blocks.block_keys``). A request that holds a block holds
-every block before it too, and releases its blocks deepest first; so a block is always
-evicted before the blocks that lead to it, and the cached part of a prompt is one prefix.
+Keys are chained (``hopstep.domain.blocks.block_keys``). A request that holds a block also holds
+every block before it, and releases its last block first. So a block is always evicted before
+the blocks that precede it, and the cached part of a prompt is a prefix.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class BlockCache:
-    """Blocks of running requests, and least recently used kept prefixes."""
+    """Blocks that running requests hold, and evictable ones in LRU order."""
 
     def __init__(self, block_count: int, event_sink: EventSink) -> None:
         """Start empty.
 
         Args:
             block_count: Blocks in memory.
-            event_sink: Called with the keys that were stored or evicted.
+            event_sink: Called with the kind of event and the keys stored or evicted.
         """
         self._block_count = block_count
         self._event_sink = event_sink
@@ -48,19 +48,19 @@
     def match(self, keys: Sequence[int], limit: int) -> int:
         """Return how many of the first ``limit`` keys are cached.
 
-        Bisects, since the cached part of a chain is always one prefix.
+        Bisects, as the cached part of a chain is always a prefix.
         """
         return bisect.bisect_left(range(limit), True, key=lambda at: keys[at] not in self)
 
     def reserve(self, matched_keys: Sequence[int], new_blocks: int) -> bool:
-        """Hold cached blocks and set room for new ones aside, evicting what is needed.
+        """Hold cached blocks and reserve memory for new ones, evicting blocks if necessary.
 
         Args:
             matched_keys: Cached keys, first block first.
             new_blocks: Blocks that the request will fill.
 
         Returns:
-            False, with nothing changed, when there isn't room.
+            False, with nothing changed, when there isn't enough free capacity.
         """
         unused = self._block_count - len(self) - self._reserved
         idle = sum(1 for key in matched_keys if key not in self._references)
@@ -73,7 +73,7 @@
         return True
 
     def store(self, keys: Sequence[int]) -> None:
-        """Cache computed or imported blocks in room that was reserved, and hold them."""
+        """Cache and hold computed or imported blocks in reserved memory."""
         references = self._references
         stored: list[int] = []
         for key in keys:
@@ -90,7 +90,7 @@
             self._event_sink(CacheEventKind.STORED, tuple(stored))
 
     def release(self, held_keys: Sequence[int], reserved_blocks: int) -> None:
-        """Let go of a request's blocks; they stay cached until they are evicted."""
+        """Release a request's blocks; they stay cached until they are evicted."""
         references = self._references
         for key in reversed(held_keys):
             count = references[key]
@@ -102,12 +102,12 @@
         self._reserved -= reserved_blocks
 
     def drop_evictable(self) -> None:
-        """Drop every block that no running request holds."""
+        """Evict every block that no running request holds."""
         if self._evictable:
             self._evict(len(self._evictable))
 
     def _hold(self, keys: Sequence[int]) -> None:
-        """Count one more request on each cached block."""
+        """Increment the reference count of each cached block."""
         references = self._references
         for key in keys:
             count = references.get(key, 0)
@@ -116,6 +116,6 @@
             references[key] = count + 1
 
     def _evict(self, count: int) -> None:
-        """Drop the least recently used blocks, deepest first."""
+        """Evict the least recently used blocks, the last of a prefix first."""
         evicted = tuple(self._evictable.popitem(last=False)[0] for _ in range(count))
         self._event_sink(CacheEventKind.EVICTED, evicted)
--- a/emulator/engine/config.py
+++ b/emulator/engine/config.py
@@ -9,26 +9,27 @@
     """Sizes and speeds of one engine.
 
     Attributes:
-        block_count: Cache blocks in memory, shared by running requests and kept prefixes.
-        max_batch_size: Requests that run at once.
-        max_waiting_requests: Length of the queue; beyond it requests are refused.
-        prefill_chunk_tokens: Prompt tokens computed in one step at most.
+        block_count: Cache blocks in memory, shared by running requests and cached prefixes.
+        max_batch_size: Largest number of concurrently running requests.
+        max_waiting_requests: Largest queue length; further requests are refused.
+        prefill_chunk_tokens: Largest number of prompt tokens computed in one step.
         prefill_tokens_per_second: Speed of prefill.
-        decode_base_seconds: Time of a decode step apart from its batch.
+        decode_base_seconds: Fixed time of a decode step.
         decode_seconds_per_request: Time that each decoding request adds to a step.
         import_tokens_per_second: Speed of reading blocks from a KV cache store; 0 never reads.
-        weight_load_seconds: Time to load one set of weights alone.
+        weight_load_seconds: Time to load one set of weights while no other load runs.
         event_delay_seconds: Time from a cache event to its publication.
         event_loss_ratio: Share of cache events that are never published.
         report_lag_seconds: Age of the load that is reported.
-        retained_attempts: Finished attempts that can still be resumed.
-        retained_nonces: Nonces remembered against a second start, oldest dropped first.
-        retained_events: Published cache events that can still be read.
-        retained_runs: Execution records kept for test oracles.
+        retained_attempts: Number of ended attempts that can still be resumed.
+        retained_nonces: Number of nonces remembered to prevent a second start; the oldest are
+            dropped first.
+        retained_events: Number of published cache events that can still be read.
+        retained_runs: Number of run records kept for test oracles.
         stream_interval_tokens: Tokens between two frames of a stream; the first token and the
             end are always sent at once.
         heartbeat_seconds: Time between keep-alive lines while a stream has no tokens.
-        retry_after_seconds: When a refused caller should come back.
+        retry_after_seconds: Time after which a refused caller should retry.
     """
 
     block_count: int = 8_192
--- a/emulator/engine/event_log.py
+++ b/emulator/engine/event_log.py
@@ -1,4 +1,4 @@
-"""Cache events of one incarnation, published late and with gaps."""
+"""Cache events of one incarnation, published with a delay and with gaps."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _LoggedEvent(msgspec.Struct, frozen=True):
-    """An event and when it happened."""
+    """An event and its time in seconds."""
 
     time: float
     event: CacheEvent
@@ -36,7 +36,7 @@
         self.dropping = False
 
     def append(self, now: float, kind: CacheEventKind, keys: tuple[int, ...]) -> None:
-        """Record an event; a lost one leaves a gap in the sequence."""
+        """Append an event; a lost one leaves a gap in the sequence."""
         self._sequence += 1
         lost = self._config.event_loss_ratio and self._rng.random() < self._config.event_loss_ratio
         if lost or self.dropping:
@@ -46,16 +46,16 @@
             del self._logged[: self._config.retained_events]
 
     def published_after(self, sequence: int, now: float) -> tuple[CacheEvent, ...]:
-        """Return events after ``sequence`` that are public by ``now``."""
+        """Return events after ``sequence`` that are published by ``now``."""
         start = bisect.bisect_right(self._logged, sequence, key=lambda item: item.event.sequence)
         return tuple(item.event for item in self._logged[start : self._public_count(now)])
 
     def latest_sequence(self, now: float) -> int:
-        """Return the number of the latest public event; 0 for none."""
+        """Return the sequence number of the latest published event; 0 for none."""
         count = self._public_count(now)
         return self._logged[count - 1].event.sequence if count else 0
 
     def _public_count(self, now: float) -> int:
-        """Return how many logged events are public."""
+        """Return how many logged events are published by ``now``."""
         public_until = now - self.delay_seconds
         return bisect.bisect_right(self._logged, public_until, key=lambda item: item.time)
--- a/emulator/engine/faults.py
+++ b/emulator/engine/faults.py
@@ -12,24 +12,24 @@
 from hopstep.ports.engine import TokenFrame
 
 FOREIGN_TEXT = "????"
-"""Text of tokens that belong to no attempt of the oracle."""
+"""Text of the tokens in frames of another attempt."""
 
 
 class StreamCutError(Exception):
-    """The stream breaks off here, without a last frame."""
+    """The stream breaks off without a last frame."""
 
 
 class StreamFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes wrong on the next streams.
+    """Fault of the next streams.
 
     Attributes:
-        streams: Streams that it hits.
-        cut_after_tokens: Breaks the stream off after so many tokens; negative never does.
-        duplicate_frames: Sends every frame twice.
-        reorder_frames: Swaps each pair of frames.
-        late_seconds: Delays each frame.
-        foreign_nonce: Sends every frame under this nonce; empty for the right one.
-        injected_nonce: Sends a frame of this nonce before each right one; empty for none.
+        streams: Number of affected streams.
+        cut_after_tokens: Number of tokens after which the stream breaks off; negative for never.
+        duplicate_frames: Whether every frame is sent twice.
+        reorder_frames: Whether each pair of frames is swapped.
+        late_seconds: Delay of each frame.
+        foreign_nonce: Nonce that replaces the one of every frame; empty to keep the right one.
+        injected_nonce: Nonce of an extra frame sent before each right one; empty for none.
     """
 
     streams: int = 1
@@ -42,7 +42,7 @@
 
 
 class RefusalFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Refuses the next ``count`` attempts."""
+    """Refusal of the next ``count`` attempts."""
 
     code: ErrorCode = ErrorCode.OVERLOADED
     execution: Execution = Execution.NOT_RUN
@@ -55,12 +55,12 @@
 
     Attributes:
         crash: Crash once, now.
-        frozen: Stand still.
-        leaving: Refuse new attempts and say so in facts.
-        lost_answers: Attempts whose request takes effect, but whose answer is lost.
+        frozen: Whether the engine makes no progress and answers nothing.
+        leaving: Whether it refuses new attempts and reports in its facts that it is leaving.
+        lost_answers: Number of next attempts that are accepted, but whose answer is lost.
         stream: Fault of the next streams.
         refusal: Refusal of the next attempts.
-        drop_events: Lose cache events.
+        drop_events: Whether cache events are lost.
         event_delay_seconds: Delay of cache events; None for the configured one.
         report_lag_seconds: Lag of load reports; None for the configured one.
     """
@@ -81,7 +81,7 @@
 
 
 async def apply_stream_fault(frames: Frames, fault: StreamFault) -> Frames:
-    """Yield ``frames`` as the fault leaves them.
+    """Yield ``frames`` with the fault applied.
 
     Raises:
         StreamCutError: Where the fault breaks the stream off.
@@ -121,7 +121,7 @@
 
 
 async def _reorder(frames: Frames) -> Frames:
-    """Yield each two frames in the wrong order."""
+    """Yield each pair of frames in reverse order."""
     held: TokenFrame | None = None
     async with contextlib.aclosing(frames):
         async for frame in frames:
@@ -138,5 +138,5 @@
 
 
 def _foreign(frame: TokenFrame, nonce: str) -> TokenFrame:
-    """Return a frame as another attempt would get it."""
+    """Return a frame of another attempt, with as many tokens."""
     return msgspec.structs.replace(frame, nonce=nonce, tokens=(FOREIGN_TEXT,) * len(frame.tokens))
--- a/emulator/engine/host.py
+++ b/emulator/engine/host.py
@@ -1,6 +1,6 @@
-"""One emulated engine on trio's clock: streams, fault knobs, freezing.
+"""One emulated engine on trio's clock: streams, faults, freezing.
 
-No task of its own: whoever waits for a stream carries the model forward.
+The host has no task of its own: the tasks that read streams advance the model.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class AnswerLostError(Exception):
-    """The call took effect, but its answer never reaches the caller."""
+    """The caller gets no answer, although the call may have taken effect."""
 
 
 class _Call(Generic[Result]):
-    """A call on the model and what came of it."""
+    """A call on the model and its outcome."""
 
     def __init__(self, action: Callable[[float], Result]) -> None:
         self._action = action
@@ -41,14 +41,19 @@
         self._refusal: EngineRefusalError | None = None
 
     def run(self, now: float) -> None:
-        """Carry the call out."""
+        """Execute the call."""
         try:
             self._results.append(self._action(now))
         except EngineRefusalError as error:
             self._refusal = error
 
     def result(self) -> Result:
-        """Return the result or raise the refusal; a call lost in a crash has no answer."""
+        """Return the result or raise the refusal.
+
+        Raises:
+            EngineRefusalError: The model refused the call.
+            AnswerLostError: The call was lost in a crash.
+        """
         if self._refusal is not None:
             raise self._refusal
         if not self._results:
@@ -60,7 +65,7 @@
     """Runs one engine model in trio."""
 
     def __init__(self, model: EngineModel) -> None:
-        """Host a model that nobody else advances."""
+        """Host a model that nothing else advances."""
         self.model = model
         self._changed = trio.Event()
         self._thawed = trio.Event()
@@ -97,12 +102,12 @@
     async def call(self, action: Callable[[float], Result]) -> Result:
         """Run one call on the model at the present time.
 
-        A call that meets a frozen engine waits, and takes effect when the engine thaws even
-        if the caller has gone, as a request in a socket's buffer does.
+        A call to a frozen engine waits, and takes effect when the engine thaws even if the
+        caller has disconnected, like a request in a socket's buffer.
 
         Raises:
-            EngineRefusalError: What the model refuses.
-            AnswerLostError: When the engine crashed before it took the call.
+            EngineRefusalError: When the model refuses the call.
+            AnswerLostError: When the engine crashed before it executed the call.
         """
         call = _Call(action)
         if self.model.frozen:
@@ -114,11 +119,11 @@
         return call.result()
 
     async def generate(self, request: GenerateRequest, importable_blocks: int = 0) -> Attempt:
-        """Accept an attempt, unless a fault stands in the way.
+        """Submit an attempt to the model, subject to the active faults.
 
         Raises:
             EngineRefusalError: The attempt is refused.
-            AnswerLostError: It was accepted, but the caller must not learn of it.
+            AnswerLostError: It was accepted, but a fault loses the answer.
         """
 
         def submit(now: float) -> Attempt:
@@ -169,7 +174,7 @@
                     "the weights were changed before the attempt started",
                     nonce=attempt.nonce,
                 )
-            # Asked before the yield: it may end while the caller handles the frame.
+            # Read before the yield, as the attempt may end while the caller handles the frame.
             ended = attempt.ended
             interval = 1 if first else self.model.config.stream_interval_tokens
             if ended or generated - sent >= interval:
@@ -201,7 +206,7 @@
         )
 
     async def _wait_for_step(self) -> bool:
-        """Wait until streams may have news; False when only a keep-alive is due.
+        """Wait until streams may have new tokens; False when only a keep-alive is due.
 
         A frozen engine sends no keep-alives either.
         """
@@ -216,7 +221,7 @@
         return step_time <= keep_alive_time
 
     def _refuse_by_fault(self, nonce: str) -> None:
-        """Refuse an attempt if a fault says so."""
+        """Raise a refusal if a fault asks for it."""
         if self._refusals_left <= 0:
             return
         self._refusals_left -= 1
@@ -229,7 +234,7 @@
         )
 
     def _thaw(self, now: float) -> None:
-        """Go on after a freeze with the calls that came meanwhile."""
+        """End a freeze and execute the calls that arrived during it."""
         self.model.thaw(now)
         calls, self._frozen_calls = self._frozen_calls, []
         for call in calls:
@@ -238,7 +243,7 @@
         self._thawed = trio.Event()
 
     def _advance(self, now: float) -> None:
-        """Carry the model forward."""
+        """Advance the model and announce new exports."""
         self.model.advance(now)
         if self.model.executions.has_exports:
             self._exports_ready.set()
--- a/emulator/engine/in_process.py
+++ b/emulator/engine/in_process.py
@@ -1,6 +1,6 @@
-"""Engines inside the process, behind the engine port, on trio's clock.
+"""In-process engines behind the engine port, on trio's clock.
 
-Tests and simulations use them with a virtual clock in place of HTTP.
+Tests and simulations use them with a virtual clock instead of engines over HTTP.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 DEFAULT_IDLE_TIMEOUT_SECONDS = 10.0
 DEFAULT_LATENCY_SECONDS = 0.001
 FATAL_SECONDS = 0.005
-"""From the beginning of a fatal prompt to the engine's end: before its first token."""
+"""Time from the start of a fatal prompt to the engine's crash, before the first token."""
 
 
 class InProcessEngines(EnginePort):
-    """Several emulated engines by address, with a latency and fault knobs.
+    """Several emulated engines by address, with a latency and faults.
 
     Attributes:
-        fatal_prompts: Prompts that end each engine which begins them; it starts again at once.
-        ends: When engines have ended under such prompts.
+        fatal_prompts: Prompts that crash each engine that starts them; it restarts at once.
+        ends: Times of crashes under such prompts, in seconds.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self._hosts[address].set_faults(faults)
 
     def set_down(self, address: str, down: bool) -> None:
-        """Refuse connections to an engine, or take them again."""
+        """Refuse connections to an engine, or accept them again."""
         if down:
             self._down.add(address)
         else:
@@ -147,13 +147,13 @@
         return await self._call(host, lambda now: host.model.order(order, now))
 
     async def _end_later(self, host: EngineHost) -> None:
-        """End an engine under a prompt that it has begun."""
+        """Crash an engine some time after it started a fatal prompt."""
         await trio.sleep(FATAL_SECONDS)
         self.ends.append(trio.current_time())
         host.set_faults(EngineFaults(crash=True))
 
     def _connect(self, address: str) -> EngineHost:
-        """Return the engine at an address, if it takes connections."""
+        """Return the engine at an address; raise ``EngineError`` if connections are refused."""
         host = self._hosts.get(address)
         if host is None or address in self._down:
             raise EngineError(
@@ -166,7 +166,7 @@
         return await self._exchange(lambda: host.call(action))
 
     async def _exchange(self, send: Callable[[], Awaitable[Result]]) -> Result:
-        """Send a request and return its answer, with the errors of the port."""
+        """Send a request and return its answer; errors are translated to those of the port."""
         await trio.sleep(self._latency_seconds)
         try:
             with trio.fail_after(self._idle_timeout_seconds):
@@ -183,7 +183,7 @@
     async def _read(
         self, host: EngineHost, attempt: Attempt, next_sequence: int
     ) -> AsyncGenerator[TokenFrame, None]:
-        """Yield the frames of an attempt, with the errors of the port."""
+        """Yield the frames of an attempt; errors are translated to those of the port."""
         finished = False
         async with contextlib.aclosing(host.frames(attempt, next_sequence)) as frames:
             while True:
--- a/emulator/engine/load_history.py
+++ b/emulator/engine/load_history.py
@@ -1,4 +1,4 @@
-"""Load of an engine as it reports it: some time late."""
+"""Load of an engine as it reports it: with a lag."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hopstep.ports.engine import LoadReport
 
 SAMPLES_PER_LAG = 16
-"""Resolution of the history: samples kept for one lag at most."""
+"""Largest number of samples in the time of one lag."""
 
 
 class LoadHistory:
@@ -25,19 +25,19 @@
         self._samples: deque[tuple[float, LoadReport]] = deque()
 
     def due(self, now: float) -> bool:
-        """Return whether the history wants a sample at ``now``."""
+        """Return whether a new sample is due at ``now``."""
         if not self._samples:
             return True
         return now - self._samples[-1][0] >= self.lag_seconds / SAMPLES_PER_LAG
 
     def record(self, now: float, load: LoadReport) -> None:
-        """Add a sample, and forget those that no report needs any more."""
+        """Add a sample, and drop those that no report needs any more."""
         self._samples.append((now, load))
         while len(self._samples) > 1 and self._samples[1][0] <= now - self.lag_seconds:
             self._samples.popleft()
 
     def report(self, now: float) -> LoadReport:
-        """Return the load of one lag ago, with its age."""
+        """Return the load of one lag before ``now``, with its age."""
         best: tuple[float, LoadReport] | None = None
         for sample in self._samples:
             if sample[0] > now - self.lag_seconds:
--- a/emulator/engine/model.py
+++ b/emulator/engine/model.py
@@ -1,8 +1,8 @@
 """The pure model of one inference engine, driven by the time that callers pass in.
 
-The HTTP stand-in, the in-process adapter and the experiments all run this model, so a
-measure in virtual time and a test over loopback speak of the same engine. Nothing here reads
-a clock or draws on global randomness. Tokens exist as counts; their text is made on demand.
+The HTTP stand-in, the in-process adapter and the experiments all run this model, so that
+measurements in virtual time and tests over loopback apply to the same engine. The model reads
+no clock and no global random state. Tokens exist as counts; their text is made on demand.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
 class EngineModel:
     """One engine over all its incarnations.
 
-    Every method takes the present time, which must never go back.
+    Methods take the present time in seconds, which must never decrease.
 
     Attributes:
         executions: Runs for oracles, and blocks to export to KV cache stores.
         weights: Loaded weights and loads of the present incarnation.
-        leaving: True when the engine refuses new attempts and says so.
+        leaving: Whether the engine refuses new attempts and reports that it is leaving.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
             weights: Weights version by model, loaded at every start.
             name: Prefix of incarnations; must be unique among engines and processes.
             seed: Seed of the draws of lost events.
-            load_time: Time of a weight load; by default that of one alone.
+            load_time: Returns the time of a weight load; by default the configured time.
         """
         self._config = config
         self._initial_weights = weights
@@ -100,7 +100,7 @@
 
     @property
     def frozen(self) -> bool:
-        """Whether the engine stands still."""
+        """Whether the engine is frozen."""
         return self._frozen_at is not None
 
     def submit(
@@ -120,8 +120,7 @@
             importable_blocks: Leading blocks that the request's KV cache store holds.
 
         Raises:
-            EngineRefusalError: When it isn't accepted; nothing was run of it unless
-                ``execution`` says otherwise.
+            EngineRefusalError: When it isn't accepted; ``execution`` says whether any of it ran.
         """
         self._advance(now)
         self._nonces.check_new(request.nonce)
@@ -141,7 +140,7 @@
         """Return an attempt whose tokens from ``next_sequence`` on can be read.
 
         Raises:
-            EngineRefusalError: In another incarnation, and for a nonce that isn't held.
+            EngineRefusalError: In another incarnation, and for a nonce that isn't retained.
         """
         self._advance(now)
         self._check_incarnation(nonce, incarnation)
@@ -152,12 +151,12 @@
 
         Args:
             nonce: The attempt.
-            incarnation: Incarnation that it was sent to; empty when the caller never learned
-                it: then the outcome of a nonce that was never seen isn't proved.
+            incarnation: Incarnation that it was sent to; empty when the caller doesn't know it.
+                Then the outcome of a nonce that was never seen can't be proved.
             now: Present time, in seconds.
 
         Raises:
-            EngineRefusalError: In another incarnation, or when nothing is proved.
+            EngineRefusalError: In another incarnation, or when the outcome can't be proved.
         """
         self._advance(now)
         if incarnation:
@@ -174,22 +173,22 @@
         return CancelOutcome.NOT_STARTED
 
     def fence_nonce(self, nonce: str, incarnation: str, now: float) -> AttemptStatus:
-        """Keep a nonce that was never seen from ever starting, or return its status.
+        """Return the status of a nonce; one that was never seen can never start afterwards.
 
         Raises:
-            EngineRefusalError: In another incarnation: nothing is proved of the earlier one.
+            EngineRefusalError: In another incarnation, which proves nothing about the earlier one.
         """
         self._advance(now)
         self._check_incarnation(nonce, incarnation)
         return self._nonces.fence(nonce)
 
     def order(self, order: EngineOrder, now: float) -> EngineFacts:
-        """Take a fenced order; requests of a changed model that haven't started are refused.
+        """Execute a fenced order; requests of a changed model that haven't started are refused.
 
-        Running ones end under their weights before the load begins.
+        Running ones finish with their weights before the load begins.
 
         Raises:
-            EngineRefusalError: When the fence is below the highest that was taken.
+            EngineRefusalError: When the fence is below the highest accepted one.
         """
         self._advance(now)
         if order.fence < self._fence:
@@ -206,7 +205,7 @@
         return self.facts(now)
 
     def facts(self, now: float) -> EngineFacts:
-        """Return what the engine says of itself."""
+        """Return the facts that the engine reports."""
         self._advance(now)
         return EngineFacts(
             incarnation=self.incarnation,
@@ -219,12 +218,12 @@
         )
 
     def load(self, now: float) -> LoadReport:
-        """Return the load of this moment, without the lag of reports."""
+        """Return the present load, without the lag of reports."""
         self._advance(now)
         return self._load_now()
 
     def cache_events(self, incarnation: str, after_sequence: int, now: float) -> CacheEventBatch:
-        """Return published events; from the first one on for another incarnation's reader."""
+        """Return published events after a sequence number, or all if the incarnation differs."""
         self._advance(now)
         after = after_sequence if incarnation == self.incarnation else 0
         return CacheEventBatch(self.incarnation, self._events.published_after(after, now))
@@ -239,7 +238,7 @@
         return self.executions.runs()
 
     def generated(self, attempt: Attempt, now: float) -> int:
-        """Return how many tokens of its own an attempt has generated."""
+        """Return how many tokens an attempt has generated, continued ones not counted."""
         return self._scheduler.generated(attempt, now)
 
     def usage(self, attempt: Attempt, now: float) -> Usage:
@@ -252,13 +251,13 @@
         )
 
     def advance(self, now: float) -> list[Notice]:
-        """Carry the engine forward; return what happened since the last call."""
+        """Advance the engine; return the notices since the last call."""
         self._advance(now)
         notices, self._notices = self._notices, []
         return notices
 
     def next_event_time(self) -> float:
-        """Return when something happens next: a first token, an end, a load; or infinity."""
+        """Return the time of the next event (step, import or weight load); infinity for none."""
         if self.frozen:
             return float("inf")
         return min(self._scheduler.next_event_time(), self.weights.next_ready_time())
@@ -271,7 +270,7 @@
         return min(step_time, self.weights.next_ready_time())
 
     def crash(self, now: float) -> None:
-        """Lose everything and start again in a new incarnation, with the initial weights."""
+        """Lose all state and start a new incarnation with the initial weights."""
         self._advance(now)
         for attempt in self._nonces.live():
             attempt.generated = self._scheduler.generated(attempt, now)
@@ -283,13 +282,13 @@
         self._start_incarnation()
 
     def freeze(self, now: float) -> None:
-        """Stand still until ``thaw`` or ``crash``."""
+        """Stop all progress until ``thaw`` or ``crash``."""
         if not self.frozen:
             self._advance(now)
             self._frozen_at = now
 
     def thaw(self, now: float) -> None:
-        """Go on after a freeze; work under way ends later by its length."""
+        """Continue after a freeze; work in progress is delayed by its length."""
         if self._frozen_at is None:
             return
         seconds = now - self._frozen_at
@@ -310,7 +309,7 @@
         self._history.lag_seconds = default if lag_seconds is None else lag_seconds
 
     def _start_incarnation(self) -> None:
-        """Begin an incarnation: nothing cached, queued, remembered or ordered."""
+        """Start an incarnation with an empty cache, queue, nonce registry and fence."""
         self._starts += 1
         self._fence = 0
         self._role = EngineRole.SERVING
@@ -322,7 +321,7 @@
         self._scheduler = BatchScheduler(self._config, self._cache)
 
     def _advance(self, now: float) -> None:
-        """Carry the engine forward to ``now``; nothing moves while it is frozen."""
+        """Advance the engine to ``now``, unless it is frozen."""
         if self.frozen:
             return
         first_new = len(self._notices)
@@ -338,14 +337,14 @@
             self._history.record(now, self._load_now())
 
     def _settle(self, first_new: int) -> None:
-        """Take note of what happened to attempts."""
+        """Record the notices from index ``first_new`` on."""
         for notice in self._notices[first_new:]:
             self.executions.note(notice, self.incarnation)
             if notice.kind is NoticeKind.FINISHED:
                 self._nonces.end(notice.attempt)
 
     def _begin_loads(self, now: float) -> None:
-        """Begin loads of models without running requests; the cache is dropped with them."""
+        """Begin loads of models without running requests, and drop the evictable cache."""
         for model in self.weights.waiting_models():
             if not self._scheduler.runs(model):
                 self.weights.begin(model, now)
@@ -362,12 +361,12 @@
         return outcome
 
     def _check_incarnation(self, nonce: str, incarnation: str) -> None:
-        """Refuse a call on an attempt of another incarnation: nothing is proved of it."""
+        """Refuse a call about an attempt of another incarnation, as its state is unknown here."""
         if incarnation != self.incarnation:
             raise unproved(nonce, "the attempt belongs to another incarnation")
 
     def _load_now(self) -> LoadReport:
-        """Return the load without carrying the engine forward."""
+        """Return the load without advancing the engine."""
         scheduler = self._scheduler
         return LoadReport(
             running=scheduler.running_count,
--- a/emulator/engine/nonces.py
+++ b/emulator/engine/nonces.py
@@ -22,7 +22,7 @@
 
 
 class NonceRegistry:
-    """Live attempts, a bounded number of ended ones, and outcomes of older nonces."""
+    """Live attempts, a bounded number of ended ones, and a bounded number of outcomes."""
 
     def __init__(self, config: EngineConfig) -> None:
         """Start empty."""
@@ -32,7 +32,7 @@
         self._outcomes: OrderedDict[str, CancelOutcome] = OrderedDict()
 
     def add(self, attempt: Attempt) -> None:
-        """Remember an accepted attempt."""
+        """Register an accepted attempt."""
         self._live[attempt.nonce] = attempt
 
     def find(self, nonce: str) -> Attempt | None:
@@ -44,11 +44,11 @@
         return list(self._live.values())
 
     def outcome(self, nonce: str) -> CancelOutcome | None:
-        """Return what became of an ended nonce; None when it is live or was never seen."""
+        """Return the outcome of an ended nonce; None when it is live or was never seen."""
         return self._outcomes.get(nonce)
 
     def check_new(self, nonce: str) -> None:
-        """Refuse a nonce that was accepted or cancelled before: it never starts again.
+        """Refuse a nonce that was accepted or cancelled before, so that it never starts again.
 
         Raises:
             EngineRefusalError: ``NOT_RUN`` only if the nonce never started.
@@ -67,7 +67,7 @@
         """Return an attempt whose tokens from ``next_sequence`` on can be read.
 
         Raises:
-            EngineRefusalError: When it isn't held, or has no such token.
+            EngineRefusalError: When it isn't retained, or has no such token.
         """
         attempt = self.find(nonce)
         if attempt is None:
@@ -83,7 +83,7 @@
         )
 
     def fence(self, nonce: str) -> AttemptStatus:
-        """Return the status of a nonce; one that was never seen never starts from now on."""
+        """Return the status of a nonce; one that was never seen can never start afterwards."""
         attempt = self._live.get(nonce)
         if attempt is not None:
             waiting = attempt.state is AttemptState.WAITING
@@ -95,15 +95,15 @@
         return _STATUS_OF_OUTCOME[outcome]
 
     def bury(self, nonce: str) -> None:
-        """Remember that a nonce never seen was cancelled, so that it never starts."""
+        """Record a nonce that was never seen as not started, so that it never starts."""
         self._remember(nonce, CancelOutcome.NOT_STARTED)
 
     def end(self, attempt: Attempt, outcome: CancelOutcome | None = None) -> None:
-        """Move an attempt that has ended out of the live ones.
+        """Move an ended attempt from the live to the retained ones.
 
         Args:
             attempt: The attempt.
-            outcome: What a later cancel is told; by default it follows from the state.
+            outcome: Outcome that a later cancel returns; by default it follows from the state.
         """
         del self._live[attempt.nonce]
         self._remember(attempt.nonce, outcome or _OUTCOMES[attempt.state])
@@ -112,12 +112,12 @@
             self._retained.popitem(last=False)
 
     def _remember(self, nonce: str, outcome: CancelOutcome) -> None:
-        """Keep an outcome, and drop the oldest beyond the bound."""
+        """Store an outcome, and drop the oldest beyond the limit."""
         self._outcomes[nonce] = outcome
         if len(self._outcomes) > self._config.retained_nonces:
             self._outcomes.popitem(last=False)
 
 
 def unproved(nonce: str, message: str) -> EngineRefusalError:
-    """Return the refusal of a call that proves nothing of an attempt."""
+    """Return the refusal of a call that proves nothing about an attempt's execution."""
     return refuse(ErrorCode.PRECONDITION_FAILED, message, nonce=nonce, execution=Execution.UNKNOWN)
--- a/emulator/engine/records.py
+++ b/emulator/engine/records.py
@@ -1,4 +1,4 @@
-"""What an emulated engine leaves for others: runs for oracles, blocks for stores."""
+"""Output of an emulated engine: run records for oracles, blocks for KV cache stores."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RunRecord(msgspec.Struct, frozen=True):
-    """One execution: an attempt whose prompt began to be computed.
+    """One run: an attempt that was admitted to the batch.
 
     Attributes:
         nonce: The attempt.
@@ -27,7 +27,7 @@
 
 
 class BlockExport(msgspec.Struct, frozen=True):
-    """Salted keys of computed blocks, on their way to the KV cache store at ``store``."""
+    """Salted keys of computed blocks to write to the KV cache store at ``store``."""
 
     store: str
     block_keys: tuple[int, ...]
@@ -42,7 +42,7 @@
         self._exports: list[BlockExport] = []
 
     def note(self, notice: Notice, incarnation: str) -> None:
-        """Take note of what happened to an attempt."""
+        """Record the run or the exports that a notice reports."""
         attempt = notice.attempt
         if notice.kind is NoticeKind.STARTED:
             digest = attempt.prompt.digest
@@ -63,6 +63,6 @@
         return bool(self._exports)
 
     def take_exports(self) -> list[BlockExport]:
-        """Return blocks to write to KV cache stores since the last call."""
+        """Return and clear the blocks to write to KV cache stores."""
         exports, self._exports = self._exports, []
         return exports
--- a/emulator/engine/refusal.py
+++ b/emulator/engine/refusal.py
@@ -7,7 +7,7 @@
 
 
 class EngineRefusalError(Exception):
-    """The engine doesn't do what it was asked; ``refusal`` says why."""
+    """The engine refuses a call; ``refusal`` says why."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -22,5 +22,5 @@
     execution: Execution = Execution.NOT_RUN,
     retry_after_seconds: float = 0.0,
 ) -> EngineRefusalError:
-    """Return a refusal to raise."""
+    """Return the error to raise for a refusal."""
     return EngineRefusalError(Refusal(code, message, execution, nonce, retry_after_seconds))
--- a/emulator/engine/scheduler.py
+++ b/emulator/engine/scheduler.py
@@ -1,7 +1,7 @@
 """Continuous batching with chunked prefill, in steps.
 
-Every step gives each decoding request one token and computes one chunk of prompts. Steps
-that only decode are alike, so a run of them up to the next end of a request is kept as one
+Every step generates one token for each decoding request and computes one chunk of prompts.
+Steps that only decode are equal, so those up to the next end of a request are kept as one
 segment: the cost of a simulated request doesn't grow with the length of its answer.
 """
 
@@ -20,7 +20,7 @@
 
 
 class NoticeKind(enum.Enum):
-    """What became of an attempt."""
+    """Kind of a change of an attempt."""
 
     STARTED = "started"
     PREFILLED = "prefilled"
@@ -28,7 +28,7 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """One thing that happened to an attempt at a time."""
+    """A change of an attempt and its time in seconds."""
 
     kind: NoticeKind
     attempt: Attempt
@@ -68,7 +68,7 @@
         self._wake(now, notices)
 
     def advance(self, now: float, notices: list[Notice]) -> None:
-        """Carry out every step that ends at or before ``now``."""
+        """Execute every step that ends at or before ``now``."""
         while True:
             import_end = self._importing[0][0] if self._importing else NEVER
             segment_end = self._segment.end
@@ -81,7 +81,7 @@
                 self._begin_segment(segment_end, notices)
 
     def next_event_time(self) -> float:
-        """Return when ``advance`` next has something to do; infinite when idle."""
+        """Return when the next step or import ends; infinite when idle."""
         import_end = self._importing[0][0] if self._importing else NEVER
         return min(import_end, self._segment.end)
 
@@ -124,23 +124,23 @@
         return [item[2] for item in self._waiting if item[2].state is AttemptState.WAITING]
 
     def shift(self, seconds: float) -> None:
-        """Move everything under way later by ``seconds``, after a freeze."""
+        """Delay all work in progress by ``seconds``, after a freeze."""
         self._segment.shift(seconds)
         self._importing = [(at + seconds, order, it) for at, order, it in self._importing]
 
     def _cacheable_blocks(self, attempt: Attempt) -> int:
-        """Return the blocks that a cache may give: the last token is always computed."""
+        """Return how many blocks may come from a cache; the last token is always computed."""
         return (attempt.prompt.token_count - 1) // BLOCK_TOKENS
 
     def _wake(self, now: float, notices: list[Notice]) -> None:
-        """Let the batch change: at once when idle, else after the present step."""
+        """Reschedule the batch: at once when idle, else after the present step."""
         if self._segment.steps:
             self._segment.cut(now)
         else:
             self._begin_segment(now, notices)
 
     def _begin_segment(self, now: float, notices: list[Notice]) -> None:
-        """Choose the work of the next step, or of a run of equal decode steps."""
+        """Choose the work of the next step, or of several equal decode steps."""
         computed = self._schedule_prefill(now, notices)
         step_seconds = self._config.decode_step_seconds(self._decoding_count)
         if computed:
@@ -152,7 +152,7 @@
         self._segment.begin(now, steps, step_seconds)
 
     def _complete_segment(self, end: float, notices: list[Notice]) -> None:
-        """Give the segment's tokens and end what has generated its last one."""
+        """Count the segment's steps and finish the attempts that have generated all tokens."""
         self._steps += self._segment.steps
         self._segment.steps = 0
         for attempt in self._prefilled:
@@ -166,7 +166,7 @@
                 self._finish(attempt, end, notices)
 
     def _begin_decoding(self, attempt: Attempt, now: float, notices: list[Notice]) -> None:
-        """Give the first token of an attempt whose prompt is computed."""
+        """Generate the first token of an attempt whose prompt is computed."""
         attempt.state = AttemptState.DECODING
         attempt.first_step = self._steps
         attempt.first_token_at = now
@@ -176,7 +176,7 @@
         notices.append(Notice(NoticeKind.PREFILLED, attempt, now))
 
     def _finish(self, attempt: Attempt, now: float, notices: list[Notice]) -> None:
-        """End an attempt that has generated all its tokens."""
+        """Finish an attempt that has generated all its tokens."""
         self._leave_batch(attempt)
         attempt.generated = attempt.token_limit
         attempt.state = AttemptState.FINISHED
@@ -184,7 +184,7 @@
         notices.append(Notice(NoticeKind.FINISHED, attempt, now))
 
     def _leave_batch(self, attempt: Attempt) -> None:
-        """Let go of a running attempt's blocks and of its place."""
+        """Remove a running attempt from the batch and release its blocks."""
         keys = attempt.prompt.block_keys
         self._cache.release(keys[: attempt.held_blocks], attempt.reserved_blocks)
         self.running_count -= 1
@@ -209,7 +209,7 @@
         return self._config.prefill_chunk_tokens - budget
 
     def _compute(self, attempt: Attempt, tokens: int) -> None:
-        """Compute prompt tokens; whole blocks are cached from this step on."""
+        """Compute prompt tokens; full blocks are cached from this step on."""
         attempt.prefill_tokens_left -= tokens
         self.pending_prefill_tokens -= tokens
         computed = attempt.prompt.token_count - attempt.prefill_tokens_left
@@ -224,7 +224,7 @@
             attempt.reserved_blocks -= len(new_keys)
 
     def _admit_waiting(self, now: float, notices: list[Notice]) -> None:
-        """Admit queued attempts that go before every one that is being prefilled."""
+        """Admit queued attempts of higher priority than all attempts in prefill."""
         while True:
             self._drop_ended_heads(self._waiting)
             self._drop_ended_heads(self._prefilling)
@@ -236,7 +236,7 @@
                 return
 
     def _admit(self, attempt: Attempt, now: float, notices: list[Notice]) -> bool:
-        """Move the head of the queue into the batch if there is room."""
+        """Move the head of the queue into the batch if there is free capacity."""
         if self.running_count >= self._config.max_batch_size:
             return False
         keys = attempt.prompt.block_keys
@@ -260,7 +260,7 @@
         return True
 
     def _begin_prompt(self, attempt: Attempt, import_blocks: int, now: float) -> None:
-        """Import what the KV cache store holds beyond the cache, else prefill at once."""
+        """Import blocks that only the KV cache store holds; without any, prefill at once."""
         speed = self._config.import_tokens_per_second
         if import_blocks <= 0 or speed <= 0:
             attempt.state = AttemptState.PREFILLING
@@ -283,6 +283,6 @@
 
     @staticmethod
     def _drop_ended_heads(heap: list[tuple[int, int, Attempt]]) -> None:
-        """Remove attempts from the head of a heap that have ended meanwhile."""
+        """Remove ended attempts from the head of a heap."""
         while heap and heap[0][2].ended:
             heapq.heappop(heap)
--- a/emulator/engine/segment.py
+++ b/emulator/engine/segment.py
@@ -1,17 +1,17 @@
-"""A run of equal steps of an emulated engine."""
+"""A sequence of equal steps of an emulated engine."""
 
 from __future__ import annotations
 
 import math
 
 CLOCK_TOLERANCE_SECONDS = 1e-9
-"""Rounding of clock arithmetic, so that a wake-up at a step's end sees the step as done."""
+"""Tolerance for clock rounding, so that a wake-up at a step's end counts the step as done."""
 
 NEVER = math.inf
 
 
 class StepSegment:
-    """Equal steps under way; none when the engine is idle."""
+    """Equal steps in progress; none when the engine is idle."""
 
     def __init__(self) -> None:
         """Start idle."""
@@ -20,7 +20,7 @@
         self.steps = 0
 
     def begin(self, now: float, steps: int, step_seconds: float) -> None:
-        """Begin ``steps`` steps; 0 for idleness."""
+        """Begin ``steps`` steps; 0 when idle."""
         self._start = now
         self._step_seconds = step_seconds
         self.steps = steps
@@ -33,7 +33,7 @@
         return self._start + self.steps * self._step_seconds
 
     def steps_done(self, now: float) -> int:
-        """Return the steps that have ended; the last one isn't counted."""
+        """Return the number of steps that have ended; the last one isn't counted."""
         if self.steps <= 1:
             return 0
         elapsed = now - self._start + CLOCK_TOLERANCE_SECONDS
@@ -47,9 +47,9 @@
         return self._start + next_step * self._step_seconds
 
     def cut(self, now: float) -> None:
-        """Let the present step be the last."""
+        """Make the present step the last one."""
         self.steps = self.steps_done(now) + 1
 
     def shift(self, seconds: float) -> None:
-        """Move the steps later by ``seconds``."""
+        """Delay the steps by ``seconds``."""
         self._start += seconds
--- a/emulator/engine/server.py
+++ b/emulator/engine/server.py
@@ -106,7 +106,7 @@
         return json_response(CancelAnswer(request.nonce, outcome))
 
     async def fence_nonce(self) -> quart.Response:
-        """Keep a nonce that was never seen from starting."""
+        """Return the status of a nonce; one that was never seen can never start afterwards."""
         request = await read_message(FenceRequest)
         model = self._host.model
         status = await self._host.call(
@@ -115,7 +115,7 @@
         return json_response(FenceAnswer(request.nonce, status))
 
     async def facts(self) -> quart.Response:
-        """Say what the engine is."""
+        """Return the engine's facts."""
         return json_response(await self._host.call(self._host.model.facts))
 
     async def cache_events(self) -> quart.Response:
@@ -131,7 +131,7 @@
         return json_response(batch)
 
     async def order(self) -> quart.Response:
-        """Take a fenced order."""
+        """Execute a fenced order."""
         order = await read_message(EngineOrder)
         model = self._host.model
         return json_response(await self._host.call(lambda now: model.order(order, now)))
@@ -142,7 +142,7 @@
         return json_response(None)
 
     async def runs(self) -> quart.Response:
-        """Return the executions of every incarnation, for oracles."""
+        """Return the runs of every incarnation, for oracles."""
         return json_response(self._host.model.runs(trio.current_time()))
 
     def _stream(self, attempt: Attempt, next_sequence: int) -> quart.Response:
@@ -172,7 +172,7 @@
 
 
 async def _refused(error: EngineRefusalError) -> quart.Response:
-    """Render a refusal."""
+    """Return the response for a refusal."""
     response = json_response(error.refusal, _STATUS_OF_CODE.get(error.refusal.code, _UNAVAILABLE))
     if error.refusal.retry_after_seconds:
         response.headers["Retry-After"] = f"{error.refusal.retry_after_seconds:.0f}"
@@ -180,11 +180,11 @@
 
 
 async def _malformed(error: msgspec.DecodeError) -> quart.Response:
-    """Render a body that isn't what was expected; the message names the field."""
+    """Return the response for a malformed body; the message names the field."""
     refusal = Refusal(ErrorCode.MALFORMED_REQUEST, str(error), Execution.NOT_RUN)
     return json_response(refusal, _BAD_REQUEST)
 
 
 async def _lost(_: AnswerLostError) -> quart.Response:
-    """Break the connection in place of an answer."""
+    """Return a response that breaks the connection."""
     return lost_response()
--- a/emulator/engine/service.py
+++ b/emulator/engine/service.py
@@ -1,4 +1,4 @@
-"""Serving one emulated engine over HTTP, with its background work."""
+"""Service of one emulated engine over HTTP, with its background tasks."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 
     Args:
         config: Sizes and speeds.
-        weights: Weights version by model that the engine starts with.
+        weights: Initial weights version by model.
         address: ``ip:port`` to listen on; port 0 lets the operating system choose.
         wait_shutdown: Returns when the listener should close.
         weight_store: Address of the weight store; empty to load in the configured time.
         seed: Seed of the draws of lost events.
         tls: Certificate and key of the listener.
-        task_status: Told the bound addresses once the listener is open.
+        task_status: Started with the bound addresses once the listener is open.
 
     Raises:
         PortError: When the certificate or the key can't be used.
@@ -55,7 +55,7 @@
     model = EngineModel(
         config,
         weights,
-        # A process that starts again at the same address is another incarnation.
+        # A process that restarts at the same address is another incarnation.
         name=f"engine-{secrets.token_hex(_UNIQUE_BYTES)}",
         seed=seed,
         load_time=(lambda _now: float("inf")) if weight_store else None,
@@ -79,7 +79,7 @@
 
 
 async def _load_weights(host: EngineHost, address: str) -> None:
-    """Ask the weight store for each load that begins, one after the other."""
+    """Request each load that begins from the weight store, one after the other."""
     async with contextlib.aclosing(WeightStoreClient(address)) as weight_store:
         while True:
             if not host.model.weights.busy:
--- a/emulator/engine/weights.py
+++ b/emulator/engine/weights.py
@@ -7,11 +7,11 @@
 import msgspec
 
 LoadTime = Callable[[float], float]
-"""Returns the seconds that a load begun at the given time takes; infinity if it is told later."""
+"""Returns the duration of a load begun at a given time, in seconds; infinity if not known yet."""
 
 
 class _Load(msgspec.Struct):
-    """Weights under way, begun once running requests of the model have ended."""
+    """A load of weights, begun once running requests of the model have ended."""
 
     version: str
     begun: bool = False
@@ -19,7 +19,7 @@
 
 
 class WeightsTable:
-    """Loaded versions by model, and loads under way."""
+    """Loaded versions by model, and loads in progress."""
 
     def __init__(self, loaded: dict[str, str], load_time: LoadTime) -> None:
         """Start with ``loaded`` versions by model."""
@@ -29,15 +29,15 @@
 
     @property
     def busy(self) -> bool:
-        """Whether any load is under way."""
+        """Whether any load is in progress or waiting."""
         return bool(self._loads)
 
     def loading(self, model: str) -> bool:
-        """Return whether other weights of ``model`` are under way."""
+        """Return whether a load of ``model`` is in progress or waiting."""
         return model in self._loads
 
     def request(self, weights: dict[str, str]) -> list[str]:
-        """Take an order; return the models that must change."""
+        """Request versions by model; return the models whose weights must change."""
         changed = []
         for model, version in weights.items():
             load = self._loads.get(model)
@@ -68,13 +68,13 @@
         }
 
     def set_ready_time(self, model: str, version: str, ready_at: float) -> None:
-        """Tell when a load ends; ignored when another order has replaced it."""
+        """Set when a load ends; ignored when another order has replaced it."""
         load = self._loads.get(model)
         if load is not None and load.begun and load.version == version:
             load.ready_at = ready_at
 
     def complete(self, now: float) -> None:
-        """Put every load that is ready by ``now`` in use."""
+        """Complete every load that is ready by ``now``."""
         for model, load in list(self._loads.items()):
             if load.ready_at <= now:
                 del self._loads[model]
@@ -85,6 +85,6 @@
         return min((load.ready_at for load in self._loads.values()), default=float("inf"))
 
     def shift(self, seconds: float) -> None:
-        """Move loads under way later by ``seconds``, after a freeze."""
+        """Delay loads in progress by ``seconds``, after a freeze."""
         for load in self._loads.values():
             load.ready_at += seconds
