--- a/emulator/simulation/__init__.py
+++ b/emulator/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A whole cluster in virtual time: the real services of several routers over emulated ports."""
+"""A simulated cluster in virtual time: real services of several routers over emulated ports."""
--- a/emulator/simulation/cache_oracle.py
+++ b/emulator/simulation/cache_oracle.py
@@ -1,4 +1,4 @@
-"""No cache hit without an earlier run that explains it: same incarnation, tenant, weights."""
+"""Checks that each cache hit has an earlier run of equal incarnation, tenant and weights."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def cache_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Return hits of another tenant, of other weights, or of an engine that has died.
+    """Yield cache hits on blocks of another tenant, other weights or another incarnation.
 
-    The tenant is the one of the caller's sending, so that a wrong salt doesn't hide a hit.
+    The tenant is taken from the caller's sending, so that a wrong salt doesn't hide a hit.
     """
     tenants = {answer.number: answer.call.tenant for answer in cluster.history.answers}
     held: dict[tuple[str, str, str], list[_Run]] = defaultdict(list)
@@ -40,7 +40,7 @@
 
 
 class _Run(msgspec.Struct, frozen=True):
-    """An attempt that ran."""
+    """An attempt that ran at an engine."""
 
     started_at: float
     incarnation: str
@@ -56,19 +56,19 @@
 
 
 def _owner(run: _Run, tenants: dict[int, str]) -> tuple[str, str, str]:
-    """Return what must be equal for a run to use another one's blocks."""
+    """Return the incarnation, tenant and weights version that runs with shared blocks share."""
     tenant = tenants.get(run.dispatch.sending, "")
     return run.incarnation, tenant, run.dispatch.request.weights_version
 
 
 def _exporters(run: _Run, runs: list[_Run], tenants: dict[int, str]) -> Iterator[_Run]:
-    """Yield the runs, at any engine, whose exports a run may import."""
+    """Return the runs, at any engine, whose exported blocks a run may import."""
     owner = _owner(run, tenants)[1:]
     return (other for other in runs if _owner(other, tenants)[1:] == owner)
 
 
 def _shared_tokens(run: _Run, other: _Run) -> int:
-    """Return the tokens of a run that another one, not begun after it, may have left."""
+    """Return how many leading tokens a run may share with another one that began no later."""
     if other is run or other.started_at > run.started_at:
         return 0
     common = os.path.commonprefix([_text(run), _text(other)])
--- a/emulator/simulation/callers.py
+++ b/emulator/simulation/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a simulated cluster: one at a time, and a seeded crowd of them."""
+"""Callers of a simulated cluster: single calls, and a seeded crowd of callers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from emulator.simulation.router import SimulatedRouter
 
 SHARED_PREFIX = "the rules that every tenant's prompts begin with, word by word; " * 6
-"""Equal for all tenants: only the salt keeps their cache entries apart."""
+"""Prefix of all tenants' prompts: only the salt separates their cache entries."""
 
 MAX_PATIENCE_SECONDS = 200.0
 
@@ -32,10 +32,10 @@
     """Send a call to a router and record its answer.
 
     Args:
-        router: Where to.
-        answer: Takes what comes.
-        leave_after_tokens: Tokens after which the caller leaves; None never.
-        seconds_per_part: Time that the caller takes for each part.
+        router: Router that gets the call.
+        answer: Record that is filled in.
+        leave_after_tokens: Tokens after which the caller disconnects; None for never.
+        seconds_per_part: Time that the caller takes to read each part.
     """
     connection = Connection(answer.number, answer.call)
     router.connect(connection)
@@ -55,7 +55,7 @@
 
 
 def _take(answer: Answer, item: AnswerPart | ErrorDetail | None, end: ConnectionEnd | None) -> None:
-    """Record one thing that came."""
+    """Record a part, an error or the end of the connection."""
     if isinstance(item, AnswerPart):
         _take_part(answer, item)
     elif isinstance(item, ErrorDetail):
@@ -72,7 +72,7 @@
 
 
 def _take_part(answer: Answer, part: AnswerPart) -> None:
-    """Record tokens and the end mark."""
+    """Record the tokens, the end mark and the usage of a part."""
     if part.sequence != len(answer.tokens):
         answer.sequence_errors += 1
     if part.tokens and not answer.tokens:
@@ -87,17 +87,17 @@
 
 
 class Mix(msgspec.Struct, frozen=True):
-    """What a crowd of callers does.
+    """Mix of requests of a crowd of callers.
 
     Attributes:
         requests_per_second: Mean rate.
-        classes: Classes to choose from.
+        classes: Request classes to choose from.
         once_share: Share of requests of the class that runs at most once.
-        repeat_share: Share of those whose key is sent a second time.
-        leave_share: Share whose caller leaves in the middle.
-        slow_share: Share whose caller reads slowly.
-        max_tokens: Longest answer.
-        topics: Prefixes below the shared one.
+        repeat_share: Share of these requests whose key is sent a second time.
+        leave_share: Share of requests whose caller disconnects before the end.
+        slow_share: Share of requests whose caller reads slowly.
+        max_tokens: Longest answer, in tokens.
+        topics: Number of different prefixes after the shared one.
     """
 
     requests_per_second: float = 5.0
@@ -111,15 +111,15 @@
 
 
 class Crowd:
-    """Seeded callers that keep a cluster busy."""
+    """Seeded callers that send load to a cluster."""
 
     def __init__(self, cluster: SimulatedCluster, seed: int, mix: Mix | None = None) -> None:
-        """Prepare; ``run`` sends.
+        """Create the crowd; ``run`` sends its requests.
 
         Args:
-            cluster: Where to.
-            seed: Seed of what is asked and when.
-            mix: What the callers do.
+            cluster: Cluster that gets the requests.
+            seed: Seed of the requests and their times.
+            mix: Mix of requests; None for the default.
         """
         self._cluster = cluster
         self._generator = random.Random(seed)
@@ -127,7 +127,7 @@
         self._count = 0
 
     async def run(self, seconds: float) -> None:
-        """Send requests for a time, and return when all have ended."""
+        """Send requests for ``seconds``, and return when all have ended."""
         async with trio.open_nursery() as nursery:
             end = trio.current_time() + seconds
             while trio.current_time() < end:
@@ -152,7 +152,7 @@
         )
 
     async def _caller(self) -> None:
-        """Be one caller, who may repeat a key at once, later, here or elsewhere."""
+        """Send one call and possibly repeat its key, at once or later, at any router."""
         call = self.next_call()
         chance = self._generator
         repeats = call.idempotency_key and chance.random() < self._mix.repeat_share
@@ -162,7 +162,7 @@
             await self._send(call)
 
     async def _send(self, call: Call) -> None:
-        """Send a call once, with the habits of one caller."""
+        """Send a call once to a random router, with random disconnection and reading speed."""
         chance = self._generator
         router = chance.choice(sorted(self._cluster.routers))
         leaves = chance.random() < self._mix.leave_share
--- a/emulator/simulation/chaos.py
+++ b/emulator/simulation/chaos.py
@@ -1,4 +1,4 @@
-"""A seeded schedule of faults that come at any moment, together and twice."""
+"""A seeded schedule of faults, which may overlap and repeat."""
 
 from __future__ import annotations
 
@@ -44,15 +44,15 @@
 
 
 class Chaos:
-    """Draws faults and lets each last for a while; several are in force at once."""
+    """Draws random faults and ends each after a while; several are active at once."""
 
     def __init__(
         self, cluster: SimulatedCluster, seed: int, mean_seconds_between: float = 2.0
     ) -> None:
-        """Prepare; ``run`` does it.
+        """Create the schedule; ``run`` induces its faults.
 
         Args:
-            cluster: What suffers.
+            cluster: Cluster in which faults are induced.
             seed: Seed of the schedule.
             mean_seconds_between: Mean time between two faults.
         """
@@ -86,7 +86,7 @@
         )
 
     async def run(self, seconds: float) -> None:
-        """Induce faults for a time; return when each has ended."""
+        """Induce faults for ``seconds``; return when all have ended."""
         async with trio.open_nursery() as nursery:
             end = trio.current_time() + seconds
             while trio.current_time() < end:
@@ -96,7 +96,7 @@
                 await trio.sleep(wait)
 
     async def recover(self) -> None:
-        """End what is left and start the routers that are down."""
+        """End the remaining faults and start the routers that are down."""
         self._cluster.end_faults()
         for name, router in self._cluster.routers.items():
             if not router.running:
@@ -110,14 +110,14 @@
         await trio.sleep(self._generator.uniform(0.2, longest))
 
     def _pick_router(self) -> str | None:
-        """Return a router that runs and suffers no fault, or None."""
+        """Return a running router without a fault, or None."""
         routers = self._cluster.routers
         names = sorted(set(routers) - self._busy)
         running = [name for name in names if routers[name].running]
         return self._generator.choice(running) if running else None
 
     def _pick_engine(self) -> str | None:
-        """Return an engine that suffers no fault, or None."""
+        """Return an engine without a fault, or None."""
         names = [item.name for item in self._cluster.deployment.back_ends if item.models]
         free = [name for name in names if name not in self._busy]
         return self._generator.choice(free) if free else None
@@ -255,7 +255,7 @@
                 nursery.start_soon(self._cluster.edit, engine, Section.BACK_ENDS)
 
     def _edited_engine(self) -> BackEnd:
-        """Return an engine with another zone or on its way out, or back."""
+        """Return an engine with a random zone and leaving state."""
         engines = [item for item in self._cluster.deployment.back_ends if item.models]
         engine = self._generator.choice(engines)
         zone = self._generator.choice(ZONES)
--- a/emulator/simulation/cluster.py
+++ b/emulator/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster: starts and stops routers, and induces every fault."""
+"""A simulated cluster: starts and stops its routers and induces faults."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 DRAIN_SECONDS = 120.0
 SETTLE_SECONDS = 4.0
-"""Time in which a cluster that has just started comes to rest."""
+"""Time in which a cluster settles after its start."""
 
 CALM = FaultOrder(
     outage=False,
@@ -50,18 +50,18 @@
     machine_list_lag_seconds=0,
     machine_list_flapping=(),
 )
-"""Ends every fault of the platform."""
+"""Ends all faults of the platform."""
 
 
 class SimulatedCluster:
-    """Routers over one world, and everything that a test does to them.
+    """Routers in one world, and the operations of a test on them.
 
     Attributes:
         world: Engines, platform, network.
-        history: What happened, for the oracle.
-        routers: The latest start of each router, by name.
-        runs: Runs at engines by nonce, taken at the end.
-        accepted_changes: Identities of the changes that operators were told are accepted.
+        history: Record of the simulation, for the oracle.
+        routers: The latest incarnation of each router, by name.
+        runs: Runs at engines by nonce, collected at the end.
+        accepted_changes: Ids of the changes reported to operators as accepted.
     """
 
     def __init__(
@@ -72,12 +72,12 @@
         deployment: Configuration | None = None,
         engine_config: EngineConfig | None = None,
     ) -> None:
-        """Prepare; ``start`` starts the routers of the deployment.
+        """Create the world; ``start`` starts the routers of the deployment.
 
         Args:
-            nursery: Where all processes run.
-            seed: Seed of all chance.
-            history: Takes what happens.
+            nursery: Nursery in which all processes run.
+            seed: Seed of all random choices.
+            history: Records the simulation.
             deployment: First configuration; its routers, engines and stores are simulated.
             engine_config: Sizes and speeds of every engine.
         """
@@ -115,7 +115,7 @@
         return next(item for item in back_ends if item.name == name)
 
     async def start_router(self, name: str) -> SimulatedRouter:
-        """Start a router anew, in place of an earlier start that has ended."""
+        """Start a new incarnation of a router, in place of one that has ended."""
         router = SimulatedRouter(self.world, self._settings(name), next(self._numbers), self._peers)
         self.routers[name] = router
         self._peers.by_address[router.settings.address] = router
@@ -123,7 +123,7 @@
         return router
 
     async def restart(self, *names: str) -> None:
-        """Kill routers and start them again at once; all of them by default."""
+        """Kill routers and restart them at once; all of them by default."""
         chosen = names or tuple(self.routers)
         for name in chosen:
             self.routers[name].kill()
@@ -136,7 +136,7 @@
         self.routers[name].pause()
 
     def resume(self, name: str) -> None:
-        """Let a paused router go on."""
+        """Resume a paused router."""
         self.routers[name].resume()
         self._calm(f"pause {name}")
 
@@ -146,7 +146,7 @@
         self.cut_platform(name)
 
     def cut_peers(self, name: str) -> None:
-        """Cut a router off from its peers alone; it reads the platform itself."""
+        """Cut a router off from its peers only; it still reads the platform."""
         self._disturb("cut", "", frozenset({Topic.CONFIGURATION}))
         own = self.routers[name].settings.address
         for back_end in self.router_back_ends():
@@ -154,12 +154,12 @@
         self._note_cut(name, "peers")
 
     def cut_platform(self, name: str) -> None:
-        """Cut a router off from the platform alone; its peers tell it."""
+        """Cut a router off from the platform only; its peers still send it updates."""
         self._cut(self.routers[name].settings.address, PLATFORM_ADDRESS)
         self._note_cut(name, "platform")
 
     def _note_cut(self, name: str, side: str) -> None:
-        """Note when a router can't learn from either side any more."""
+        """Record a cut, and a disturbance once both peers and platform are cut off."""
         sides = self._cut_sides.setdefault(name, set())
         sides.add(side)
         if len(sides) > 1:
@@ -170,14 +170,14 @@
         self._cut(self.routers[router].settings.address, self.back_end(engine).address)
 
     def heal(self) -> None:
-        """Heal every link."""
+        """Restore every link."""
         self.world.links.heal()
         self._cut_sides.clear()
         for name in ("cut", *(f"cut {router}" for router in self.routers)):
             self._calm(name)
 
     def order_platform_faults(self, order: FaultOrder) -> None:
-        """Induce faults of the platform; those that keep revisions back are noted."""
+        """Induce faults of the platform; record those that delay updates as disturbances."""
         self.world.store.order_faults(order)
         self.world.machine_list.order_faults(order)
         faults = self.world.store.faults
@@ -192,17 +192,17 @@
             self._calm("machine list")
 
     def stored_changes(self) -> list[str]:
-        """Return the identities of the changes in the store's sequence, in order."""
+        """Return the ids of the changes in the store, in order."""
         values = self.world.store.model.snapshot()
         keys = sorted(key for key in values if key.startswith(CHANGES_PREFIX))
         return [decode_change(values[key].value).change_id for key in keys]
 
     def copy_store(self) -> StoreCopy:
-        """Return a copy of the store as it is now."""
+        """Return a backup of the store's present state."""
         return self.world.store.model.copy()
 
     def restore_store(self, copy: StoreCopy) -> None:
-        """Let the store come back from a copy."""
+        """Restore the store from a backup."""
         self._disturb("restore", "", frozenset({Topic.CONFIGURATION}))
         self.world.store.restore(copy)
         self._calm("restore")
@@ -212,22 +212,22 @@
         self.world.engines.set_faults(self.back_end(name).address, faults)
 
     def crash(self, name: str) -> None:
-        """Let an engine crash and come back empty."""
+        """Crash an engine; it restarts empty."""
         self.set_engine_faults(name, EngineFaults(crash=True))
 
     def engine_leaves(self, name: str) -> None:
-        """Let an engine say that it leaves."""
+        """Make an engine report that it is leaving."""
         self.set_engine_faults(name, EngineFaults(leaving=True))
         self._note_leaving(name, 0.0)
 
     def machine_list_shows_leaving(
         self, *names: str, lag_seconds: float = 0.0, flapping: bool = False
     ) -> None:
-        """Let the machine list show engines as leaving, which they don't know themselves.
+        """Show engines as leaving in the machine list; the engines don't report it themselves.
 
         Args:
             *names: The engines.
-            lag_seconds: Lag of the list, as it was ordered before.
+            lag_seconds: Lag of the list, as set before.
             flapping: Whether every second answer lacks them.
         """
         if flapping:
@@ -237,10 +237,10 @@
             self._note_leaving(name, lag_seconds)
 
     async def edit(self, item: NamedItem, section: Section) -> SubmitOutcome | None:
-        """Replace one item as an operator does; None when the store couldn't be read.
+        """Replace one item of the configuration, as an operator does.
 
         Returns:
-            What the operator was told; None when nothing was changed.
+            Outcome reported to the operator; None when the store fails.
         """
         store = self._operator_store()
         try:
@@ -263,13 +263,13 @@
         leave_after_tokens: int | None = None,
         seconds_per_part: float = 0.0,
     ) -> Answer:
-        """Send a call to a router and take its answer.
+        """Send a call to a router and return the record of its answer.
 
         Args:
             router: Name of the router.
-            call: What is asked.
-            leave_after_tokens: Tokens after which the caller leaves; None never.
-            seconds_per_part: Time that the caller takes for each part.
+            call: The call.
+            leave_after_tokens: Tokens after which the caller disconnects; None for never.
+            seconds_per_part: Time that the caller takes to read each part.
         """
         answer = Answer(next(self._sendings), call, router, trio.current_time())
         self.history.answers.append(answer)
@@ -277,7 +277,7 @@
         return answer
 
     async def ask_until_complete(self, routers: tuple[str, ...], call: Call) -> Answer:
-        """Send a call until it is complete, as a patient caller does, each time elsewhere."""
+        """Send a call to the routers in turn until its response is complete."""
         for router in itertools.cycle(routers):
             answer = await self.ask(router, call)
             if answer.outcome is Outcome.COMPLETE:
@@ -300,13 +300,13 @@
         self._end_leaving()
 
     async def stop_router(self, name: str) -> None:
-        """Stop a router on a plan and return when its process has ended."""
+        """Stop a router as planned and return when its process has ended."""
         router = self.routers[name]
         router.stop()
         await router.ended.wait()
 
     def finish(self) -> None:
-        """End every router and every disturbance, for the oracle's last look."""
+        """End every router and every disturbance, before the oracle checks the history."""
         for router in self.routers.values():
             if router.running:
                 router.kill()
@@ -373,11 +373,11 @@
     engine_config: EngineConfig | None = None,
     settle_seconds: float = SETTLE_SECONDS,
 ) -> SimulatedCluster:
-    """Run a started cluster under ``body`` in virtual time and return it, ended.
+    """Start a cluster, run ``body`` on it in virtual time and return it after its end.
 
     Args:
-        body: What happens.
-        seed: Seed of all chance, the order in which tasks run included.
+        body: Scenario to run.
+        seed: Seed of all random choices, including the order in which tasks run.
         deployment: First configuration; None for the sample.
         engine_config: Sizes and speeds of every engine.
         settle_seconds: Time before the body begins.
--- a/emulator/simulation/configuration_oracle.py
+++ b/emulator/simulation/configuration_oracle.py
@@ -1,4 +1,4 @@
-"""Accepted revisions come into force in time at every router and never go back."""
+"""Checks that every router applies accepted revisions in time and never goes back."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from emulator.simulation.history import History, Life, Topic
 
 CONVERGENCE_SECONDS = 14.0
-"""Time from acceptance to being in force everywhere, without faults that keep it back."""
+"""Time from acceptance until every router has applied a revision, without delaying faults."""
 
 
 def configuration_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Return revisions that went back, that were never accepted or that came too late."""
+    """Yield applied revisions that decrease or were never accepted, and missing revisions."""
     history = cluster.history
     accepted = {item.accepted.revision for item in history.accepted}
     in_force: dict[int, list[tuple[float, int]]] = defaultdict(list)
@@ -38,7 +38,7 @@
 
 
 def due_time(history: History, life: Life, accepted_at: float) -> float:
-    """Return when a revision must be in force at a router.
+    """Return when a router must have applied a revision.
 
     That is ``CONVERGENCE_SECONDS`` without a fault after its acceptance and the router's start.
     """
--- a/emulator/simulation/connection.py
+++ b/emulator/simulation/connection.py
@@ -26,11 +26,11 @@
 
     Attributes:
         number: Number of the sending.
-        call: What is asked.
-        request_id: Identity that the router gave the request.
-        scope: Cancelled when the caller leaves.
+        call: The call.
+        request_id: Id that the router gave the request.
+        scope: Cancelled when the caller disconnects.
         end: Why it has ended; None while it is open.
-        delayed: Whether a pause of the router held it up.
+        delayed: Whether a pause of the router delayed it.
     """
 
     def __init__(self, number: int, call: Call) -> None:
@@ -52,12 +52,12 @@
         await self._send(msgspec.json.decode(body, type=ErrorBody).error)
 
     async def send_refusal(self, message: Any) -> None:
-        """Send an ASGI message of a refusal by headers."""
+        """Send the body of an ASGI message that refuses the request by its headers."""
         if message["type"] == "http.response.body":
             await self.send_error(message["body"])
 
     async def receive(self) -> AnswerPart | ErrorDetail | None:
-        """Return what comes next; None after the end."""
+        """Return the next part or error; None after the end."""
         try:
             return await self._receiver.receive()
         except trio.EndOfChannel:
--- a/emulator/simulation/deployment.py
+++ b/emulator/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment for simulations: three zones, three tenants with nested places."""
+"""A small deployment for simulations: three zones, three tenants with nested placements."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 ) -> Configuration:
     """Return a deployment whose routers and engines are spread over the zones.
 
-    The tenant ``anywhere`` has no selector, ``inland`` stays in zones a and b, ``harbour`` in
-    zone b. Each tenant's name is its bearer key.
+    The tenant ``anywhere`` has no selector, ``inland`` is limited to zones a and b, ``harbour``
+    to zone b. Each tenant's name is its bearer key.
 
     Args:
         routers: Number of routers, ``r0`` and so on.
         engines: Number of engines, ``e0`` and so on.
-        routing: Weights of routing.
-        max_concurrent_requests: Requests that an engine takes from one router.
+        routing: Routing policy; None for the sample's own.
+        max_concurrent_requests: Concurrent requests that an engine accepts from one router.
         kv_cache_store: Whether there is a KV cache store, in zone b, that engines read.
     """
     back_ends = [_router(index) for index in range(routers)]
--- a/emulator/simulation/gate.py
+++ b/emulator/simulation/gate.py
@@ -1,4 +1,4 @@
-"""The border of a simulated process: what is paused or killed crosses it no more."""
+"""The boundary of a simulated process, which blocks its calls when it is paused or killed."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class ProcessGate:
-    """Every call between one simulated process and its outside crosses here, both ways.
+    """Gate that every call between a simulated process and its outside crosses, both ways.
 
-    Timers of a paused process go on, but nothing that they lead to comes out before it is
-    resumed, as after SIGSTOP and SIGCONT. Nothing ever comes out of a killed one, whatever its
-    clean-up tries to send.
+    Timers of a paused process continue, but their effects stay inside until it is resumed, as
+    with SIGSTOP and SIGCONT. Nothing leaves a killed process, whatever its clean-up tries to
+    send.
     """
 
     def __init__(self) -> None:
@@ -23,26 +23,26 @@
         self._traps: dict[str, Callable[[], None]] = {}
 
     def pause(self) -> None:
-        """Let nothing cross."""
+        """Block all calls."""
         self.paused = True
 
     def resume(self) -> None:
-        """Let what waits cross."""
+        """Let the waiting calls cross."""
         self.paused = False
         self._open()
 
     def kill(self) -> None:
-        """Let nothing cross ever again."""
+        """Block all calls forever."""
         self.killed = True
         self._open()
 
     def trap(self, point: str, action: Callable[[], None]) -> None:
-        """Do something the next time that a call is about to cross.
+        """Run an action the next time that a call is about to cross at a point.
 
         Args:
-            point: Name of the crossing, such as ``engine.generate``; the way back has
-                ``.answered`` appended.
-            action: What to do, such as killing the process.
+            point: Name of the crossing, such as ``engine.generate``; for the response,
+                ``.answered`` is appended.
+            action: Called before the call crosses, such as to kill the process.
         """
         self._traps[point] = action
 
@@ -51,7 +51,7 @@
         trap = self._traps.pop(point, None)
         if trap is not None:
             trap()
-        # Shielded: a deadline that passes during a pause shows only after it.
+        # Shielded, so that a deadline that passes during a pause takes effect only after it.
         with trio.CancelScope(shield=True):
             while self.paused and not self.killed:
                 await self._opened.wait()
--- a/emulator/simulation/history.py
+++ b/emulator/simulation/history.py
@@ -1,4 +1,4 @@
-"""What happened in a simulation, as the oracle reads it."""
+"""Record of a simulation, which the oracle reads."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a sending of a request ended for its caller."""
+    """Outcome of one sending of a request for its caller."""
 
     OPEN = "open"
     COMPLETE = "complete"
@@ -27,13 +27,13 @@
 
 
 class Call(msgspec.Struct, frozen=True):
-    """What a caller asks.
+    """A request of a caller.
 
     Attributes:
         tenant: Name of the tenant, which also is its bearer key.
         request_class: Name of the class.
         prompt: Prompt text.
-        max_tokens: Longest answer.
+        max_tokens: Longest answer, in tokens.
         idempotency_key: Caller's key; may be empty.
     """
 
@@ -45,27 +45,27 @@
 
 
 class Answer(msgspec.Struct):
-    """One sending of a call and what its caller got.
+    """One sending of a call and the answer that its caller received.
 
     Attributes:
         number: Unique number of the sending.
-        call: What was asked.
+        call: The call.
         router: Name of the router.
-        started_at: When it was sent.
-        request_id: Identity that the router gave it.
-        tokens: Tokens in the order in which they came.
-        sequence_errors: Parts whose sequence didn't fit the tokens before.
-        finished: Whether the end mark came.
-        usage_tokens: Completion tokens by the answer's usage.
-        cached_tokens: Cached tokens by the answer's usage.
-        outcome: How it ended.
+        started_at: Time of sending, in seconds.
+        request_id: Id that the router gave it.
+        tokens: Tokens in the order of their arrival.
+        sequence_errors: Number of parts whose sequence didn't continue the tokens before.
+        finished: Whether the end mark arrived.
+        usage_tokens: Completion tokens according to the answer's usage.
+        cached_tokens: Cached tokens according to the answer's usage.
+        outcome: Outcome for the caller.
         code: Error code of a refusal or failure.
-        execution: What the refusal says of execution.
-        retry_after_seconds: When to come back, by the refusal.
-        endpoints: Routers to ask instead, by the refusal.
-        first_token_at: When the first token came.
-        ended_at: When it ended.
-        delayed: Whether the caller or a pause of the router held the answer up.
+        execution: Execution state that the refusal reports.
+        retry_after_seconds: Time after which to retry, according to the refusal.
+        endpoints: Routers to try instead, according to the refusal.
+        first_token_at: Time of the first token, in seconds.
+        ended_at: Time of the end, in seconds.
+        delayed: Whether the caller or a pause of the router delayed the answer.
     """
 
     number: int
@@ -89,30 +89,30 @@
 
     @property
     def says_not_run(self) -> bool:
-        """Whether the caller was told that nothing of this sending ran."""
+        """Whether the response states that nothing of this sending ran."""
         return self.execution == Execution.NOT_RUN.value
 
     @property
     def error_code(self) -> ErrorCode | None:
-        """Error code, or None."""
+        """Error code; None without an error."""
         return ErrorCode(self.code) if self.code else None
 
 
 class Dispatch(msgspec.Struct):
-    """An attempt on its way to an engine.
+    """An attempt that a router sent to an engine.
 
     Attributes:
-        at: When it was decided; a process that is paused between the decision and the sending
-            sends it later.
-        router: Who sent it.
-        life: Number of the router's start.
-        revision: Configuration revision in force at the router then.
-        address: Engine that it was sent to.
-        request: What was sent.
+        at: Time of the decision, in seconds; a process that is paused between the decision and
+            the sending sends it later.
+        router: Name of the router.
+        life: Number of the router's incarnation.
+        revision: Configuration revision that the router had applied at the decision.
+        address: Address of the engine.
+        request: The request that was sent.
         sending: Number of the caller's sending; 0 when it isn't known.
         answered_by: Incarnation of the first frame; empty without one.
-        cached_tokens: Cached tokens by the first frame's usage.
-        imported_tokens: Tokens read from a KV cache store by the first frame's usage.
+        cached_tokens: Cached tokens according to the first frame's usage.
+        imported_tokens: Tokens read from a KV cache store, according to the first frame's usage.
     """
 
     at: float
@@ -128,7 +128,7 @@
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """A revision that came into force at a router."""
+    """A revision that a router applied."""
 
     at: float
     router: str
@@ -144,14 +144,14 @@
 
 
 class Life(msgspec.Struct):
-    """One start of a router, to its end.
+    """One incarnation of a router.
 
     Attributes:
-        router: Its name.
-        number: Counted over all routers.
-        began_at: When it started.
-        ended_at: When it was killed or had stopped.
-        planned_stop_at: When its planned stop was asked for; infinite without one.
+        router: Name of the router.
+        number: Number of the incarnation, over all routers.
+        began_at: Time of its start, in seconds.
+        ended_at: Time when it was killed or had stopped; infinite while it runs.
+        planned_stop_at: Time when its planned stop was requested; infinite without one.
         killed: Whether it was killed.
     """
 
@@ -164,12 +164,12 @@
 
 
 class Leaving(msgspec.Struct, frozen=True):
-    """A back end that must get no new work.
+    """A leaving back end, which must get no new work.
 
     Attributes:
         address: Its address.
-        known_at: From when on a source that routers read has shown it.
-        until: When it came back.
+        known_at: Time from which a source that routers read shows it as leaving.
+        until: Time when it was no longer leaving.
     """
 
     address: str
@@ -178,20 +178,20 @@
 
 
 class Topic(enum.StrEnum):
-    """What a fault keeps routers from learning."""
+    """Kind of updates that a fault can keep from routers."""
 
     CONFIGURATION = "configuration"
     LEAVING = "leaving"
 
 
 class Interval(msgspec.Struct, frozen=True):
-    """A span of time in which a fault keeps routers from learning something.
+    """A time interval in which a fault keeps updates from routers.
 
     Attributes:
-        began_at: Its begin.
-        ended_at: Its end.
-        router: The only router that it concerns; empty for all.
-        topics: What they can't learn.
+        began_at: Start time, in seconds.
+        ended_at: End time, in seconds.
+        router: The only affected router; empty for all.
+        topics: Updates that don't reach the router.
     """
 
     began_at: float
@@ -200,12 +200,12 @@
     topics: frozenset[Topic] = frozenset(Topic)
 
     def concerns(self, router: str, topic: Topic) -> bool:
-        """Return whether a router can't learn of a topic meanwhile."""
+        """Return whether updates of a topic don't reach a router in the interval."""
         return self.router in ("", router) and topic in self.topics
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """A log line that the oracle looks at."""
+    """A log line that the oracle checks."""
 
     at: float
     event: str
@@ -213,7 +213,7 @@
 
 
 class History:
-    """Everything that the oracle knows."""
+    """All records that the oracle reads."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -227,13 +227,13 @@
         self.log: list[LogLine] = []
 
     def calm_since(self, router: str, topic: Topic, since: float, seconds: float) -> float:
-        """Return the first time from which on a router had ``seconds`` without a fault.
+        """Return the start of the first span of ``seconds`` without a fault at a router.
 
         Args:
             router: Name of the router.
-            topic: What it must learn.
-            since: From when on it could learn it.
-            seconds: Length of the calm.
+            topic: Kind of updates that must reach it.
+            since: Earliest start of the span, in seconds.
+            seconds: Length of the span.
         """
         calm = since
         for interval in sorted(self.disturbed, key=lambda item: item.began_at):
--- a/emulator/simulation/oracle.py
+++ b/emulator/simulation/oracle.py
@@ -1,6 +1,6 @@
-"""The oracle: what must always hold, checked on the history of a simulation.
+"""The oracle: checks the history of a simulation for violated invariants.
 
-Each check reads what callers, engines and the store saw, never what a router believes.
+Each check reads the view of callers, engines and the store, never the state of a router.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
         ErrorCode.NOT_READY,
     }
 )
-"""Refusals that wait for nothing."""
+"""Error codes of refusals that are sent without waiting."""
 
 FAILED_EVENT = log_events.REQUEST_FAILED.name
 
 
 def violations(cluster: SimulatedCluster) -> list[str]:
-    """Return everything that went wrong in a run that has ended."""
+    """Return all violations of invariants in a simulation that has ended."""
     return [
         *_stream_violations(cluster),
         *_single_run_violations(cluster),
@@ -51,7 +51,7 @@
 
 
 def _stream_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Every answer is a prefix of the right one, in order; a complete one is whole."""
+    """Check that every answer is a prefix of the expected one, and that none ends too early."""
     for answer in cluster.history.answers:
         expected = expected_tokens(answer.call.prompt, answer.call.max_tokens)
         got = tuple(answer.tokens)
@@ -69,7 +69,7 @@
 
 
 def _single_run_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """A request that isn't repeatable runs once at most, over all sendings of its key."""
+    """Check that a request that isn't repeatable runs at most once for each key."""
     once = {
         prompt_digest(answer.call.prompt): answer
         for answer in cluster.history.answers
@@ -85,7 +85,7 @@
 
 
 def _not_run_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Nothing ran of a sending whose caller was told so, before or after."""
+    """Check that nothing of a sending ran, before or after a response that states so."""
     dispatches = _by_sending(cluster)
     for answer in cluster.history.answers:
         if not answer.says_not_run:
@@ -96,7 +96,7 @@
 
 
 def _planned_stop_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """A planned stop cuts off nobody, and ends."""
+    """Check that a planned stop cuts off no answer and comes to an end."""
     for life in cluster.history.lives:
         if life.planned_stop_at == float("inf"):
             continue
@@ -110,9 +110,9 @@
 
 
 def _amplification_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Attempts beyond the first ones stay within the retry budget of each router.
+    """Check that retries stay within the retry budget of each router.
 
-    An attempt that goes on after tokens of the one before repeats nothing and isn't counted.
+    An attempt that continues after the tokens of an earlier one isn't counted as a retry.
     """
     configurations = [item.accepted.configuration for item in cluster.history.accepted]
     ratio = max(configuration.routing.retry_ratio for configuration in configurations)
@@ -127,13 +127,13 @@
 
 
 def _retries(sent: list[Dispatch]) -> int:
-    """Return the attempts that begin where an earlier one of the same sending began."""
+    """Return the number of attempts that begin at the token where an earlier one began."""
     seen = {(item.sending, len(item.request.continued_text)) for item in sent}
     return len(sent) - len(seen)
 
 
 def _refusal_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Refusals come at once and say when to come back; no answer outlives its deadline."""
+    """Check that refusals are sent at once with ``Retry-After``, and errors by the deadline."""
     log = cluster.history.log
     decided = {line.request_id: line.at for line in log if line.event == FAILED_EVENT}
     classes = {item.name: item for item in cluster.deployment.classes}
@@ -160,7 +160,7 @@
 
 
 def _by_sending(cluster: SimulatedCluster) -> dict[int, list[Dispatch]]:
-    """Return the attempts of each sending."""
+    """Return attempts by the number of their sending."""
     dispatches: dict[int, list[Dispatch]] = defaultdict(list)
     for dispatch in cluster.history.dispatches:
         dispatches[dispatch.sending].append(dispatch)
@@ -168,6 +168,6 @@
 
 
 def _name(answer: Answer) -> str:
-    """Return how messages name a sending."""
+    """Return the description of a sending for messages."""
     call = answer.call
     return f"sending {answer.number} of {call.tenant}/{call.request_class} at {answer.router}"
--- a/emulator/simulation/placement_oracle.py
+++ b/emulator/simulation/placement_oracle.py
@@ -1,4 +1,4 @@
-"""Attempts go only where the configuration allows, and not to back ends that are leaving."""
+"""Checks that attempts go only to engines that are allowed and not leaving."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from hopstep.domain.placement import place_engines
 
 LEAVING_SECONDS = 5.0
-"""Time after which a leaving back end gets no new work."""
+"""Time after which a leaving back end must get no new work."""
 
 
 def placement_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Return attempts sent where they must not go."""
+    """Yield attempts sent to engines that the configuration forbids or that are leaving."""
     lives = {life.number: life for life in cluster.history.lives}
     calls = {answer.number: answer.call for answer in cluster.history.answers}
     revisions = {item.accepted.revision: item.accepted for item in cluster.history.accepted}
@@ -26,7 +26,7 @@
             continue
         due = _due_revision(cluster, lives[dispatch.life], dispatch)
         in_force = _in_force(cluster, dispatch)
-        # A newer revision that is in force before it is due overrides the due one.
+        # A newer revision that is applied before it is due overrides the due one.
         allowed = {revision for revision in in_force if revision >= due} or {due}
         if not any(
             dispatch.address
@@ -41,9 +41,9 @@
 
 
 def _in_force(cluster: SimulatedCluster, dispatch: Dispatch) -> set[int]:
-    """Return the revisions that were in force at the moment of a decision.
+    """Return the revisions that the router had applied at the time of a decision.
 
-    One that came into force at that very moment is concurrent with the decision.
+    One that was applied at exactly that time is concurrent with the decision.
     """
     before = [
         applied.revision
@@ -54,7 +54,7 @@
 
 
 def _due_revision(cluster: SimulatedCluster, life: Life, dispatch: Dispatch) -> int:
-    """Return the latest revision that must be in force at the router by now; 0 for none."""
+    """Return the latest revision due at the router by the time of a decision; 0 for none."""
     history = cluster.history
     due = [
         item.accepted.revision
@@ -65,7 +65,7 @@
 
 
 def _admissible(configuration: Configuration, tenant: str, request_class: str) -> set[str]:
-    """Return the addresses of the engines that may serve."""
+    """Return the addresses of the engines that may serve a tenant's requests of a class."""
     tenants = {item.name: item for item in configuration.tenants}
     classes = {item.name: item for item in configuration.classes}
     if tenant not in tenants or request_class not in classes:
@@ -76,9 +76,9 @@
 
 
 def _leaving_violations(cluster: SimulatedCluster, life: Life, dispatch: Dispatch) -> Iterator[str]:
-    """Return new work that a leaving back end took, a few seconds after it was known.
+    """Yield a dispatch that ran at a leaving back end ``LEAVING_SECONDS`` after it was known.
 
-    A router that has just started has the same few seconds to learn of it.
+    A router that has just started has the same time to learn of it.
     """
     if dispatch.request.nonce not in cluster.runs:
         return
--- a/emulator/simulation/ports.py
+++ b/emulator/simulation/ports.py
@@ -1,4 +1,4 @@
-"""The ports of one simulated router: each call crosses its gate and a link that may be cut."""
+"""Ports of one simulated router: each call crosses its gate and a link that may be cut."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 Result = TypeVar("Result")
 
 PLATFORM_ADDRESS = "platform"
-"""End of the links to the platform's services."""
+"""Address of the platform's services on links."""
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""Time after which a connection over a cut link is given up."""
+"""Time after which a call over a cut link fails."""
 
 Decide = Callable[[str, GenerateRequest], Dispatch]
 OnDispatch = Callable[[Dispatch], None]
@@ -44,12 +44,12 @@
 
 
 class Link:
-    """One router's links to everything else.
+    """Links of one router to all other processes.
 
     Args:
         own: Address of the router.
         faults: Faults of all links.
-        gate: Border of the router's process.
+        gate: Gate of the router's process.
     """
 
     def __init__(self, own: str, faults: LinkFaults, gate: ProcessGate) -> None:
@@ -58,13 +58,13 @@
         self.gate = gate
 
     def reaches(self, address: str) -> bool:
-        """Return whether messages pass both ways."""
+        """Return whether the link is intact in both directions."""
         there = self._faults.connected(self._own, address)
         return there and self._faults.connected(address, self._own)
 
 
 class SimulatedEngines(EnginePort):
-    """The engines as one router reaches them."""
+    """Connection of one router to the engines."""
 
     def __init__(
         self,
@@ -79,9 +79,9 @@
         Args:
             engines: Shared engines.
             link: The router's links.
-            decide: Told of every attempt that is about to be sent.
-            on_dispatch: Told of every attempt that is sent.
-            on_first_frame: Told of the first frame of every stream.
+            decide: Returns the record of an attempt that is about to be sent.
+            on_dispatch: Called with the record of every attempt that is sent.
+            on_first_frame: Called with the first frame of every stream.
         """
         self._engines = engines
         self._link = link
@@ -148,7 +148,7 @@
     async def _call(
         self, address: str, point: str, call: Callable[[], Awaitable[Result]]
     ) -> Result:
-        """Carry out a short call."""
+        """Make a call without a stream."""
         await self._link.gate.cross(point)
         await self._connect(address)
         result = await call()
@@ -162,7 +162,7 @@
         point: str,
         stream: contextlib.AbstractAsyncContextManager[AsyncIterator[TokenFrame]],
     ) -> AsyncIterator[AsyncIterator[TokenFrame]]:
-        """Open a stream and carry its frames over the link."""
+        """Open a stream and pass its frames over the link."""
         async with stream as frames:
             await self._return(address, point)
             async with contextlib.aclosing(self._carry(address, frames)) as carried:
@@ -171,7 +171,7 @@
     async def _carry(
         self, address: str, frames: AsyncIterator[TokenFrame]
     ) -> AsyncGenerator[TokenFrame, None]:
-        """Yield frames while the link holds."""
+        """Yield frames while the link is intact."""
         first = True
         async for frame in frames:
             await self._link.gate.cross("engine.frame")
@@ -186,13 +186,13 @@
             yield frame
 
     async def _connect(self, address: str) -> None:
-        """Raise when no connection can be made; no byte was sent then."""
+        """Raise ``EngineError`` if the link is cut; nothing has been sent."""
         if not self._link.reaches(address):
             await trio.sleep(CONNECT_TIMEOUT_SECONDS)
             raise EngineError(ErrorCode.ENGINE_UNREACHABLE, "the link is cut", Execution.NOT_RUN)
 
     async def _return(self, address: str, point: str) -> None:
-        """Bring an answer back, or lose it on the way."""
+        """Pass an answer back; raise ``EngineError`` if the link is cut."""
         if not self._link.reaches(address):
             await trio.sleep(CONNECT_TIMEOUT_SECONDS)
             raise EngineError(ErrorCode.ENGINE_UNREACHABLE, "the link is cut", Execution.UNKNOWN)
@@ -200,7 +200,7 @@
 
 
 class SimulatedStore(InMemoryStore):
-    """The key-value service as one router reaches it."""
+    """Connection of one router to the key-value service."""
 
     def __init__(self, shared: SharedStore, link: Link) -> None:
         """Connect to the shared store."""
@@ -208,7 +208,7 @@
         self._link = link
 
     async def _call(self, operation: wire.StoreOperation, extra_seconds: float = 0.0) -> Any:
-        """Carry out an operation across the gate and the link."""
+        """Execute an operation across the gate and the link."""
         point = f"store.{type(operation).__name__}"
         await self._link.gate.cross(point)
         self.cut_off = not self._link.reaches(PLATFORM_ADDRESS)
@@ -219,7 +219,7 @@
 
 
 class SimulatedMachineList(InMemoryMachineList):
-    """The machine list as one router reaches it."""
+    """Connection of one router to the machine list."""
 
     def __init__(self, model: MachineListModel, link: Link, flapping: set[str]) -> None:
         """Connect to the shared list.
@@ -254,17 +254,17 @@
     """Carries the HTTP calls of one router to others."""
 
     def __init__(self, link: Link, answer: PeerAnswer) -> None:
-        """Prepare.
+        """Create the transport.
 
         Args:
             link: The router's links.
-            answer: Answers at the other router.
+            answer: Handles a call at the other router.
         """
         self._link = link
         self._answer = answer
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Carry one call there and back."""
+        """Send one call and return its response."""
         await self._link.gate.cross("peer.request")
         address = f"{request.url.host}:{request.url.port}"
         if not self._link.reaches(address):
--- a/emulator/simulation/router.py
+++ b/emulator/simulation/router.py
@@ -47,13 +47,13 @@
 
 
 class SimulatedRouter:
-    """One start of a router, to its end.
+    """One incarnation of a router.
 
     Attributes:
         name: Name of the router.
-        gate: Border of its process.
+        gate: Gate of its process.
         services: Its services.
-        life: What the history knows of it.
+        life: Its record in the history.
         ended: Set at the end of the process.
     """
 
@@ -63,10 +63,10 @@
         """Compose the router; ``run`` starts it.
 
         Args:
-            world: Everything outside.
+            world: Engines, platform and network.
             settings: Settings of the router.
-            number: Number of this start, over all routers.
-            peers: Finds the routers that run.
+            number: Number of this incarnation, over all routers.
+            peers: Finds the running routers.
         """
         self.name = settings.name
         self.settings = settings
@@ -108,11 +108,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process has neither ended nor been killed."""
+        """Whether the process has neither stopped nor been killed."""
         return self.life.ended_at == float("inf")
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Run until killed or until a planned stop has ended."""
+        """Run until killed or until a planned stop is complete."""
         with self._scope:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -124,12 +124,12 @@
         self._end()
 
     def stop(self) -> None:
-        """Ask for a planned stop."""
+        """Request a planned stop."""
         self.life.planned_stop_at = min(self.life.planned_stop_at, trio.current_time())
         self.services.lifecycle.stop()
 
     def kill(self) -> None:
-        """End the process at once, with nothing flushed."""
+        """Kill the process at once, without flushing anything."""
         self.life.killed = self.running
         self.gate.kill()
         self._end()
@@ -146,14 +146,14 @@
             connection.delayed = True
 
     def resume(self) -> None:
-        """Let the process go on as by SIGCONT; a new one in its place isn't paused."""
+        """Resume the process as by SIGCONT; a new incarnation isn't paused."""
         if not self.gate.paused:
             return
         self._world.network.resume(self.settings.address)
         self.gate.resume()
 
     def connect(self, connection: Connection) -> None:
-        """Take a caller's connection; refused before the process listens and after its end."""
+        """Accept a caller's connection, or refuse it before the start and after the end."""
         if self._nursery is None or not self.running:
             connection.close(ConnectionEnd.REFUSED)
             return
@@ -177,13 +177,13 @@
             connection.close(ConnectionEnd.LOST)
 
     async def _handle(self, scope: Any, _receive: object, _send: object) -> None:
-        """Answer an admitted request; takes the place of the web framework."""
+        """Handle an admitted request, in place of the web framework."""
         connection: Connection = scope[CONNECTION_KEY]
         try:
             request = self._resolve(scope[CALLER_KEY], connection.call)
             connection.request_id = request.request_id
             async with self.services.dispatcher.run(request) as answer:
-                # The error is sent here: leaving the block waits for cancels at engines.
+                # The error is sent here, as leaving the block waits for cancels at engines.
                 await self._send_answer(connection, answer)
         except ServiceError as error:
             await self._send_error(connection, error)
@@ -236,7 +236,7 @@
         self._history.applied.append(applied)
 
     def _decide(self, address: str, request: GenerateRequest) -> Dispatch:
-        """Return the record of an attempt at the moment of its decision."""
+        """Return the record of an attempt at the time of its decision."""
         return Dispatch(
             at=trio.current_time(),
             router=self.name,
@@ -260,7 +260,7 @@
                 return
 
     def _end(self) -> None:
-        """Note the end and break every open connection."""
+        """Record the end and break every open connection."""
         if not self.running:
             return
         self.life.ended_at = trio.current_time()
@@ -271,14 +271,14 @@
 
 
 class PeerDirectory:
-    """Finds the routers that run, by address."""
+    """Running routers by address."""
 
     def __init__(self) -> None:
         """Start without routers."""
         self.by_address: dict[str, SimulatedRouter] = {}
 
     async def answer(self, address: str, name: str, body: bytes) -> bytes:
-        """Answer a peer's call at the router at ``address``."""
+        """Handle a peer's call at the router at ``address``."""
         router = self.by_address.get(address)
         if router is None or not router.running:
             raise httpx.ConnectError("the connection was refused")
--- a/emulator/simulation/world.py
+++ b/emulator/simulation/world.py
@@ -1,4 +1,4 @@
-"""Everything outside the routers of a simulation: engines, platform, network, time."""
+"""Surroundings of the routers of a simulation: engines, platform, network, time."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 """Unix time at which simulations begin."""
 
 IDLE_TIMEOUT_SECONDS = 2.0
-"""Time without a byte after which routers count an engine as frozen."""
+"""Time without a byte after which calls treat an engine as frozen."""
 
 HISTORY_LENGTH = 100_000
 
@@ -41,13 +41,13 @@
 """Blocks that each KV cache store holds."""
 
 RunsByNonce = dict[str, list[tuple[str, RunRecord]]]
-"""Address and record of each run at engines."""
+"""Engine address and record of each run, by nonce."""
 
 
 class RecordingStoreModel(KeyValueStoreModel):
-    """Notes every accepted revision at the moment of its acceptance.
+    """Store model that records every accepted revision at the time of its acceptance.
 
-    What is written again after a restore, as it was, isn't noted a second time.
+    A revision that is written again unchanged after a restore isn't recorded a second time.
     """
 
     def __init__(self, history: History) -> None:
@@ -57,7 +57,7 @@
         self._sequence: dict[int, AcceptedConfiguration] = {0: empty_configuration()}
 
     def apply(self, operation: wire.StoreOperation, now: float) -> object:
-        """Carry out any operation."""
+        """Execute an operation, and record an accepted revision."""
         result = super().apply(operation, now)
         if isinstance(operation, wire.CompareAndSwap) and operation.value:
             self._note(operation.key, operation.value, now)
@@ -85,11 +85,11 @@
         deployment: Configuration,
         engine_config: EngineConfig,
     ) -> None:
-        """Start everything but routers. Must be called inside the event loop.
+        """Start everything except the routers. Must be called inside the event loop.
 
         Args:
-            seed: Seed of all chance.
-            history: Takes what happens.
+            seed: Seed of all random choices.
+            history: Records the simulation.
             deployment: First configuration; its engines and KV cache stores are started.
             engine_config: Sizes and speeds of every engine.
         """
@@ -118,11 +118,11 @@
         return EPOCH_SECONDS + trio.current_time()
 
     def show_leaving(self, addresses: frozenset[str]) -> None:
-        """Let the machine list show these engines as leaving, and all others as live."""
+        """Show these engines as leaving in the machine list, and all others as live."""
         self.machine_list.replace(self._machines(addresses), trio.current_time())
 
     def runs(self) -> RunsByNonce:
-        """Return the runs at engines by nonce."""
+        """Return the runs at all engines by nonce."""
         runs: RunsByNonce = {}
         for address in self.engine_addresses:
             for record in self.engines.model(address).runs(trio.current_time()):
