--- a/emulator/engine/admission.py
+++ b/emulator/engine/admission.py
@@ -50,7 +50,7 @@
         raise refuse(ErrorCode.PRECONDITION_FAILED, "other weights are loaded", nonce=nonce)
 
 
-def check_room(
+def check_capacity(
     request: GenerateRequest, prompt: PreparedPrompt, waiting: int, config: EngineConfig
 ) -> None:
     """Refuse a request that can never fit in memory, or when the queue is full.
--- a/emulator/engine/answers.py
+++ b/emulator/engine/answers.py
@@ -13,8 +13,8 @@
 from hopstep.domain.blocks import TOKEN_BYTES
 
 DIGEST_BYTES = 16
-SHORTEST_NATURAL_ANSWER = 256
-NATURAL_ANSWER_SPREAD = 3_840
+SHORTEST_NATURAL_ANSWER_TOKENS = 256
+NATURAL_ANSWER_SPREAD_TOKENS = 3_840
 _RANDOM_BYTES_PER_TOKEN = 3
 
 
@@ -25,7 +25,7 @@
 
 def natural_answer_length(digest: str) -> int:
     """Return the number of tokens after which the model stops by itself."""
-    return SHORTEST_NATURAL_ANSWER + int(digest[:8], 16) % NATURAL_ANSWER_SPREAD
+    return SHORTEST_NATURAL_ANSWER_TOKENS + int(digest[:8], 16) % NATURAL_ANSWER_SPREAD_TOKENS
 
 
 def answer_tokens(digest: str, start: int, stop: int) -> tuple[str, ...]:
--- a/emulator/engine/attempts.py
+++ b/emulator/engine/attempts.py
@@ -129,8 +129,8 @@
 ) -> Attempt:
     """Return a waiting attempt for an accepted request."""
     first_sequence = len(request.continued_text)
-    natural_rest = max(0, natural_answer_length(prompt.digest) - first_sequence)
-    stops_by_itself = natural_rest <= request.max_tokens
+    natural_tokens_left = max(0, natural_answer_length(prompt.digest) - first_sequence)
+    stops_by_itself = natural_tokens_left <= request.max_tokens
     return Attempt(
         nonce=request.nonce,
         model=request.model,
@@ -138,7 +138,7 @@
         order=order,
         prompt=prompt,
         first_sequence=first_sequence,
-        token_limit=min(request.max_tokens, natural_rest),
+        token_limit=min(request.max_tokens, natural_tokens_left),
         finish_reason=FinishReason.STOP if stops_by_itself else FinishReason.LENGTH,
         kv_cache_store=request.kv_cache_store,
         importable_blocks=importable_blocks,
--- a/emulator/engine/faults.py
+++ b/emulator/engine/faults.py
@@ -105,7 +105,7 @@
 
 async def _cut(frames: Frames, limit: int) -> Frames:
     """Yield the first ``limit`` tokens, then break off; all of them if it is negative."""
-    rest = limit
+    tokens_left = limit
     async with contextlib.aclosing(frames):
         if limit == 0:
             raise StreamCutError
@@ -113,10 +113,12 @@
             if frame is None or limit < 0:
                 yield frame
                 continue
-            if len(frame.tokens) >= rest:
-                yield msgspec.structs.replace(frame, tokens=frame.tokens[:rest], finish_reason=None)
+            if len(frame.tokens) >= tokens_left:
+                yield msgspec.structs.replace(
+                    frame, tokens=frame.tokens[:tokens_left], finish_reason=None
+                )
                 raise StreamCutError
-            rest -= len(frame.tokens)
+            tokens_left -= len(frame.tokens)
             yield frame
 
 
--- a/emulator/engine/in_process.py
+++ b/emulator/engine/in_process.py
@@ -44,7 +44,7 @@
 
     Attributes:
         fatal_prompts: Prompts that crash each engine that starts them; it restarts at once.
-        ends: Times of crashes under such prompts, in seconds.
+        crash_times: Times of crashes under such prompts, in seconds.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._kv_cache_stores: dict[str, KvCacheStoreModel] = {}
         self._down: set[str] = set()
         self.fatal_prompts: set[str] = set()
-        self.ends: list[float] = []
+        self.crash_times: list[float] = []
 
     def add_engine(self, address: str, model: EngineModel) -> None:
         """Serve an engine at ``address``."""
@@ -99,7 +99,7 @@
         importable = self._importable_blocks(request)
         attempt = await self._exchange(lambda: host.generate(request, importable))
         if request.prompt in self.fatal_prompts:
-            trio.lowlevel.spawn_system_task(self._end_later, host)
+            trio.lowlevel.spawn_system_task(self._crash_later, host)
         frames = self._read(host, attempt, attempt.first_sequence)
         async with contextlib.aclosing(frames):
             yield frames
@@ -146,10 +146,10 @@
         host = self._connect(address)
         return await self._call(host, lambda now: host.model.order(order, now))
 
-    async def _end_later(self, host: EngineHost) -> None:
+    async def _crash_later(self, host: EngineHost) -> None:
         """Crash an engine some time after it started a fatal prompt."""
         await trio.sleep(FATAL_SECONDS)
-        self.ends.append(trio.current_time())
+        self.crash_times.append(trio.current_time())
         host.set_faults(EngineFaults(crash=True))
 
     def _connect(self, address: str) -> EngineHost:
@@ -172,7 +172,7 @@
             with trio.fail_after(self._idle_timeout_seconds):
                 result = await send()
         except EngineRefusalError as error:
-            raise _refused(error.refusal) from error
+            raise _refusal_error(error.refusal) from error
         except (AnswerLostError, trio.TooSlowError) as error:
             raise EngineError(
                 ErrorCode.ENGINE_UNREACHABLE, "no answer came", Execution.UNKNOWN
@@ -197,7 +197,7 @@
                 yield frame
                 finished |= frame.finish_reason is not None and frame.nonce == attempt.nonce
         if not finished:
-            raise _cut_off()
+            raise _cut_off_error()
 
     async def _next_frame(self, frames: Frames) -> TokenFrame | None:
         """Return the next frame or keep-alive."""
@@ -205,9 +205,9 @@
             with trio.fail_after(self._idle_timeout_seconds):
                 return await anext(frames)
         except EngineRefusalError as error:
-            raise _refused(error.refusal) from error
+            raise _refusal_error(error.refusal) from error
         except (StreamCutError, trio.TooSlowError) as error:
-            raise _cut_off() from error
+            raise _cut_off_error() from error
 
     def _importable_blocks(self, request: GenerateRequest) -> int:
         """Return how many leading blocks the request's KV cache store holds."""
@@ -224,13 +224,13 @@
                 store.write(export.block_keys)
 
 
-def _refused(refusal: Refusal) -> EngineError:
+def _refusal_error(refusal: Refusal) -> EngineError:
     """Return the port's error for a refusal."""
     return EngineError(
         refusal.code, refusal.message, refusal.execution, refusal.retry_after_seconds
     )
 
 
-def _cut_off() -> EngineError:
+def _cut_off_error() -> EngineError:
     """Return the port's error for a stream that ends without its last frame."""
     return EngineError(ErrorCode.STREAM_INTERRUPTED, "the stream was cut off", Execution.UNKNOWN)
--- a/emulator/engine/model.py
+++ b/emulator/engine/model.py
@@ -9,7 +9,7 @@
 
 import random
 
-from emulator.engine.admission import check_room, check_state, check_weights
+from emulator.engine.admission import check_capacity, check_state, check_weights
 from emulator.engine.attempts import (
     Attempt,
     AttemptState,
@@ -21,7 +21,7 @@
 from emulator.engine.config import EngineConfig
 from emulator.engine.event_log import EventLog
 from emulator.engine.load_history import LoadHistory
-from emulator.engine.nonces import NonceRegistry, unproved
+from emulator.engine.nonces import NonceRegistry, unproved_refusal
 from emulator.engine.records import ExecutionLog, RunRecord
 from emulator.engine.refusal import refuse
 from emulator.engine.scheduler import BatchScheduler, Notice, NoticeKind
@@ -127,13 +127,13 @@
         check_state(request, self.incarnation, self._role, self.leaving)
         check_weights(request, self.weights, self._config)
         prompt = prompt or prepare_prompt(request)
-        check_room(request, prompt, self._scheduler.waiting_count, self._config)
+        check_capacity(request, prompt, self._scheduler.waiting_count, self._config)
         self._order += 1
         attempt = new_attempt(request, prompt, self._order, now, importable_blocks)
         self._nonces.add(attempt)
         first_new = len(self._notices)
         self._scheduler.add(attempt, now, self._notices)
-        self._settle(first_new)
+        self._record_notices(first_new)
         return attempt
 
     def resume(self, nonce: str, incarnation: str, next_sequence: int, now: float) -> Attempt:
@@ -167,9 +167,9 @@
         outcome = self._nonces.outcome(nonce)
         if outcome is not None:
             return outcome
-        self._nonces.bury(nonce)
+        self._nonces.mark_not_started(nonce)
         if not incarnation:
-            raise unproved(nonce, "the nonce was never seen in this incarnation")
+            raise unproved_refusal(nonce, "the nonce was never seen in this incarnation")
         return CancelOutcome.NOT_STARTED
 
     def fence_nonce(self, nonce: str, incarnation: str, now: float) -> AttemptStatus:
@@ -329,17 +329,17 @@
             self._now = event_time
             self._scheduler.advance(event_time, self._notices)
         self._now = now
-        self._settle(first_new)
+        self._record_notices(first_new)
         if self.weights.waiting_models():
             self._begin_loads(now)
         self.weights.complete(now)
         if self._history.due(now):
             self._history.record(now, self._load_now())
 
-    def _settle(self, first_new: int) -> None:
+    def _record_notices(self, first_new: int) -> None:
         """Record the notices from index ``first_new`` on."""
         for notice in self._notices[first_new:]:
-            self.executions.note(notice, self.incarnation)
+            self.executions.record(notice, self.incarnation)
             if notice.kind is NoticeKind.FINISHED:
                 self._nonces.end(notice.attempt)
 
@@ -357,13 +357,13 @@
         first_new = len(self._notices)
         self._scheduler.withdraw(attempt, AttemptState.CANCELLED, now, self._notices)
         self._nonces.end(attempt, outcome)
-        self._settle(first_new)
+        self._record_notices(first_new)
         return outcome
 
     def _check_incarnation(self, nonce: str, incarnation: str) -> None:
         """Refuse a call about an attempt of another incarnation, as its state is unknown here."""
         if incarnation != self.incarnation:
-            raise unproved(nonce, "the attempt belongs to another incarnation")
+            raise unproved_refusal(nonce, "the attempt belongs to another incarnation")
 
     def _load_now(self) -> LoadReport:
         """Return the load without advancing the engine."""
--- a/emulator/engine/nonces.py
+++ b/emulator/engine/nonces.py
@@ -71,7 +71,7 @@
         """
         attempt = self.find(nonce)
         if attempt is None:
-            raise unproved(nonce, "the attempt isn't held in this incarnation")
+            raise unproved_refusal(nonce, "the attempt isn't held in this incarnation")
         last = attempt.first_sequence + attempt.token_limit
         if attempt.first_sequence <= next_sequence <= last:
             return attempt
@@ -90,11 +90,11 @@
             return AttemptStatus.QUEUED if waiting else AttemptStatus.RUNNING
         outcome = self.outcome(nonce)
         if outcome is None:
-            self.bury(nonce)
+            self.mark_not_started(nonce)
             return AttemptStatus.NOT_SEEN
         return _STATUS_OF_OUTCOME[outcome]
 
-    def bury(self, nonce: str) -> None:
+    def mark_not_started(self, nonce: str) -> None:
         """Record a nonce that was never seen as not started, so that it never starts."""
         self._remember(nonce, CancelOutcome.NOT_STARTED)
 
@@ -118,6 +118,6 @@
             self._outcomes.popitem(last=False)
 
 
-def unproved(nonce: str, message: str) -> EngineRefusalError:
+def unproved_refusal(nonce: str, message: str) -> EngineRefusalError:
     """Return the refusal of a call that proves nothing about an attempt's execution."""
     return refuse(ErrorCode.PRECONDITION_FAILED, message, nonce=nonce, execution=Execution.UNKNOWN)
--- a/emulator/engine/scheduler.py
+++ b/emulator/engine/scheduler.py
@@ -65,7 +65,7 @@
         matched = self._cache.match(keys, self._cacheable_blocks(attempt))
         attempt.prefill_tokens_left = attempt.prompt.token_count - matched * BLOCK_TOKENS
         self.pending_prefill_tokens += attempt.prefill_tokens_left
-        self._wake(now, notices)
+        self._reschedule(now, notices)
 
     def advance(self, now: float, notices: list[Notice]) -> None:
         """Execute every step that ends at or before ``now``."""
@@ -104,12 +104,12 @@
         if attempt.state is AttemptState.WAITING:
             self.waiting_count -= 1
         else:
-            self._leave_batch(attempt)
+            self._remove_from_batch(attempt)
         self.pending_prefill_tokens -= attempt.prefill_tokens_left
         attempt.prefill_tokens_left = 0
         attempt.state = state
         attempt.ended_at = now
-        self._wake(now, notices)
+        self._reschedule(now, notices)
 
     def runs(self, model: str) -> bool:
         """Return whether an attempt of ``model`` is in the batch."""
@@ -132,7 +132,7 @@
         """Return how many blocks may come from a cache; the last token is always computed."""
         return (attempt.prompt.token_count - 1) // BLOCK_TOKENS
 
-    def _wake(self, now: float, notices: list[Notice]) -> None:
+    def _reschedule(self, now: float, notices: list[Notice]) -> None:
         """Reschedule the batch: at once when idle, else after the present step."""
         if self._segment.steps:
             self._segment.cut(now)
@@ -177,13 +177,13 @@
 
     def _finish(self, attempt: Attempt, now: float, notices: list[Notice]) -> None:
         """Finish an attempt that has generated all its tokens."""
-        self._leave_batch(attempt)
+        self._remove_from_batch(attempt)
         attempt.generated = attempt.token_limit
         attempt.state = AttemptState.FINISHED
         attempt.ended_at = now
         notices.append(Notice(NoticeKind.FINISHED, attempt, now))
 
-    def _leave_batch(self, attempt: Attempt) -> None:
+    def _remove_from_batch(self, attempt: Attempt) -> None:
         """Remove a running attempt from the batch and release its blocks."""
         keys = attempt.prompt.block_keys
         self._cache.release(keys[: attempt.held_blocks], attempt.reserved_blocks)
@@ -279,7 +279,7 @@
         attempt.state = AttemptState.PREFILLING
         self._compute(attempt, attempt.imported_tokens)
         heapq.heappush(self._prefilling, (attempt.priority, attempt.order, attempt))
-        self._wake(ready_at, notices)
+        self._reschedule(ready_at, notices)
 
     @staticmethod
     def _drop_ended_heads(heap: list[tuple[int, int, Attempt]]) -> None:
--- a/emulator/engine/server.py
+++ b/emulator/engine/server.py
@@ -73,7 +73,7 @@
         app.add_url_rule(ADMIN_RUNS_PATH, view_func=self.runs)
         app.register_error_handler(EngineRefusalError, _refused)
         app.register_error_handler(msgspec.DecodeError, _malformed)
-        app.register_error_handler(AnswerLostError, _lost)
+        app.register_error_handler(AnswerLostError, _lost_answer)
 
     async def generate(self) -> quart.Response:
         """Accept an attempt and stream its frames."""
@@ -185,6 +185,6 @@
     return json_response(refusal, _BAD_REQUEST)
 
 
-async def _lost(_: AnswerLostError) -> quart.Response:
+async def _lost_answer(_: AnswerLostError) -> quart.Response:
     """Return a response that breaks the connection."""
     return lost_response()
--- a/emulator/engine/service.py
+++ b/emulator/engine/service.py
@@ -85,7 +85,7 @@
             if not host.model.weights.busy:
                 await host.wait_for_call()
             host.model.advance(trio.current_time())
-            for model, version in host.model.weights.open_loads().items():
+            for model, version in host.model.weights.loads_without_end().items():
                 seconds = await weight_store.begin_load(model, version)
                 ready_at = trio.current_time() + seconds
                 set_end = functools.partial(
--- a/emulator/engine/weights.py
+++ b/emulator/engine/weights.py
@@ -59,7 +59,7 @@
         load.begun = True
         load.ready_at = now + self._load_time(now)
 
-    def open_loads(self) -> dict[str, str]:
+    def loads_without_end(self) -> dict[str, str]:
         """Return versions by model of loads that have begun and whose end isn't known yet."""
         return {
             model: load.version
--- a/emulator/exchange_platform/http_instance.py
+++ b/emulator/exchange_platform/http_instance.py
@@ -51,7 +51,7 @@
     born_ms: int = 1
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Name of this incarnation: the instance's id and the time of its start."""
         return f"{self.instance_id}@{self.born_ms}"
 
@@ -74,17 +74,17 @@
     late_order_seconds: float = 2.0
 
 
-class InstanceWords(msgspec.Struct):
+class ResponseNotices(msgspec.Struct):
     """Notices in an instance's response headers, independent of its entry in the store.
 
     Attributes:
         leaving: Whether every response announces that the instance is about to shut down.
-        rest_seconds: Backoff that refusals ask for; while above 0, every request is refused.
+        backoff_seconds: Backoff that refusals ask for; while above 0, every request is refused.
         limit: Announced limit in requests per second, over all nodes; None for no limit.
     """
 
     leaving: bool = False
-    rest_seconds: float = 0.0
+    backoff_seconds: float = 0.0
     limit: float | None = None
 
 
@@ -100,28 +100,30 @@
 class InstanceListener(Protocol):
     """Receives events of an instance."""
 
-    def arrived(self, instance: HttpInstance, request_id: str) -> None:
+    def request_arrived(self, instance: HttpInstance, request_id: str) -> None:
         """Handle the arrival of a request, before it is run or refused."""
 
-    def said(self, instance: HttpInstance, request_id: str, words: InstanceWords) -> None:
+    def notices_sent(
+        self, instance: HttpInstance, request_id: str, notices: ResponseNotices
+    ) -> None:
         """Handle a response that carries notices of the instance."""
 
-    def began(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
+    def run_started(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
         """Handle the start of a run."""
 
-    def ended(self, instance: HttpInstance, stamp: str) -> None:
+    def run_ended(self, instance: HttpInstance, stamp: str) -> None:
         """Handle the end of a run, complete or not."""
 
-    def ordered(self, instance: HttpInstance, holder: str, token: int) -> None:
+    def order_executed(self, instance: HttpInstance, holder: str, token: int) -> None:
         """Handle the execution of an order."""
 
-    def asked(self, instance: HttpInstance) -> None:
+    def control_request_arrived(self, instance: HttpInstance) -> None:
         """Handle the arrival of an order or of a query for the report."""
 
-    def changed(self, instance: HttpInstance) -> None:
+    def entry_changed(self, instance: HttpInstance) -> None:
         """Handle a change of the instance's entry."""
 
-    def met_fatal(self, instance: HttpInstance, request: str) -> None:
+    def fatal_request_started(self, instance: HttpInstance, request: str) -> None:
         """Handle the start of a request, named by its caller, that crashes the instance."""
 
 
@@ -149,7 +151,7 @@
         """
         self.traits = traits
         self.faults = InstanceFaults()
-        self.words = InstanceWords()
+        self.notices = ResponseNotices()
         self.version = 1 if traits.model else 0
         self.draining = False
         self.order_sequence = 0
@@ -157,7 +159,7 @@
         self.app = _create_app(self)
         self._listener = listener
         self._generator = generator
-        self._busy = False
+        self._loading = False
         self._highest_fence = 0
         self._nursery: trio.Nursery | None = None
 
@@ -187,7 +189,7 @@
         headers = quart.request.headers
         request_id = headers.get("Attempt-Id", "")
         body = await quart.request.get_data()
-        self._listener.arrived(self, request_id)
+        self._listener.request_arrived(self, request_id)
         refusal = self._refusal(headers)
         if refusal is not None:
             return refusal
@@ -198,10 +200,10 @@
             headers.get("Cache-Salt", ""),
             "X-Api-Key" in headers,
         )
-        self._listener.began(self, shown, stamp)
+        self._listener.run_started(self, shown, stamp)
         wanted = json.loads(body) if body else {}
         if "fatal" in wanted:
-            self._listener.met_fatal(self, wanted["fatal"])
+            self._listener.fatal_request_started(self, wanted["fatal"])
             with self._running(stamp):
                 await trio.sleep_forever()
         fields = {
@@ -223,14 +225,14 @@
             expected is not None and int(expected) != self.version
         ):
             return quart.Response(b"", status=MISDIRECTED, headers={"Instance-Id": own})
-        if self.words.rest_seconds:
+        if self.notices.backoff_seconds:
             fields = {
                 "Not-Executed": "1",
                 "Attempt-Id": headers.get("Attempt-Id", ""),
-                "Retry-After": f"{self.words.rest_seconds:.3f}",
+                "Retry-After": f"{self.notices.backoff_seconds:.3f}",
             }
             return quart.Response(b"", status=UNAVAILABLE, headers=fields)
-        if self._busy or self.active >= self.traits.slots:
+        if self._loading or self.active >= self.traits.slots:
             return quart.Response(b"", status=UNAVAILABLE, headers={"Not-Executed": "1"})
         return None
 
@@ -242,7 +244,7 @@
             yield
         finally:
             self.active -= 1
-            self._listener.ended(self, stamp)
+            self._listener.run_ended(self, stamp)
 
     async def _plain(
         self, request_id: str, stamp: str, fields: dict[str, str], work_ms: float
@@ -250,9 +252,9 @@
         """Run a plain request and return its response."""
         with self._running(stamp):
             await trio.sleep(work_ms / MILLISECONDS)
-        if self._draws(self.faults.losing):
+        if self._draw_fault(self.faults.losing):
             return lost_response()
-        if self._draws(self.faults.failing):
+        if self._draw_fault(self.faults.failing):
             return quart.Response(b"failed", status=FAILED, headers=fields)
         return quart.Response(f"done {request_id}".encode(), headers=fields)
 
@@ -261,7 +263,7 @@
     ) -> AsyncIterator[bytes]:
         """Yield the events of a stream, or break off in the middle of one."""
         breaks_at = -1
-        if self._draws(self.faults.breaking):
+        if self._draw_fault(self.faults.breaking):
             breaks_at = self._generator.randrange(first, max(first + 1, count))
         with self._running(stamp):
             for number in range(first, count):
@@ -277,17 +279,17 @@
         if quart.request.headers.get("Expect-Instance", "") != self.traits.instance_id:
             return quart.Response(b"", status=MISDIRECTED)
         order = msgspec.json.decode(await quart.request.get_data(), type=_Order)
-        if self._draws(self.faults.late_orders) and self._nursery is not None:
-            self._nursery.start_soon(self._carry_out_late, order)
+        if self._draw_fault(self.faults.late_orders) and self._nursery is not None:
+            self._nursery.start_soon(self._execute_late, order)
             return lost_response()
-        return quart.Response(b"", status=self._take(order))
+        return quart.Response(b"", status=self._execute(order))
 
-    async def _carry_out_late(self, order: _Order) -> None:
+    async def _execute_late(self, order: _Order) -> None:
         """Execute an order after its answer was lost."""
         await trio.sleep(self.faults.late_order_seconds)
-        self._take(order)
+        self._execute(order)
 
-    def _take(self, order: _Order) -> int:
+    def _execute(self, order: _Order) -> int:
         """Execute an order if its conditions hold; return the HTTP status."""
         if order.fencing_token < self._highest_fence:
             return 412
@@ -295,11 +297,11 @@
         if order.version == self.version:
             return 200
         expected = order.expected_revision
-        if self._busy or (expected is not None and expected != self.order_sequence):
+        if self._loading or (expected is not None and expected != self.order_sequence):
             return 409
-        self._listener.ordered(self, order.holder, order.fencing_token)
+        self._listener.order_executed(self, order.holder, order.fencing_token)
         self.order_sequence += 1
-        self._busy = True
+        self._loading = True
         if self._nursery is not None:
             self._nursery.start_soon(self._load, order.version)
         return 202
@@ -308,29 +310,29 @@
         """Load a weights version."""
         await trio.sleep(self.traits.load_seconds)
         self.version = version
-        self._busy = False
-        self._listener.changed(self)
+        self._loading = False
+        self._listener.entry_changed(self)
 
     def report(self) -> dict[str, object]:
         """Return the instance's report."""
         return {
-            "busy": self._busy,
+            "busy": self._loading,
             "callSequence": self.order_sequence,
             "activeRequests": self.active,
             "models": [{"name": self.traits.model, "version": self.version}],
             "born": self.traits.born_ms,
         }
 
-    def tell_words(self, request_id: str, *, rests: bool) -> None:
+    def report_notices(self, request_id: str, *, asks_backoff: bool) -> None:
         """Notify the listener of the notices in a response, if there are any."""
-        said = self.words
-        words = InstanceWords(said.leaving, said.rest_seconds if rests else 0.0, said.limit)
-        if words != InstanceWords():
-            self._listener.said(self, request_id, words)
+        own = self.notices
+        sent = ResponseNotices(own.leaving, own.backoff_seconds if asks_backoff else 0.0, own.limit)
+        if sent != ResponseNotices():
+            self._listener.notices_sent(self, request_id, sent)
 
-    def note_asked(self) -> None:
+    def report_control_request(self) -> None:
         """Notify the listener of an order or a query for the report."""
-        self._listener.asked(self)
+        self._listener.control_request_arrived(self)
 
     def _stamp(self, request_id: str) -> str:
         """Return a signature that is unique to a run."""
@@ -338,7 +340,7 @@
         text = f"{self.traits.instance_id} {request_id}".encode()
         return hashlib.blake2b(text, key=salt, digest_size=8).hexdigest()
 
-    def _draws(self, share: float) -> bool:
+    def _draw_fault(self, share: float) -> bool:
         """Draw whether a fault occurs that has this share."""
         return share > 0 and self._generator.random() < share
 
@@ -348,21 +350,21 @@
     app = quart_trio.QuartTrio(__name__)
 
     @app.after_request
-    async def say(response: quart.Response) -> quart.Response:
+    async def add_notices(response: quart.Response) -> quart.Response:
         """Add the instance's notices to a response and notify the listener."""
         request_id = quart.request.headers.get("Attempt-Id", "")
-        if instance.words.leaving:
+        if instance.notices.leaving:
             response.headers["Server-Leaving"] = "1"
-        if instance.words.limit is not None:
-            response.headers["Server-Limit"] = f"{instance.words.limit:g}"
+        if instance.notices.limit is not None:
+            response.headers["Server-Limit"] = f"{instance.notices.limit:g}"
         if request_id:
-            instance.tell_words(request_id, rests="Retry-After" in response.headers)
+            instance.report_notices(request_id, asks_backoff="Retry-After" in response.headers)
         return response
 
     @app.get("/report")
     async def report() -> quart.Response:
         """Return the instance's report."""
-        instance.note_asked()
+        instance.report_control_request()
         return json_response(instance.report())
 
     @app.get("/kv-events")
@@ -383,7 +385,7 @@
     @app.post("/order")
     async def order() -> quart.Response:
         """Execute an order."""
-        instance.note_asked()
+        instance.report_control_request()
         return await instance.order()
 
     @app.route("/<path:path>", methods=["GET", "POST"])
--- a/emulator/exchange_platform/instances.py
+++ b/emulator/exchange_platform/instances.py
@@ -31,7 +31,7 @@
 FATAL_SECONDS = 0.1
 """Time from the start of a fatal request to the instance's crash, as seen at users' engines."""
 
-LOOK_SECONDS = 0.003
+CONNECT_SECONDS = 0.003
 """Time to open a connection within a region."""
 
 FAILURE_STATUS = 500
@@ -47,7 +47,7 @@
     REPLACED = "replaced"
     UNREACHABLE = "unreachable"
     NO_CONNECTION = "no_connection"
-    SILENT = "silent"
+    UNRESPONSIVE = "unresponsive"
     LOSE_ANSWER = "lose_answer"
     BREAK_STREAM = "break_stream"
     CUT_EVENT = "cut_event"
@@ -61,7 +61,7 @@
 """Behaviours that end a stream before its last event."""
 
 
-UNHEARD = frozenset({Behaviour.NO_CONNECTION})
+UNREACHABLE_BUT_RUNNING = frozenset({Behaviour.NO_CONNECTION})
 """Behaviours of an instance that can't be reached but may be running."""
 
 
@@ -99,7 +99,7 @@
         self.event_seconds = 0.02
         self.events_before_break = 2
         self.load_seconds = 0.6
-        self.lose_order_answers = 0
+        self.lost_order_answers = 0
         self.order_delay_seconds = 0.0
         self.runs: list[Run] = []
         self.arrivals = 0
@@ -108,13 +108,13 @@
         self.order_sequence = instance.order_sequence
         self.highest_fence = 0
         self.orders: list[tuple[float, WeightsOrder]] = []
-        self.attempted: list[tuple[float, WeightsOrder]] = []
+        self.received_orders: list[tuple[float, WeightsOrder]] = []
         self.busy = False
         self.reported_born_ms = instance.born_ms
         self.connect_seconds = 0.0
-        self.says_leaving = False
-        self.sheds_for = 0.0
-        self.names_limit: float | None = None
+        self.announces_leaving = False
+        self.requested_backoff_seconds = 0.0
+        self.announced_limit: float | None = None
         self.arrived_at: list[float] = []
         self.ended_at: float | None = None
         self._ended = trio.Event()
@@ -133,10 +133,12 @@
     def notice(self) -> InstanceNotice:
         """Return the notice in its response headers.
 
-        ``sheds_for`` is the backoff in seconds that refusals ask for, ``names_limit`` the requests
-        per second that the instance accepts from all nodes together.
+        ``requested_backoff_seconds`` is the backoff that refusals ask for, ``announced_limit`` the
+        requests per second that the instance accepts from all nodes together.
         """
-        return InstanceNotice(self.says_leaving, self.sheds_for, LimitWord(self.names_limit))
+        return InstanceNotice(
+            self.announces_leaving, self.requested_backoff_seconds, LimitWord(self.announced_limit)
+        )
 
     async def work(self, seconds: float) -> None:
         """Wait for the duration of a request's work.
@@ -147,7 +149,7 @@
         with trio.move_on_after(seconds):
             await self._ended.wait()
         if self.ended_at is not None:
-            raise _broken()
+            raise _broken_off()
 
 
 class EmulatedAnswer(InstanceAnswer):
@@ -190,7 +192,7 @@
                     yield f"id: {number}\ndata: cut o".encode()
                 if behaviour is Behaviour.SKIP_EVENT:
                     yield _event(number) + _event(number + 2)
-                raise _broken()
+                raise _broken_off()
             yield _event(number)
 
 
@@ -216,11 +218,11 @@
         self.fatal_seconds = FATAL_SECONDS
         self.calls: list[InstanceCall] = []
         self.dropped: list[str] = []
-        self._silent: set[str] = set()
+        self._blocked: set[str] = set()
 
-    def silence_connections(self, address: str) -> None:
+    def block_connections(self, address: str) -> None:
         """Leave calls to an address without response until its idle connections are dropped."""
-        self._silent.add(address)
+        self._blocked.add(address)
 
     def add(self, instance: Instance) -> EmulatedInstance:
         """Start an instance."""
@@ -248,7 +250,7 @@
         if not call.may_send():
             raise withdrawn_call()
         call.proof.sent = True
-        if call.instance.address in self._silent:
+        if call.instance.address in self._blocked:
             await trio.sleep_forever()
         server.arrivals += 1
         server.arrived_at.append(trio.current_time())
@@ -260,12 +262,12 @@
 
     async def _begin(self, server: EmulatedInstance, call: InstanceCall) -> InstanceAnswer:
         """Run a request up to the head of its response."""
-        if server.sheds_for:
+        if server.requested_backoff_seconds:
             await trio.sleep(0.001)
             call.hear(server.notice())
             raise InstanceCallError(ErrorCode.OVERLOADED, "not run", Execution.NOT_RUN)
         rejecting = server.behaviour in (Behaviour.REJECT, Behaviour.REPLACED)
-        if rejecting or not _meets(server, call):
+        if rejecting or not _meets_preconditions(server, call):
             await trio.sleep(0.001)
             replaced = server.behaviour is Behaviour.REPLACED
             stale = not server.busy and not replaced and server.behaviour is not Behaviour.REJECT
@@ -276,7 +278,7 @@
                 stale_version=stale,
                 replaced=replaced,
             )
-        if server.behaviour is Behaviour.SILENT:
+        if server.behaviour is Behaviour.UNRESPONSIVE:
             await trio.sleep_forever()
         model = call.request.prompt.model if call.request.prompt is not None else ""
         server.runs.append(
@@ -289,11 +291,11 @@
             )
         )
         if call.request.body in self.fatal_bodies:
-            trio.lowlevel.spawn_system_task(self._end_later, server)
+            trio.lowlevel.spawn_system_task(self._crash_later, server)
             await server.work(float("inf"))
         await server.work(server.work_seconds)
         if server.behaviour is Behaviour.LOSE_ANSWER:
-            raise _broken()
+            raise _broken_off()
         if server.behaviour is Behaviour.OTHER_ANSWER:
             raise InstanceCallError(ErrorCode.EXECUTION_UNKNOWN, "another's", Execution.UNKNOWN)
         call.hear(server.notice())
@@ -313,7 +315,7 @@
         self.servers[instance.instance_id].end()
         return self.add(instance)
 
-    async def _end_later(self, server: EmulatedInstance) -> None:
+    async def _crash_later(self, server: EmulatedInstance) -> None:
         """Crash an instance some time after it began a fatal request."""
         await trio.sleep(self.fatal_seconds)
         if server.ended_at is None:
@@ -322,9 +324,9 @@
 
     async def look(self, instance: Instance) -> InstanceSign:
         """Probe an instance; see the port."""
-        await trio.sleep(LOOK_SECONDS)
+        await trio.sleep(CONNECT_SECONDS)
         server = self.servers.get(instance.instance_id)
-        if server is not None and server.behaviour in UNHEARD:
+        if server is not None and server.behaviour in UNREACHABLE_BUT_RUNNING:
             return InstanceSign.NO_ANSWER
         reachable = server is not None and server.is_reachable
         return InstanceSign.ANSWERS if reachable else InstanceSign.ENDED
@@ -337,7 +339,7 @@
         """Drop idle connections, which may be unresponsive; see the port."""
         await trio.lowlevel.checkpoint()
         self.dropped.append(address)
-        self._silent.discard(address)
+        self._blocked.discard(address)
 
     async def forget(self, address: str) -> None:
         """Close the connections to an address; see the port."""
@@ -352,22 +354,22 @@
         server.arrived_at.append(trio.current_time())
         hear(server.notice())
         if server.order_delay_seconds:
-            trio.lowlevel.spawn_system_task(self._carry_out_late, server, order)
+            trio.lowlevel.spawn_system_task(self._execute_late, server, order)
             return OrderOutcome.UNKNOWN
-        outcome = self._take(server, order)
-        if server.lose_order_answers > 0:
-            server.lose_order_answers -= 1
+        outcome = self._execute(server, order)
+        if server.lost_order_answers > 0:
+            server.lost_order_answers -= 1
             return OrderOutcome.UNKNOWN
         return outcome
 
-    async def _carry_out_late(self, server: EmulatedInstance, order: WeightsOrder) -> None:
+    async def _execute_late(self, server: EmulatedInstance, order: WeightsOrder) -> None:
         """Execute an order later, at the incarnation that the instance then has."""
         await trio.sleep(server.order_delay_seconds)
-        self._take(self.servers[server.instance.instance_id], order)
+        self._execute(self.servers[server.instance.instance_id], order)
 
-    def _take(self, server: EmulatedInstance, order: WeightsOrder) -> OrderOutcome:
+    def _execute(self, server: EmulatedInstance, order: WeightsOrder) -> OrderOutcome:
         """Execute an order if its conditions hold."""
-        server.attempted.append((trio.current_time(), order))
+        server.received_orders.append((trio.current_time(), order))
         if order.fencing_token < server.highest_fence:
             return OrderOutcome.FENCED
         server.highest_fence = order.fencing_token
@@ -407,7 +409,7 @@
         )
 
 
-def _meets(server: EmulatedInstance, call: InstanceCall) -> bool:
+def _meets_preconditions(server: EmulatedInstance, call: InstanceCall) -> bool:
     """Return whether an instance meets a call's preconditions."""
     prompt = call.request.prompt
     if not call.expected_version or prompt is None:
@@ -420,6 +422,6 @@
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
-def _broken() -> InstanceCallError:
+def _broken_off() -> InstanceCallError:
     """Return the error of a response that broke off."""
     return InstanceCallError(ErrorCode.STREAM_INTERRUPTED, "broke off", Execution.UNKNOWN)
--- a/emulator/exchange_platform/store.py
+++ b/emulator/exchange_platform/store.py
@@ -71,7 +71,7 @@
         if isinstance(error, StoreOutcomeUnknownError):
             return lost_response()
         refusal = json_response({"error": error.message}, STATUS_OF_CODE[error.code])
-        return _tell_era(refusal, shared.model.era)
+        return _with_era(refusal, shared.model.era)
 
     return app
 
@@ -85,9 +85,9 @@
         effect = await shared.execute_in_era(wire.Get(quart.request.args["privateKey"]))
         value, at_revision = effect.result, {"atRevision": effect.revision}
         if value is None:
-            return _tell_era(json_response(at_revision, 404), effect.era)
+            return _with_era(json_response(at_revision, 404), effect.era)
         assert isinstance(value, wire.Item)  # noqa: S101 - the result of a read
-        return _tell_era(json_response({**_item(value), **at_revision}), effect.era)
+        return _with_era(json_response({**_item(value), **at_revision}), effect.era)
 
     @app.get("/kv-range")
     async def items() -> quart.Response:
@@ -101,22 +101,22 @@
             "hasMore": len(page) == PAGE_LIMIT,
             "atRevision": effect.revision,
         }
-        return _tell_era(json_response(body), effect.era)
+        return _with_era(json_response(body), effect.era)
 
     @app.get("/kv-watch")
     async def watch() -> quart.Response:
         """Return changes as soon as there are any, none after the wait time."""
         arguments = quart.request.args
         after = int(arguments["after"])
-        if not shared.model.remembers_after(after):
+        if not shared.model.has_history_after(after):
             gone = json_response({"error": "the history is gone"}, 410)
-            return _tell_era(gone, shared.model.era)
+            return _with_era(gone, shared.model.era)
         wait = float(arguments["waitMs"]) / MILLISECONDS
         effect = await shared.execute_in_era(wire.Watch(arguments["pathPrefix"], after, wait))
         changes: wire.Changes = effect.result
         events = [_event(value) for value in changes.values]
         body = {"events": events, "atRevision": changes.revision}
-        return _tell_era(json_response(body), effect.era)
+        return _with_era(json_response(body), effect.era)
 
 
 def _add_writes(app: quart_trio.QuartTrio, shared: SharedStore) -> None:
@@ -134,7 +134,7 @@
             lease = f"{LEASE_NAME}{put.lease_id}" if put.lease_id else ""
             operation = wire.CompareAndSwap(put.private_key, condition.revision, value, lease)
         effect = await shared.execute_in_era(operation)
-        return _tell_era(json_response({"revision": effect.revision}), effect.era)
+        return _with_era(json_response({"revision": effect.revision}), effect.era)
 
 
 def _add_leases(app: quart_trio.QuartTrio, shared: SharedStore) -> None:
@@ -146,7 +146,7 @@
         read = msgspec.json.decode(await quart.request.get_data(), type=_LeaseRequest)
         effect = await shared.execute_in_era(wire.GrantLease(read.ttl_ms / MILLISECONDS))
         lease_id = int(str(effect.result).removeprefix(LEASE_NAME))
-        return _tell_era(json_response({"leaseId": lease_id, "ttlMs": read.ttl_ms}), effect.era)
+        return _with_era(json_response({"leaseId": lease_id, "ttlMs": read.ttl_ms}), effect.era)
 
     @app.post("/kv-keep/<int:lease_id>")
     async def renew(lease_id: int) -> quart.Response:
@@ -154,18 +154,18 @@
         try:
             effect = await shared.execute_in_era(wire.KeepAlive(f"{LEASE_NAME}{lease_id}"))
         except StoreConflictError:
-            return _tell_era(json_response({"error": "the lease is over"}, 404), shared.model.era)
-        return _tell_era(json_response({}), effect.era)
+            return _with_era(json_response({"error": "the lease is over"}, 404), shared.model.era)
+        return _with_era(json_response({}), effect.era)
 
     @app.delete("/kv-lease-end/<int:lease_id>")
     async def end(lease_id: int) -> quart.Response:
         """End a lease and delete its keys."""
         shared.end_lease(f"{LEASE_NAME}{lease_id}")
         await trio.lowlevel.checkpoint()
-        return _tell_era(json_response({}), shared.model.era)
+        return _with_era(json_response({}), shared.model.era)
 
 
-def _tell_era(response: quart.Response, era: int) -> quart.Response:
+def _with_era(response: quart.Response, era: int) -> quart.Response:
     """Add the era header to a response, unless the store reports no era."""
     if era != UNTOLD_ERA:
         response.headers[ERA_HEADER] = str(era)
--- a/emulator/platform/server.py
+++ b/emulator/platform/server.py
@@ -54,7 +54,7 @@
         operation = msgspec.json.decode(await quart.request.get_data(), type=StoreOperation)
         try:
             effect = await shared.execute_in_era(operation)
-            return _tell_era(_json(effect.result), effect.era)
+            return _with_era(_json(effect.result), effect.era)
         except StoreOutcomeUnknownError:
             return _lost_answer()
 
@@ -83,7 +83,7 @@
     async def store_error(error: StoreError) -> quart.Response:
         """Return the response for an error of the store or the machine list."""
         failure = StoreFailure(error.code, error.message)
-        return _tell_era(_json(failure, STATUS_OF_CODE[error.code]), shared.model.era)
+        return _with_era(_json(failure, STATUS_OF_CODE[error.code]), shared.model.era)
 
     @app.errorhandler(msgspec.DecodeError)
     async def bad_request(error: msgspec.DecodeError) -> quart.Response:
@@ -121,7 +121,7 @@
     )
 
 
-def _tell_era(response: quart.Response, era: int) -> quart.Response:
+def _with_era(response: quart.Response, era: int) -> quart.Response:
     """Add the era header to a response, unless the store reports no era."""
     if era != UNTOLD_ERA:
         response.headers[ERA_HEADER] = str(era)
--- a/emulator/platform/shared_store.py
+++ b/emulator/platform/shared_store.py
@@ -10,7 +10,7 @@
 from emulator.platform.faults import FaultOrder, StoreFaults
 from emulator.platform.store_model import (
     KeyValueStoreModel,
-    StoreCopy,
+    StoreBackup,
     TokenBucket,
     list_page,
 )
@@ -52,7 +52,7 @@
 
     def order_faults(self, order: FaultOrder) -> None:
         """Activate the store's faults of ``order``."""
-        self._remember_cache(order)
+        self._refresh_cache(order)
         for field in self.faults.__struct_fields__:
             value = getattr(order, field)
             if value is not None:
@@ -60,20 +60,20 @@
         if order.requests_per_second is not None:
             self._limit_rate(order.requests_per_second)
         if order.lapse_leases:
-            self.model.lapse_all()
-            self._announce()
+            self.model.expire_all_leases()
+            self._notify_watches()
 
     def end_lease(self, lease: str) -> None:
         """End a lease with its keys, if there is such a lease."""
         if self.model.has_lease(lease):
-            self.model.lapse(lease)
-            self._announce()
+            self.model.expire_lease(lease)
+            self._notify_watches()
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, backup: StoreBackup) -> None:
         """Restore the store from a backup."""
-        self.model.restore(copy, trio.current_time())
+        self.model.restore(backup, trio.current_time())
         self._hidden_versions.clear()
-        self._announce()
+        self._notify_watches()
 
     async def wait_changed(self) -> None:
         """Wait until something changes."""
@@ -87,7 +87,7 @@
             now: Time in seconds, for writes outside of the event loop.
         """
         result = self.model.apply(operation, trio.current_time() if now is None else now)
-        self._announce()
+        self._notify_watches()
         return result
 
     async def execute(self, operation: wire.StoreOperation) -> object:
@@ -106,23 +106,23 @@
         """Execute an operation and return its era and revision too; see ``execute``."""
         delay = self.faults.slow_seconds / 2
         await trio.sleep(delay)
-        self._refuse_when_unavailable()
-        result = await self._take_effect(operation)
+        self._require_available()
+        result = await self._apply(operation)
         effect = Effect(result, self.model.era, self.model.revision)
         await trio.sleep(delay)
         return effect
 
-    async def _take_effect(self, operation: wire.StoreOperation) -> object:
+    async def _apply(self, operation: wire.StoreOperation) -> object:
         """Execute an operation now, unless a fault loses it or its answer."""
         if not wire.is_write(operation):
             return await self._read(operation)
         if self.faults.lost_requests > 0:
             self.faults.lost_requests -= 1
-            raise _lost()
+            raise _lost_error()
         result = self._write(operation)
         if self.faults.lost_answers > 0:
             self.faults.lost_answers -= 1
-            raise _lost()
+            raise _lost_error()
         return result
 
     def _write(self, operation: wire.StoreOperation) -> object:
@@ -133,7 +133,7 @@
         for version in changes[: self.faults.dropped_changes]:
             self.faults.dropped_changes -= 1
             self._hidden_versions.add(version)
-        self._announce()
+        self._notify_watches()
         return result
 
     async def _read(self, operation: wire.StoreOperation) -> object:
@@ -156,9 +156,9 @@
             if batch.values or trio.current_time() >= deadline:
                 return batch
             changed, era = self._changed, self.model.era
-            with trio.move_on_at(min(deadline, self.model.next_lapse())):
+            with trio.move_on_at(min(deadline, self.model.next_expiry())):
                 await changed.wait()
-            self._refuse_when_down()
+            self._require_up()
             if self.model.era != era:
                 raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store was restored")
 
@@ -171,18 +171,18 @@
         )
         return msgspec.structs.replace(batch, values=visible)
 
-    def _refuse_when_unavailable(self) -> None:
+    def _require_available(self) -> None:
         """Raise ``StoreError`` in an outage or when the rate limit is used up."""
-        self._refuse_when_down()
+        self._require_up()
         if not self._bucket.admit(trio.current_time()):
             raise StoreError(ErrorCode.STORE_RATE_LIMITED, "the rate limit is used up")
 
-    def _refuse_when_down(self) -> None:
+    def _require_up(self) -> None:
         """Raise ``StoreError`` in an outage."""
         if self.faults.outage:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store is down")
 
-    def _remember_cache(self, order: FaultOrder) -> None:
+    def _refresh_cache(self, order: FaultOrder) -> None:
         """Copy the values when an outage begins, for stale reads after it."""
         begins = bool(order.outage) and not self.faults.outage
         if begins or (order.stale_reads and self._cache is None):
@@ -196,12 +196,12 @@
         burst = max(1.0, requests_per_second * BURST_SECONDS)
         self._bucket = TokenBucket(requests_per_second, burst)
 
-    def _announce(self) -> None:
+    def _notify_watches(self) -> None:
         """Wake every watch."""
         self._changed.set()
         self._changed = trio.Event()
 
 
-def _lost() -> StoreOutcomeUnknownError:
+def _lost_error() -> StoreOutcomeUnknownError:
     """Return the error of a write whose answer was lost."""
     return StoreOutcomeUnknownError(ErrorCode.STORE_OUTCOME_UNKNOWN, "the answer was lost")
--- a/emulator/platform/store_model.py
+++ b/emulator/platform/store_model.py
@@ -26,11 +26,11 @@
     """A lease, the time at which it expires (seconds), and the keys bound to it."""
 
     time_to_live_seconds: float
-    lapses_at: float
+    expires_at: float
     keys: set[str] = msgspec.field(default_factory=set)
 
 
-class StoreCopy(msgspec.Struct, frozen=True):
+class StoreBackup(msgspec.Struct, frozen=True):
     """Backup of the service's state at one revision.
 
     Attributes:
@@ -73,31 +73,31 @@
         """Return a copy of all values, as a cache in front of the service holds them."""
         return dict(self._values)
 
-    def copy(self) -> StoreCopy:
+    def backup(self) -> StoreBackup:
         """Return a backup of the service's present state."""
         leases = {
             name: (lease.time_to_live_seconds, frozenset(lease.keys))
             for name, lease in self._leases.items()
         }
-        return StoreCopy(
+        return StoreBackup(
             self._revision, dict(self._values), tuple(self._history), leases, self._leases_granted
         )
 
-    def restore(self, copy: StoreCopy, now: float) -> None:
+    def restore(self, backup: StoreBackup, now: float) -> None:
         """Restore a backup: later changes are lost, and revisions and lease names repeat.
 
         Args:
-            copy: The backup.
+            backup: The backup.
             now: Time in seconds; the backup's leases start again now.
         """
         self.era += 1
-        self._revision = copy.revision
-        self._values = dict(copy.values)
-        self._history = collections.deque(copy.history, maxlen=self._history.maxlen)
-        self._leases_granted = copy.leases_granted
+        self._revision = backup.revision
+        self._values = dict(backup.values)
+        self._history = collections.deque(backup.history, maxlen=self._history.maxlen)
+        self._leases_granted = backup.leases_granted
         self._leases = {
             name: _Lease(seconds, now + seconds, set(keys))
-            for name, (seconds, keys) in copy.leases.items()
+            for name, (seconds, keys) in backup.leases.items()
         }
         self._lease_of_key = {
             key: name for name, lease in self._leases.items() for key in lease.keys
@@ -135,11 +135,11 @@
                 self._keep_alive(lease, now)
         return None
 
-    def remembers_after(self, revision: int) -> bool:
+    def has_history_after(self, revision: int) -> bool:
         """Return whether a revision was reached and every change after it is in the history."""
         return 0 <= self._revision - revision <= len(self._history)
 
-    def forget_history(self) -> None:
+    def clear_history(self) -> None:
         """Drop all past changes that watches could read."""
         self._history.clear()
 
@@ -151,33 +151,33 @@
 
     def expire_leases(self, now: float) -> None:
         """Expire every lease whose time to live is over."""
-        due = [name for name, lease in self._leases.items() if lease.lapses_at <= now]
+        due = [name for name, lease in self._leases.items() if lease.expires_at <= now]
         for name in due:
-            self.lapse(name)
+            self.expire_lease(name)
 
-    def next_lapse(self) -> float:
+    def next_expiry(self) -> float:
         """Return the time at which the next lease expires; infinity if there is none."""
-        return min((lease.lapses_at for lease in self._leases.values()), default=float("inf"))
+        return min((lease.expires_at for lease in self._leases.values()), default=float("inf"))
 
     def has_lease(self, name: str) -> bool:
         """Return whether a lease exists and hasn't expired."""
         return name in self._leases
 
-    def lapse(self, name: str) -> None:
+    def expire_lease(self, name: str) -> None:
         """Expire a lease now and delete its keys."""
         lease = self._leases.pop(name)
         for key in sorted(lease.keys):
             self._remove(key)
 
-    def put_off_lapses(self, seconds: float) -> None:
+    def extend_leases(self, seconds: float) -> None:
         """Extend every lease, as a store does that keeps leases while it is down."""
         for lease in self._leases.values():
-            lease.lapses_at += seconds
+            lease.expires_at += seconds
 
-    def lapse_all(self) -> None:
+    def expire_all_leases(self) -> None:
         """Expire every lease now."""
         for name in list(self._leases):
-            self.lapse(name)
+            self.expire_lease(name)
 
     def _compare_and_swap(self, operation: wire.CompareAndSwap) -> int:
         """Write a value if the key is at the expected version."""
@@ -233,7 +233,7 @@
         lease = self._leases.get(name)
         if lease is None:
             raise StoreConflictError(ErrorCode.STORE_CONFLICT, "the lease has lapsed")
-        lease.lapses_at = now + lease.time_to_live_seconds
+        lease.expires_at = now + lease.time_to_live_seconds
 
 
 def list_page(values: dict[str, wire.Item], operation: wire.List) -> list[wire.Item]:
--- a/emulator/recovery/measures.py
+++ b/emulator/recovery/measures.py
@@ -99,7 +99,7 @@
         max_seconds=max(seconds, default=0.0),
         late=sum(item > IMMEDIATE_SECONDS for item in seconds),
         without_retry_after=sum(item.retry_after_seconds <= 0 for item in refused),
-        not_run=sum(item.says_not_run for item in refused),
+        not_run=sum(item.reports_not_run for item in refused),
         codes=tuple(sorted({item.code for item in refused})),
     )
 
--- a/emulator/recovery/scenarios.py
+++ b/emulator/recovery/scenarios.py
@@ -32,7 +32,7 @@
     saturate,
     steady_rates,
 )
-from emulator.simulation.cluster import CALM, SimulatedCluster, run_simulation
+from emulator.simulation.cluster import NO_FAULTS, SimulatedCluster, run_simulation
 from emulator.simulation.history import Answer, Outcome
 
 Event = Callable[[SimulatedCluster], Awaitable[None]]
@@ -162,7 +162,7 @@
         cluster.order_platform_faults(FaultOrder(outage=True))
         await cluster.restart()
         await trio.sleep(plan.outage_seconds)
-        cluster.order_platform_faults(CALM)
+        cluster.order_platform_faults(NO_FAULTS)
 
     steady = steady_rates(plan.steady_share * capacity)
     seconds = plan.warm_seconds + plan.steady_seconds + plan.outage_seconds + plan.after_seconds
--- a/emulator/simulation/callers.py
+++ b/emulator/simulation/callers.py
@@ -20,13 +20,13 @@
 SHARED_PREFIX = "the rules that every tenant's prompts begin with, word by word; " * 6
 """Prefix of all tenants' prompts: only the salt separates their cache entries."""
 
-MAX_PATIENCE_SECONDS = 200.0
+CALLER_TIMEOUT_SECONDS = 200.0
 
 
 async def ask(
     router: SimulatedRouter,
     answer: Answer,
-    leave_after_tokens: int | None,
+    disconnect_after_tokens: int | None,
     seconds_per_part: float,
 ) -> None:
     """Send a call to a router and record its answer.
@@ -34,14 +34,17 @@
     Args:
         router: Router that gets the call.
         answer: Record that is filled in.
-        leave_after_tokens: Tokens after which the caller disconnects; None for never.
+        disconnect_after_tokens: Tokens after which the caller disconnects; None for never.
         seconds_per_part: Time that the caller takes to read each part.
     """
     connection = Connection(answer.number, answer.call)
     router.connect(connection)
-    with trio.move_on_after(MAX_PATIENCE_SECONDS):
+    with trio.move_on_after(CALLER_TIMEOUT_SECONDS):
         while answer.outcome is Outcome.OPEN:
-            if leave_after_tokens is not None and len(answer.tokens) >= leave_after_tokens:
+            if (
+                disconnect_after_tokens is not None
+                and len(answer.tokens) >= disconnect_after_tokens
+            ):
                 break
             item = await connection.receive()
             _take(answer, item, connection.end)
@@ -49,7 +52,7 @@
     if answer.outcome is Outcome.OPEN:
         answer.outcome = Outcome.LEFT
         answer.ended_at = trio.current_time()
-    connection.leave()
+    connection.disconnect()
     answer.request_id = connection.request_id
     answer.delayed = connection.delayed or seconds_per_part > 0
 
@@ -170,6 +173,6 @@
         await self._cluster.ask(
             router,
             call,
-            leave_after_tokens=chance.randrange(call.max_tokens) if leaves else None,
+            disconnect_after_tokens=chance.randrange(call.max_tokens) if leaves else None,
             seconds_per_part=0.2 if slow else 0.0,
         )
--- a/emulator/simulation/chaos.py
+++ b/emulator/simulation/chaos.py
@@ -10,7 +10,7 @@
 
 from emulator.engine.faults import EngineFaults, RefusalFault, StreamFault
 from emulator.platform.faults import FaultOrder
-from emulator.simulation.cluster import CALM, SimulatedCluster
+from emulator.simulation.cluster import NO_FAULTS, SimulatedCluster
 from emulator.simulation.deployment import MODEL, ZONES
 from hopstep.domain.configuration.document import BackEnd, Model
 from hopstep.domain.configuration.log import Section
@@ -106,7 +106,7 @@
         self.induced.append(fault.__name__)
         await fault()
 
-    async def _last(self, longest: float = 12.0) -> None:
+    async def _wait_random(self, longest: float = 12.0) -> None:
         await trio.sleep(self._generator.uniform(0.2, longest))
 
     def _pick_router(self) -> str | None:
@@ -128,7 +128,7 @@
             return
         self._busy.add(name)
         self._cluster.routers[name].kill()
-        await self._last()
+        await self._wait_random()
         await self._cluster.start_router(name)
         self._busy.discard(name)
 
@@ -143,7 +143,7 @@
             return
         self._busy.add(name)
         self._cluster.pause(name)
-        await self._last(15.0)
+        await self._wait_random(15.0)
         self._cluster.resume(name)
         self._busy.discard(name)
 
@@ -153,7 +153,7 @@
             return
         self._busy.add(name)
         await self._cluster.stop_router(name)
-        await self._last(3.0)
+        await self._wait_random(3.0)
         await self._cluster.start_router(name)
         self._busy.discard(name)
 
@@ -181,7 +181,7 @@
             return
         self._busy.add(name)
         self._cluster.set_engine_faults(name, faults)
-        await self._last(longest)
+        await self._wait_random(longest)
         self._cluster.set_engine_faults(name, EngineFaults())
         self._busy.discard(name)
 
@@ -192,7 +192,7 @@
         self._busy.add(name)
         address = self._cluster.back_end(name).address
         self._cluster.world.engines.set_down(address, True)
-        await self._last(5.0)
+        await self._wait_random(5.0)
         self._cluster.world.engines.set_down(address, False)
         self._busy.discard(name)
 
@@ -220,7 +220,7 @@
             return
         self._busy.add("links")
         self._cluster.cut_engine(router, name)
-        await self._last()
+        await self._wait_random()
         self._cluster.heal()
         self._busy.discard("links")
 
@@ -232,7 +232,7 @@
             (self._cluster.cut_router, self._cluster.cut_peers, self._cluster.cut_platform)
         )
         cut(self._generator.choice(sorted(self._cluster.routers)))
-        await self._last(20.0)
+        await self._wait_random(20.0)
         self._cluster.heal()
         self._busy.discard("links")
 
@@ -241,8 +241,8 @@
             return
         self._busy.add("platform")
         self._cluster.order_platform_faults(self._generator.choice(PLATFORM_FAULTS))
-        await self._last(20.0)
-        self._cluster.order_platform_faults(CALM)
+        await self._wait_random(20.0)
+        self._cluster.order_platform_faults(NO_FAULTS)
         self._busy.discard("platform")
 
     async def _relabel_engine(self) -> None:
--- a/emulator/simulation/cluster.py
+++ b/emulator/simulation/cluster.py
@@ -14,7 +14,7 @@
 from emulator.engine.faults import EngineFaults
 from emulator.platform.faults import FaultOrder
 from emulator.platform.in_memory import InMemoryStore
-from emulator.platform.store_model import StoreCopy
+from emulator.platform.store_model import StoreBackup
 from emulator.simulation.callers import ask
 from emulator.simulation.deployment import sample_deployment
 from emulator.simulation.history import Answer, Call, History, Interval, Leaving, Outcome, Topic
@@ -38,7 +38,7 @@
 SETTLE_SECONDS = 4.0
 """Time in which a cluster settles after its start."""
 
-CALM = FaultOrder(
+NO_FAULTS = FaultOrder(
     outage=False,
     slow_seconds=0,
     lost_answers=0,
@@ -132,13 +132,13 @@
 
     def pause(self, name: str) -> None:
         """Stop a router as by SIGSTOP."""
-        self._disturb(f"pause {name}", name)
+        self._begin_disturbance(f"pause {name}", name)
         self.routers[name].pause()
 
     def resume(self, name: str) -> None:
         """Resume a paused router."""
         self.routers[name].resume()
-        self._calm(f"pause {name}")
+        self._end_disturbance(f"pause {name}")
 
     def cut_router(self, name: str) -> None:
         """Cut a router off from its peers and from the platform, but not from engines."""
@@ -147,7 +147,7 @@
 
     def cut_peers(self, name: str) -> None:
         """Cut a router off from its peers only; it still reads the platform."""
-        self._disturb("cut", "", frozenset({Topic.CONFIGURATION}))
+        self._begin_disturbance("cut", "", frozenset({Topic.CONFIGURATION}))
         own = self.routers[name].settings.address
         for back_end in self.router_back_ends():
             self._cut(own, back_end.address)
@@ -163,7 +163,7 @@
         sides = self._cut_sides.setdefault(name, set())
         sides.add(side)
         if len(sides) > 1:
-            self._disturb(f"cut {name}", name)
+            self._begin_disturbance(f"cut {name}", name)
 
     def cut_engine(self, router: str, engine: str) -> None:
         """Cut the link between a router and an engine."""
@@ -174,7 +174,7 @@
         self.world.links.heal()
         self._cut_sides.clear()
         for name in ("cut", *(f"cut {router}" for router in self.routers)):
-            self._calm(name)
+            self._end_disturbance(name)
 
     def order_platform_faults(self, order: FaultOrder) -> None:
         """Induce faults of the platform; record those that delay updates as disturbances."""
@@ -183,13 +183,13 @@
         faults = self.world.store.faults
         slowed = faults.slow_seconds > 0 or faults.stale_reads > 0 or faults.dropped_changes > 0
         if faults.outage or slowed or order.requests_per_second:
-            self._disturb("store", "", frozenset({Topic.CONFIGURATION}))
+            self._begin_disturbance("store", "", frozenset({Topic.CONFIGURATION}))
         else:
-            self._calm("store")
+            self._end_disturbance("store")
         if self.world.machine_list.faults.outage:
-            self._disturb("machine list", "", frozenset({Topic.LEAVING}))
+            self._begin_disturbance("machine list", "", frozenset({Topic.LEAVING}))
         else:
-            self._calm("machine list")
+            self._end_disturbance("machine list")
 
     def stored_changes(self) -> list[str]:
         """Return the ids of the changes in the store, in order."""
@@ -197,15 +197,15 @@
         keys = sorted(key for key in values if key.startswith(CHANGES_PREFIX))
         return [decode_change(values[key].value).change_id for key in keys]
 
-    def copy_store(self) -> StoreCopy:
+    def back_up_store(self) -> StoreBackup:
         """Return a backup of the store's present state."""
-        return self.world.store.model.copy()
+        return self.world.store.model.backup()
 
-    def restore_store(self, copy: StoreCopy) -> None:
+    def restore_store(self, backup: StoreBackup) -> None:
         """Restore the store from a backup."""
-        self._disturb("restore", "", frozenset({Topic.CONFIGURATION}))
-        self.world.store.restore(copy)
-        self._calm("restore")
+        self._begin_disturbance("restore", "", frozenset({Topic.CONFIGURATION}))
+        self.world.store.restore(backup)
+        self._end_disturbance("restore")
 
     def set_engine_faults(self, name: str, faults: EngineFaults) -> None:
         """Induce faults at an engine, in place of its earlier ones."""
@@ -260,7 +260,7 @@
         router: str,
         call: Call,
         *,
-        leave_after_tokens: int | None = None,
+        disconnect_after_tokens: int | None = None,
         seconds_per_part: float = 0.0,
     ) -> Answer:
         """Send a call to a router and return the record of its answer.
@@ -268,12 +268,12 @@
         Args:
             router: Name of the router.
             call: The call.
-            leave_after_tokens: Tokens after which the caller disconnects; None for never.
+            disconnect_after_tokens: Tokens after which the caller disconnects; None for never.
             seconds_per_part: Time that the caller takes to read each part.
         """
         answer = Answer(next(self._sendings), call, router, trio.current_time())
         self.history.answers.append(answer)
-        await ask(self.routers[router], answer, leave_after_tokens, seconds_per_part)
+        await ask(self.routers[router], answer, disconnect_after_tokens, seconds_per_part)
         return answer
 
     async def ask_until_complete(self, routers: tuple[str, ...], call: Call) -> Answer:
@@ -288,7 +288,7 @@
     def end_faults(self) -> None:
         """End every fault but those of routers that were killed or stopped."""
         self.heal()
-        self.order_platform_faults(CALM)
+        self.order_platform_faults(NO_FAULTS)
         self.world.show_leaving(frozenset())
         self.world.flapping.clear()
         for address in self.world.engine_addresses:
@@ -311,7 +311,7 @@
             if router.running:
                 router.kill()
         for name in list(self._disturbances):
-            self._calm(name)
+            self._end_disturbance(name)
 
     def _settings(self, name: str) -> RouterSettings:
         """Return the settings of a router."""
@@ -346,20 +346,22 @@
         self.world.links.cut_one_way(one, other)
         self.world.links.cut_one_way(other, one)
 
-    def _disturb(self, name: str, router: str, topics: frozenset[Topic] = frozenset(Topic)) -> None:
+    def _begin_disturbance(
+        self, name: str, router: str, topics: frozenset[Topic] = frozenset(Topic)
+    ) -> None:
         began_at = trio.current_time()
         if name not in self._disturbances:
             interval = Interval(began_at, float("inf"), router, topics)
             self._disturbances[name] = interval
-            self.history.disturbed.append(interval)
+            self.history.disturbances.append(interval)
 
-    def _calm(self, name: str) -> None:
+    def _end_disturbance(self, name: str) -> None:
         interval = self._disturbances.pop(name, None)
         if interval is None:
             return
-        self.history.disturbed.remove(interval)
+        self.history.disturbances.remove(interval)
         ended = msgspec.structs.replace(interval, ended_at=trio.current_time())
-        self.history.disturbed.append(ended)
+        self.history.disturbances.append(ended)
 
 
 Body = Callable[[SimulatedCluster], Awaitable[None]]
--- a/emulator/simulation/connection.py
+++ b/emulator/simulation/connection.py
@@ -63,7 +63,7 @@
         except trio.EndOfChannel:
             return None
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Close the connection on the caller's side."""
         self.close(ConnectionEnd.CLOSED)
         self.scope.cancel()
--- a/emulator/simulation/gate.py
+++ b/emulator/simulation/gate.py
@@ -29,12 +29,12 @@
     def resume(self) -> None:
         """Let the waiting calls cross."""
         self.paused = False
-        self._open()
+        self._wake_waiting()
 
     def kill(self) -> None:
         """Block all calls forever."""
         self.killed = True
-        self._open()
+        self._wake_waiting()
 
     def trap(self, point: str, action: Callable[[], None]) -> None:
         """Run an action the next time that a call is about to cross at a point.
@@ -58,6 +58,6 @@
         if self.killed:
             await trio.sleep_forever()
 
-    def _open(self) -> None:
+    def _wake_waiting(self) -> None:
         self._opened.set()
         self._opened = trio.Event()
--- a/emulator/simulation/history.py
+++ b/emulator/simulation/history.py
@@ -88,7 +88,7 @@
     delayed: bool = False
 
     @property
-    def says_not_run(self) -> bool:
+    def reports_not_run(self) -> bool:
         """Whether the response states that nothing of this sending ran."""
         return self.execution == Execution.NOT_RUN.value
 
@@ -105,7 +105,7 @@
         at: Time of the decision, in seconds; a process that is paused between the decision and
             the sending sends it later.
         router: Name of the router.
-        life: Number of the router's incarnation.
+        incarnation_number: Number of the router's incarnation.
         revision: Configuration revision that the router had applied at the decision.
         address: Address of the engine.
         request: The request that was sent.
@@ -117,7 +117,7 @@
 
     at: float
     router: str
-    life: int
+    incarnation_number: int
     revision: int
     address: str
     request: GenerateRequest
@@ -132,7 +132,7 @@
 
     at: float
     router: str
-    life: int
+    incarnation_number: int
     revision: int
 
 
@@ -143,7 +143,7 @@
     accepted: AcceptedConfiguration
 
 
-class Life(msgspec.Struct):
+class RouterIncarnation(msgspec.Struct):
     """One incarnation of a router.
 
     Attributes:
@@ -221,12 +221,12 @@
         self.dispatches: list[Dispatch] = []
         self.applied: list[Applied] = []
         self.accepted: list[Accepted] = []
-        self.lives: list[Life] = []
+        self.incarnations: list[RouterIncarnation] = []
         self.leaving: list[Leaving] = []
-        self.disturbed: list[Interval] = []
+        self.disturbances: list[Interval] = []
         self.log: list[LogLine] = []
 
-    def calm_since(self, router: str, topic: Topic, since: float, seconds: float) -> float:
+    def undisturbed_since(self, router: str, topic: Topic, since: float, seconds: float) -> float:
         """Return the start of the first span of ``seconds`` without a fault at a router.
 
         Args:
@@ -235,11 +235,11 @@
             since: Earliest start of the span, in seconds.
             seconds: Length of the span.
         """
-        calm = since
-        for interval in sorted(self.disturbed, key=lambda item: item.began_at):
-            if interval.concerns(router, topic) and interval.began_at < calm + seconds:
-                calm = max(calm, interval.ended_at)
-        return calm
+        start = since
+        for interval in sorted(self.disturbances, key=lambda item: item.began_at):
+            if interval.concerns(router, topic) and interval.began_at < start + seconds:
+                start = max(start, interval.ended_at)
+        return start
 
     def note_log(
         self, _logger: object, _method: str, entry: MutableMapping[str, Any]
--- a/emulator/simulation/oracle.py
+++ b/emulator/simulation/oracle.py
@@ -18,10 +18,10 @@
 from hopstep.domain.retry_budget import FLOOR_RETRIES_PER_SECOND, MAX_SAVED_RETRIES
 from hopstep.exceptions import ErrorCode
 
-AT_ONCE_SECONDS = 0.05
+IMMEDIATE_SECONDS = 0.05
 """Longest virtual time from a decision to its answer, or from a request to its refusal."""
 
-AT_ONCE_CODES = frozenset(
+IMMEDIATE_CODES = frozenset(
     {
         ErrorCode.RATE_LIMITED,
         ErrorCode.STOPPING,
@@ -88,7 +88,7 @@
     """Check that nothing of a sending ran, before or after a response that states so."""
     dispatches = _by_sending(cluster)
     for answer in cluster.history.answers:
-        if not answer.says_not_run:
+        if not answer.reports_not_run:
             continue
         ran = [item for item in dispatches[answer.number] if item.request.nonce in cluster.runs]
         if ran:
@@ -97,15 +97,15 @@
 
 def _planned_stop_violations(cluster: SimulatedCluster) -> Iterator[str]:
     """Check that a planned stop cuts off no answer and comes to an end."""
-    for life in cluster.history.lives:
-        if life.planned_stop_at == float("inf"):
+    for incarnation in cluster.history.incarnations:
+        if incarnation.planned_stop_at == float("inf"):
             continue
-        if life.ended_at > life.planned_stop_at + DRAIN_SECONDS + 1.0:
-            yield f"planned stop: {life.router} hadn't stopped at the end"
+        if incarnation.ended_at > incarnation.planned_stop_at + DRAIN_SECONDS + 1.0:
+            yield f"planned stop: {incarnation.router} hadn't stopped at the end"
         for answer in cluster.history.answers:
-            lost = answer.outcome is Outcome.CONNECTION_LOST and answer.router == life.router
-            by_stop = life.planned_stop_at <= answer.ended_at <= life.ended_at
-            if lost and by_stop and not life.killed:
+            lost = answer.outcome is Outcome.CONNECTION_LOST and answer.router == incarnation.router
+            by_stop = incarnation.planned_stop_at <= answer.ended_at <= incarnation.ended_at
+            if lost and by_stop and not incarnation.killed:
                 yield f"planned stop: {_name(answer)} was cut off"
 
 
@@ -116,14 +116,18 @@
     """
     configurations = [item.accepted.configuration for item in cluster.history.accepted]
     ratio = max(configuration.routing.retry_ratio for configuration in configurations)
-    for life in cluster.history.lives:
-        sent = [item for item in cluster.history.dispatches if item.life == life.number]
-        firsts = len({item.sending for item in sent})
-        seconds = (sent[-1].at if sent else life.began_at) - life.began_at
-        allowed = ratio * firsts + FLOOR_RETRIES_PER_SECOND * seconds + MAX_SAVED_RETRIES
+    for incarnation in cluster.history.incarnations:
+        sent = [
+            item
+            for item in cluster.history.dispatches
+            if item.incarnation_number == incarnation.number
+        ]
+        calls = len({item.sending for item in sent})
+        seconds = (sent[-1].at if sent else incarnation.began_at) - incarnation.began_at
+        allowed = ratio * calls + FLOOR_RETRIES_PER_SECOND * seconds + MAX_SAVED_RETRIES
         retries = _retries(sent)
         if retries > allowed:
-            yield f"amplification: {life.router} sent {retries} retries for {firsts} requests"
+            yield f"amplification: {incarnation.router} sent {retries} retries for {calls} requests"
 
 
 def _retries(sent: list[Dispatch]) -> int:
@@ -144,13 +148,13 @@
         if answer.delayed or answer.outcome not in (Outcome.REFUSED, Outcome.FAILED):
             continue
         took = answer.ended_at - answer.started_at
-        waited_for_nothing = answer.error_code in AT_ONCE_CODES and answer.number not in sent
-        if waited_for_nothing and took > AT_ONCE_SECONDS:
+        is_immediate = answer.error_code in IMMEDIATE_CODES and answer.number not in sent
+        if is_immediate and took > IMMEDIATE_SECONDS:
             yield f"refusal: {_name(answer)} took {took:.2f} s for {answer.code}"
         lag = answer.ended_at - decided.get(answer.request_id, answer.ended_at)
-        if lag > AT_ONCE_SECONDS:
+        if lag > IMMEDIATE_SECONDS:
             yield f"refusal: {_name(answer)} came {lag:.2f} s after its decision"
-        if took > classes[answer.call.request_class].deadline_seconds + AT_ONCE_SECONDS:
+        if took > classes[answer.call.request_class].deadline_seconds + IMMEDIATE_SECONDS:
             yield f"refusal: {_name(answer)} came {took:.2f} s after the request"
 
 
--- a/emulator/simulation/placement_oracle.py
+++ b/emulator/simulation/placement_oracle.py
@@ -6,7 +6,7 @@
 
 from emulator.simulation.cluster import SimulatedCluster
 from emulator.simulation.configuration_oracle import due_time
-from emulator.simulation.history import Dispatch, Life, Topic
+from emulator.simulation.history import Dispatch, RouterIncarnation, Topic
 from hopstep.domain.configuration.document import Configuration
 from hopstep.domain.placement import place_engines
 
@@ -16,7 +16,7 @@
 
 def placement_violations(cluster: SimulatedCluster) -> Iterator[str]:
     """Yield attempts sent to engines that the configuration forbids or that are leaving."""
-    lives = {life.number: life for life in cluster.history.lives}
+    incarnations = {incarnation.number: incarnation for incarnation in cluster.history.incarnations}
     calls = {answer.number: answer.call for answer in cluster.history.answers}
     revisions = {item.accepted.revision: item.accepted for item in cluster.history.accepted}
     for dispatch in cluster.history.dispatches:
@@ -24,7 +24,7 @@
         if call is None:
             yield f"placement: {dispatch.request.nonce} belongs to no caller"
             continue
-        due = _due_revision(cluster, lives[dispatch.life], dispatch)
+        due = _due_revision(cluster, incarnations[dispatch.incarnation_number], dispatch)
         in_force = _in_force(cluster, dispatch)
         # A newer revision that is applied before it is due overrides the due one.
         allowed = {revision for revision in in_force if revision >= due} or {due}
@@ -37,7 +37,7 @@
                 f"placement: {call.tenant}/{call.request_class} sent to {dispatch.address}"
                 f" at {dispatch.at:.2f} by {dispatch.router} against revisions {sorted(allowed)}"
             )
-        yield from _leaving_violations(cluster, lives[dispatch.life], dispatch)
+        yield from _leaving_violations(cluster, incarnations[dispatch.incarnation_number], dispatch)
 
 
 def _in_force(cluster: SimulatedCluster, dispatch: Dispatch) -> set[int]:
@@ -48,18 +48,20 @@
     before = [
         applied.revision
         for applied in cluster.history.applied
-        if applied.life == dispatch.life and applied.at < dispatch.at
+        if applied.incarnation_number == dispatch.incarnation_number and applied.at < dispatch.at
     ]
     return {dispatch.revision, max(before, default=dispatch.revision)}
 
 
-def _due_revision(cluster: SimulatedCluster, life: Life, dispatch: Dispatch) -> int:
+def _due_revision(
+    cluster: SimulatedCluster, incarnation: RouterIncarnation, dispatch: Dispatch
+) -> int:
     """Return the latest revision due at the router by the time of a decision; 0 for none."""
     history = cluster.history
     due = [
         item.accepted.revision
         for item in history.accepted
-        if due_time(history, life, item.at) <= dispatch.at
+        if due_time(history, incarnation, item.at) <= dispatch.at
     ]
     return max(due, default=0)
 
@@ -75,7 +77,9 @@
     return {back_end.address for back_end in placement.admissible}
 
 
-def _leaving_violations(cluster: SimulatedCluster, life: Life, dispatch: Dispatch) -> Iterator[str]:
+def _leaving_violations(
+    cluster: SimulatedCluster, incarnation: RouterIncarnation, dispatch: Dispatch
+) -> Iterator[str]:
     """Yield a dispatch that ran at a leaving back end ``LEAVING_SECONDS`` after it was known.
 
     A router that has just started has the same time to learn of it.
@@ -83,9 +87,11 @@
     if dispatch.request.nonce not in cluster.runs:
         return
     for leaving in cluster.history.leaving:
-        since = max(leaving.known_at, life.began_at)
-        calm_since = cluster.history.calm_since(life.router, Topic.LEAVING, since, LEAVING_SECONDS)
-        late = calm_since + LEAVING_SECONDS < dispatch.at < leaving.until
+        since = max(leaving.known_at, incarnation.began_at)
+        undisturbed_since = cluster.history.undisturbed_since(
+            incarnation.router, Topic.LEAVING, since, LEAVING_SECONDS
+        )
+        late = undisturbed_since + LEAVING_SECONDS < dispatch.at < leaving.until
         if leaving.address == dispatch.address and late:
             yield (
                 f"leaving: {dispatch.address} took {dispatch.request.nonce} at {dispatch.at:.2f},"
--- a/emulator/simulation/router.py
+++ b/emulator/simulation/router.py
@@ -14,7 +14,7 @@
 
 from emulator.simulation.connection import Connection, ConnectionEnd
 from emulator.simulation.gate import ProcessGate
-from emulator.simulation.history import Applied, Call, Dispatch, Life
+from emulator.simulation.history import Applied, Call, Dispatch, RouterIncarnation
 from emulator.simulation.ports import (
     Link,
     PeerHttpTransport,
@@ -53,7 +53,7 @@
         name: Name of the router.
         gate: Gate of its process.
         services: Its services.
-        life: Its record in the history.
+        record: Its record in the history.
         ended: Set at the end of the process.
     """
 
@@ -71,10 +71,10 @@
         self.name = settings.name
         self.settings = settings
         self.gate = ProcessGate()
-        self.life = Life(settings.name, number, trio.current_time())
+        self.record = RouterIncarnation(settings.name, number, trio.current_time())
         self._world = world
         self._history = world.history
-        self._history.lives.append(self.life)
+        self._history.incarnations.append(self.record)
         self.ended = trio.Event()
         self._scope = trio.CancelScope()
         self._nursery: trio.Nursery | None = None
@@ -109,7 +109,7 @@
     @property
     def running(self) -> bool:
         """Whether the process has neither stopped nor been killed."""
-        return self.life.ended_at == float("inf")
+        return self.record.ended_at == float("inf")
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Run until killed or until a planned stop is complete."""
@@ -125,12 +125,12 @@
 
     def stop(self) -> None:
         """Request a planned stop."""
-        self.life.planned_stop_at = min(self.life.planned_stop_at, trio.current_time())
+        self.record.planned_stop_at = min(self.record.planned_stop_at, trio.current_time())
         self.services.lifecycle.stop()
 
     def kill(self) -> None:
         """Kill the process at once, without flushing anything."""
-        self.life.killed = self.running
+        self.record.killed = self.running
         self.gate.kill()
         self._end()
         if self.gate.paused:
@@ -220,7 +220,7 @@
             peer_configuration=HttpPeerConfiguration(self._client, codec, self._peer_url),
             generator=random.Random(world.generator.getrandbits(64)),
             wall_clock=world.wall_clock,
-            make_nonce=lambda: f"{self.name}.{self.life.number}.{next(self._nonces)}",
+            make_nonce=lambda: f"{self.name}.{self.record.number}.{next(self._nonces)}",
         )
 
     def _spawn(self, task: Callable[[], Awaitable[None]]) -> None:
@@ -232,7 +232,7 @@
         return f"http://{address}" if address else None
 
     def _note_applied(self, accepted: AcceptedConfiguration) -> None:
-        applied = Applied(trio.current_time(), self.name, self.life.number, accepted.revision)
+        applied = Applied(trio.current_time(), self.name, self.record.number, accepted.revision)
         self._history.applied.append(applied)
 
     def _decide(self, address: str, request: GenerateRequest) -> Dispatch:
@@ -240,7 +240,7 @@
         return Dispatch(
             at=trio.current_time(),
             router=self.name,
-            life=self.life.number,
+            incarnation_number=self.record.number,
             revision=self.services.holder.revision,
             address=address,
             request=request,
@@ -263,7 +263,7 @@
         """Record the end and break every open connection."""
         if not self.running:
             return
-        self.life.ended_at = trio.current_time()
+        self.record.ended_at = trio.current_time()
         self.ended.set()
         for connection in list(self._connections):
             connection.close(ConnectionEnd.LOST)
--- a/emulator/soak/deployment.py
+++ b/emulator/soak/deployment.py
@@ -173,9 +173,9 @@
         links = InstanceLinks(instance, proxy, scope, trio.current_time())
         self.instances.append(links)
         self.history.instances.append(
-            InstanceTime(traits.life, service, trio.current_time(), is_plain=not model)
+            InstanceTime(traits.incarnation, service, trio.current_time(), is_plain=not model)
         )
-        self.recorder.changed(instance)
+        self.recorder.entry_changed(instance)
         return links
 
     def end_instance(self, links: InstanceLinks, *, unlisted: bool) -> None:
@@ -183,7 +183,7 @@
         instance_id = links.instance.traits.instance_id
         links.scope.cancel()
         links.proxy.close()
-        life = links.instance.traits.life
+        life = links.instance.traits.incarnation
         ended = next(time for time in self.history.instances if time.life == life)
         ended.until = trio.current_time()
         self.instances.remove(links)
@@ -202,7 +202,7 @@
                 links.instance.version,
             )
             for links in self.instances
-            if not (links.instance.draining or links.instance.words.leaving)
+            if not (links.instance.draining or links.instance.notices.leaving)
         ]
 
     def _end_under(self, instance: HttpInstance, request: str) -> None:
@@ -216,7 +216,7 @@
         links = next((links for links in self.instances if links.instance is instance), None)
         if links is None:
             return
-        self.history.ends.append(InstanceEnd(request, traits.life, trio.current_time()))
+        self.history.ends.append(InstanceEnd(request, traits.incarnation, trio.current_time()))
         self.end_instance(links, unlisted=False)
         await trio.sleep(self._generator.uniform(*RESTART_SECONDS))
         own_id = self._generator.random() < SAME_ID_SHARE
--- a/emulator/soak/faults.py
+++ b/emulator/soak/faults.py
@@ -140,7 +140,7 @@
 
     async def _store_forgets(self) -> None:
         disturbance = self._deployment.disturb("history forgotten", STORE)
-        self._deployment.shared.model.forget_history()
+        self._deployment.shared.model.clear_history()
         await trio.lowlevel.checkpoint()
         disturbance.until = trio.current_time()
 
--- a/emulator/soak/instance_faults.py
+++ b/emulator/soak/instance_faults.py
@@ -182,7 +182,7 @@
         for key in keys:
             store.remove(key)
         if over:
-            self._deployment.recorder.changed(links.instance)
+            self._deployment.recorder.entry_changed(links.instance)
 
     async def instance_leaves(self) -> None:
         links = self._instance()
@@ -193,8 +193,8 @@
             instance.traits.service, self._generator.choice(ZONES), self._operator.weights
         )
         instance.draining = True
-        self._deployment.recorder.changed(instance)
-        leaving = Leaving(instance.traits.life, trio.current_time())
+        self._deployment.recorder.entry_changed(instance)
+        leaving = Leaving(instance.traits.incarnation, trio.current_time())
         self._deployment.history.leavings.append(leaving)
         await trio.sleep(DRAIN_SECONDS + draw_seconds(self._generator))
         if links in self._deployment.instances:
@@ -209,13 +209,13 @@
         await self._deployment.add_instance(
             instance.traits.service, self._generator.choice(ZONES), self._operator.weights
         )
-        instance.words.leaving = True
+        instance.notices.leaving = True
         await trio.sleep(DRAIN_SECONDS + draw_seconds(self._generator))
         if links not in self._deployment.instances:
             return
         if self._generator.random() >= WORD_ALONE_SHARE:
             instance.draining = True
-            self._deployment.recorder.changed(instance)
+            self._deployment.recorder.entry_changed(instance)
             await trio.sleep(DRAIN_SECONDS)
         if links in self._deployment.instances:
             self._deployment.end_instance(links, unlisted=True)
@@ -231,10 +231,10 @@
                 if links.instance.traits.service == service
             ]
         for links in chosen:
-            links.instance.words.rest_seconds = self._generator.uniform(*REST_SECONDS)
+            links.instance.notices.backoff_seconds = self._generator.uniform(*REST_SECONDS)
         await trio.sleep(self._generator.uniform(*SHED_SECONDS))
         for links in chosen:
-            links.instance.words.rest_seconds = 0.0
+            links.instance.notices.backoff_seconds = 0.0
 
     async def instances_name_limits(self) -> None:
         """Let one instance, half or all of a service name limits, change them, and lift them."""
@@ -252,8 +252,8 @@
     def _name_limit(self, links: InstanceLinks, per_second: float | None) -> None:
         """Let an instance's answers name another limit; one that has ended names nothing."""
         if links in self._deployment.instances:
-            links.instance.words.limit = per_second
-            life = links.instance.traits.life
+            links.instance.notices.limit = per_second
+            life = links.instance.traits.incarnation
             change = LimitChange(life, trio.current_time(), per_second)
             self._deployment.history.limits.append(change)
 
@@ -261,7 +261,7 @@
         """Return how many instances of a service take requests."""
         return sum(
             links.instance.traits.service == service
-            and not (links.instance.draining or links.instance.words.leaving)
+            and not (links.instance.draining or links.instance.notices.leaving)
             for links in self._deployment.instances
         )
 
--- a/emulator/soak/recorder.py
+++ b/emulator/soak/recorder.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from emulator.exchange_platform.http_instance import HttpInstance, InstanceWords, RunHeaders
+from emulator.exchange_platform.http_instance import HttpInstance, ResponseNotices, RunHeaders
 from emulator.platform.shared_store import SharedStore
 from emulator.platform.store_model import ABSENT_REVISION
 from emulator.soak.history import Arrival, History, Run, SaidWord, TakenOrder
@@ -90,32 +90,36 @@
         self.lives: dict[str, HttpInstance] = {}
         self.on_fatal: Callable[[HttpInstance, str], None] = lambda _instance, _request: None
 
-    def arrived(self, instance: HttpInstance, request_id: str) -> None:
+    def request_arrived(self, instance: HttpInstance, request_id: str) -> None:
         """Record an arrival."""
         traits = instance.traits
-        arrival = Arrival(request_id, traits.service, trio.current_time(), traits.life)
+        arrival = Arrival(request_id, traits.service, trio.current_time(), traits.incarnation)
         self._history.arrivals.append(arrival)
 
-    def asked(self, instance: HttpInstance) -> None:
+    def control_request_arrived(self, instance: HttpInstance) -> None:
         """Record a report or an order."""
         traits = instance.traits
-        arrival = Arrival("", traits.service, trio.current_time(), traits.life)
+        arrival = Arrival("", traits.service, trio.current_time(), traits.incarnation)
         self._history.arrivals.append(arrival)
 
-    def said(self, instance: HttpInstance, request_id: str, words: InstanceWords) -> None:
+    def notices_sent(
+        self, instance: HttpInstance, request_id: str, notices: ResponseNotices
+    ) -> None:
         """Record what an instance said of itself in an answer."""
-        life = instance.traits.life
+        life = instance.traits.incarnation
         now = trio.current_time()
-        word = SaidWord(request_id, life, now, words.leaving, words.rest_seconds, words.limit)
+        word = SaidWord(
+            request_id, life, now, notices.leaving, notices.backoff_seconds, notices.limit
+        )
         self._history.words.append(word)
 
-    def began(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
+    def run_started(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
         """Record a run."""
         self._history.runs.append(
             Run(
                 request_id=headers.request_id,
                 instance_id=instance.traits.instance_id,
-                life=instance.traits.life,
+                life=instance.traits.incarnation,
                 service=instance.traits.service,
                 at=trio.current_time(),
                 tenant=headers.tenant,
@@ -126,24 +130,24 @@
             )
         )
 
-    def ended(self, instance: HttpInstance, stamp: str) -> None:
+    def run_ended(self, instance: HttpInstance, stamp: str) -> None:
         """Record the end of a run."""
         run = next((x for x in reversed(self._history.runs) if x.stamp == stamp), None)
         if run is not None:
             run.ended_at = trio.current_time()
 
-    def ordered(self, instance: HttpInstance, holder: str, token: int) -> None:
+    def order_executed(self, instance: HttpInstance, holder: str, token: int) -> None:
         """Record an order."""
         order = TakenOrder(instance.traits.instance_id, holder, token, trio.current_time())
         self._history.orders.append(order)
 
-    def changed(self, instance: HttpInstance) -> None:
+    def entry_changed(self, instance: HttpInstance) -> None:
         """Write an instance's entry, if it is the one that lives under its id."""
         instance_id = instance.traits.instance_id
         address = self.addresses.get(instance_id)
         if address is not None and self.lives.get(instance_id) is instance:
             self._store.put(f"servers/{instance_id}", instance.entry(address))
 
-    def met_fatal(self, instance: HttpInstance, request: str) -> None:
+    def fatal_request_started(self, instance: HttpInstance, request: str) -> None:
         """Have an instance end under a request."""
         self.on_fatal(instance, request)
--- a/emulator/soak/restores.py
+++ b/emulator/soak/restores.py
@@ -9,7 +9,7 @@
 
 from emulator.platform.faults import FaultOrder
 from emulator.platform.shared_store import SharedStore
-from emulator.platform.store_model import StoreCopy
+from emulator.platform.store_model import StoreBackup
 from emulator.soak.recorder import DirectStore
 
 COPY_SPACING_SECONDS = 0.5
@@ -43,13 +43,13 @@
         self._shared = shared
         self._documents = documents
         self._generator = generator
-        self._copies: deque[StoreCopy] = deque(maxlen=COPIES_KEPT)
+        self._copies: deque[StoreBackup] = deque(maxlen=COPIES_KEPT)
 
     async def keep_copies(self) -> None:
         """Copy the store every so often, until cancelled."""
         self._shared.model.era = FIRST_ERA
         while True:
-            self._copies.append(self._shared.model.copy())
+            self._copies.append(self._shared.model.backup())
             await trio.sleep(COPY_SPACING_SECONDS)
 
     async def come_back(self) -> None:
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -78,7 +78,7 @@
         async def test():
             async with serve_store(shared) as store:
                 await store.compare_and_swap("a", ABSENT, b"1")
-                shared.model.forget_history()
+                shared.model.clear_history()
                 with self.assertRaises(StoreHistoryLostError) as caught:
                     await store.watch("", ABSENT, 0.0)
                 self.assertEqual(caught.exception.code, ErrorCode.STORE_HISTORY_LOST)
--- a/tests/ctl/test_trace.py
+++ b/tests/ctl/test_trace.py
@@ -60,7 +60,7 @@
 
     def test_a_request_after_a_restore_shows_by_which_era_it_was_decided(self):
         async def script(world):
-            copy = world.shared.model.copy()
+            copy = world.shared.model.backup()
             world.publish(ConfigurationPublished(configuration(2)))
             await trio.sleep(2.0)
             world.shared.restore(copy)
@@ -95,7 +95,7 @@
         async def script(world):
             world.add("p1")
             await trio.sleep(1.0)
-            world.instances.servers["p0"].says_leaving = True
+            world.instances.servers["p0"].announces_leaving = True
             for _request in range(20):
                 await world.request("unsafe")
             await world.request("unsafe", request_id="r")
@@ -109,7 +109,7 @@
 
     def test_a_request_refused_since_all_rest_leads_to_their_words(self):
         async def script(world):
-            world.instances.servers["p0"].sheds_for = 2.0
+            world.instances.servers["p0"].requested_backoff_seconds = 2.0
             await world.request("unsafe")
             await trio.sleep(0.1)
             await world.request("unsafe", request_id="r")
@@ -122,7 +122,7 @@
 
     def test_a_request_refused_for_a_limit_shows_what_kept_it(self):
         async def script(world):
-            world.instances.servers["p0"].names_limit = 0.0
+            world.instances.servers["p0"].announced_limit = 0.0
             await world.request("unsafe")
             await trio.sleep(0.1)
             for _request in range(8):
--- a/tests/emulator/test_http_instance.py
+++ b/tests/emulator/test_http_instance.py
@@ -14,22 +14,22 @@
         self.seen = []
         self.ends = 0
 
-    def arrived(self, _instance, request_id):
+    def request_arrived(self, _instance, request_id):
         self.seen.append(("arrived", request_id))
 
-    def began(self, _instance, headers, _stamp):
+    def run_started(self, _instance, headers, _stamp):
         self.seen.append(("began", headers.request_id))
 
-    def ended(self, _instance, _stamp):
+    def run_ended(self, _instance, _stamp):
         self.ends += 1
 
-    def asked(self, instance):
+    def control_request_arrived(self, instance):
         return
 
-    def ordered(self, _instance, holder, token):
+    def order_executed(self, _instance, holder, token):
         self.seen.append(("ordered", holder, token))
 
-    def changed(self, instance):
+    def entry_changed(self, instance):
         self.seen.append(("changed", instance.version))
 
 
--- a/tests/services/configuration/test_restoration.py
+++ b/tests/services/configuration/test_restoration.py
@@ -62,7 +62,7 @@
     def test_accepted_changes_that_a_copy_lacks_are_gone(self):
         # Routers and store disagreed from then on, and the next change took a taken revision.
         async def script(world):
-            copy = world.shared.model.copy()
+            copy = world.shared.model.backup()
             for revision in (2, 3, 4):
                 await self.submit(world, f"c{revision}", revision - 1, revision)
             await trio.sleep(SETTLED_SECONDS)
@@ -85,7 +85,7 @@
     def test_a_change_whose_place_was_taken_since_disappears_silently(self):
         # Routers kept it in force, the store had another one, and nobody said so.
         async def script(world):
-            copy = world.shared.model.copy()
+            copy = world.shared.model.backup()
             await self.submit(world, "lost", 1, 7)
             await trio.sleep(SETTLED_SECONDS)
             for node in world.nodes.values():
@@ -115,7 +115,7 @@
     def test_a_router_that_was_away_meanwhile_goes_on_with_the_changes_that_were_displaced(self):
         # It applied later changes on another base than all others.
         async def script(world):
-            copy = world.shared.model.copy()
+            copy = world.shared.model.backup()
             await self.submit(world, "lost", 1, 7)
             await trio.sleep(SETTLED_SECONDS)
             away = NODES[-1]
@@ -142,7 +142,7 @@
         async def script(world):
             await self.submit(world, "c2", 1, 2)
             await trio.sleep(SETTLED_SECONDS)
-            copy = world.shared.model.copy()
+            copy = world.shared.model.backup()
             await self.submit(world, "c3", 2, 3)
             await trio.sleep(SETTLED_SECONDS)
             world.shared.restore(copy)
--- a/tests/services/exchanges/emulated_directory.py
+++ b/tests/services/exchanges/emulated_directory.py
@@ -114,13 +114,13 @@
         deadline = trio.current_time() + wait_seconds
         while self._hears_nothing(after) and trio.current_time() < deadline:
             self._check()
-            with trio.move_on_at(min(deadline, model.next_lapse())):
+            with trio.move_on_at(min(deadline, model.next_expiry())):
                 await self._world.shared.wait_changed()
         await trio.sleep(self.answer_seconds)
         await self._pass_connection(connection)
         await self._check_answered(ANSWER_SECONDS)
         self._check()
-        if not model.remembers_after(after.revision):
+        if not model.has_history_after(after.revision):
             raise StoreHistoryLostError(ErrorCode.STORE_HISTORY_LOST, "the history is gone")
         require_era(after.era, model.era)
         batch = model.changes("", after.revision)
--- a/tests/services/exchanges/restore_scale.py
+++ b/tests/services/exchanges/restore_scale.py
@@ -112,7 +112,7 @@
     steady = (world.network.bytes - sent) / STEADY_SECONDS / len(world.nodes)
     found.steady_bytes = steady
     found.answers.clear()
-    copy = world.shared.model.copy()
+    copy = world.shared.model.backup()
     for _ in range(4):
         world.change_configuration()
         await trio.sleep(COPY_AGE_SECONDS / 4)
--- a/tests/services/exchanges/test_exchange.py
+++ b/tests/services/exchanges/test_exchange.py
@@ -199,7 +199,7 @@
 
     def test_a_silent_instance_is_left_for_another_when_the_request_may_repeat(self):
         async def script(world):
-            world.instances.servers["p0"].behaviour = Behaviour.SILENT
+            world.instances.servers["p0"].behaviour = Behaviour.UNRESPONSIVE
             for _ in range(4):
                 answer = await world.request("safe", patience=2.5)
                 self.assertEqual(answer.status, 200)
--- a/tests/services/exchanges/test_first_telling.py
+++ b/tests/services/exchanges/test_first_telling.py
@@ -47,7 +47,7 @@
         for number in range(4):
             world.add(f"i{number}", slots=64).work_seconds = 0.3
         server = world.instances.servers["i0"]
-        server.names_limit = 0.3
+        server.announced_limit = 0.3
 
         async def script(world):
             for _round in range(10):
--- a/tests/services/exchanges/test_instance_limits.py
+++ b/tests/services/exchanges/test_instance_limits.py
@@ -64,7 +64,7 @@
     async def name_limit(self, world, limit, instances=("i1",)):
         """Let instances name a limit, and nodes hear it; return when that is counted from."""
         for instance_id in instances:
-            world.instances.servers[instance_id].names_limit = limit
+            world.instances.servers[instance_id].announced_limit = limit
         await self.load(world, 2 * TOLD_SECONDS)
         return trio.current_time()
 
@@ -86,7 +86,7 @@
                 async def script(world, limit=limit):
                     server = world.instances.servers["i1"]
                     await self.load(world, 1.0)
-                    server.names_limit = limit
+                    server.announced_limit = limit
                     named_at = trio.current_time()
                     await self.load(world, TOLD_SECONDS + 3 * WINDOW_SECONDS)
                     self.check_bound(world, named_at + TOLD_SECONDS, limit)
@@ -113,7 +113,7 @@
 
         async def script(world):
             await self.name_limit(world, 1.5)
-            world.instances.servers["i1"].names_limit = None
+            world.instances.servers["i1"].announced_limit = None
             await self.load(world, 3.0)
             for services in world.nodes:
                 view = services.knowledge.table.get("i1")
@@ -173,7 +173,7 @@
             since = await self.name_limit(world, 0.0)
             await self.load(world, 4 * WINDOW_SECONDS)
             self.check_bound(world, since, 0.0)
-            world.instances.servers["i1"].names_limit = None
+            world.instances.servers["i1"].announced_limit = None
             await self.load(world, 3 * WINDOW_SECONDS)
             self.assertFalse(world.nodes[0].knowledge.table.get("i1").standing.limit.is_set)
 
@@ -199,7 +199,7 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 1.5
+            server.announced_limit = 1.5
             await self.load(world, 1.0, name="stream")
             since = trio.current_time()
             reads = world.cache_events.reads[server.instance.address]
@@ -223,7 +223,7 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 0.0
+            server.announced_limit = 0.0
             await self.load(world, 2.0, name="stream")
             since = trio.current_time()
             world.name_weights(2)
@@ -242,7 +242,7 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 0.0
+            server.announced_limit = 0.0
             await self.load(world, 2.0, name="stream")
             world.name_weights(2)
             [services] = world.nodes
@@ -255,7 +255,7 @@
             await trio.sleep(2 * WINDOW_SECONDS)
             await self.load(world, 1.0, name="stream")
             for engine in world.instances.servers.values():
-                tokens = [order.fencing_token for _at, order in engine.attempted]
+                tokens = [order.fencing_token for _at, order in engine.received_orders]
                 self.assertNotIn(0, tokens)
 
         world.run(script)
@@ -268,11 +268,11 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 0.0
+            server.announced_limit = 0.0
             await self.load(world, 2.0, name="stream")
             world.name_weights(2)
             await trio.sleep(2 * WINDOW_SECONDS)
-            server.names_limit = None
+            server.announced_limit = None
             world.name_weights(3)
             await self.load(world, 3 * WINDOW_SECONDS, name="stream")
             self.assertEqual(server.versions, {"m": 3})
@@ -298,7 +298,7 @@
             server = world.instances.servers["i1"]
             await self.load(world, 1.0, every=0.1)
             server.work_seconds = BUSY_SECONDS
-            server.names_limit = limit
+            server.announced_limit = limit
             named_at = trio.current_time()
             await self.load(world, 2 * WINDOW_SECONDS, asking, every=0.1)
             self.check_bound(world, named_at + TOLD_SECONDS, limit)
@@ -317,7 +317,7 @@
                 with self.subTest(limit=limit, nodes=nodes, asking=asking):
 
                     async def script(world, limit=limit, nodes=nodes, asking=asking):
-                        world.instances.servers["i1"].names_limit = None
+                        world.instances.servers["i1"].announced_limit = None
                         seconds = self.asked_within(limit, nodes)
                         await self.load(world, seconds, asking, every=0.1)
                         await trio.sleep(TOLD_SECONDS)
@@ -376,7 +376,7 @@
             with self.subTest(seed=seed):
                 world = ExchangeWorld(nodes=NODES, zones=3, seed=seed)
                 for number, limit in enumerate(limits):
-                    world.add(f"i{number}").names_limit = limit
+                    world.add(f"i{number}").announced_limit = limit
                 generator = random.Random(seed)
 
                 async def script(world, generator=generator):
--- a/tests/services/exchanges/test_instance_lives.py
+++ b/tests/services/exchanges/test_instance_lives.py
@@ -193,7 +193,7 @@
             server.versions = {MODEL: 5}
             world.name_weights(2)
             await trio.sleep(2.0)
-            self.assertEqual(server.attempted, [])
+            self.assertEqual(server.received_orders, [])
             self.assertEqual(self.views(world)[0].versions, {MODEL: 1})
 
         self.run_world(script)
@@ -245,6 +245,6 @@
             again = world.restart("e0", SECOND, versions={MODEL: 3})
             world.name_weights(3)
             await trio.sleep(5.0)
-            self.assertEqual(again.attempted, [])
+            self.assertEqual(again.received_orders, [])
 
         self.run_world(script)
--- a/tests/services/exchanges/test_instance_notices.py
+++ b/tests/services/exchanges/test_instance_notices.py
@@ -86,7 +86,7 @@
             await self.load(world, 1.0)
             self.assertTrue(server.arrived_at)
             world.directories[0].down = True
-            server.says_leaving = True
+            server.announces_leaving = True
             told = RecordedRefusals(server)
             await self.load(world, 3 * DRAIN_SECONDS)
             late = [at for at in server.arrived_at if at > told.at[0] + DRAIN_SECONDS]
@@ -101,7 +101,7 @@
             server = world.instances.servers["i1"]
             self.make_busy(world)
             await self.load(world, 1.0)
-            server.sheds_for = REST_SECONDS
+            server.requested_backoff_seconds = REST_SECONDS
             refusals = RecordedRefusals(server)
             await self.load(world, 3 * REST_SECONDS)
             self.assertTrue(refusals.at)
@@ -120,7 +120,7 @@
             server = world.instances.servers["i1"]
             self.make_busy(world)
             await self.load(world, 1.0)
-            server.sheds_for = REST_SECONDS
+            server.requested_backoff_seconds = REST_SECONDS
             refusals = RecordedRefusals(server)
             await self.load(world, 0.5)
             self.assertTrue(refusals.at)
--- a/tests/services/exchanges/test_lease_resumed.py
+++ b/tests/services/exchanges/test_lease_resumed.py
@@ -45,7 +45,7 @@
         for directory in world.directories:
             directory.down = True
         if leases_wait:
-            world.shared.model.put_off_lapses(AWAY_SECONDS)
+            world.shared.model.extend_leases(AWAY_SECONDS)
         world.shared.order_faults(FaultOrder(outage=True))
 
     def come_back(self, world):
--- a/tests/services/exchanges/test_limited_load.py
+++ b/tests/services/exchanges/test_limited_load.py
@@ -49,7 +49,7 @@
         self.generator = random.Random(seed)
         self.world = ExchangeWorld(nodes=NODES, zones=NODES, seed=seed, order_seed=order_seed)
         for number in range(INSTANCES):
-            self.world.add(f"i{number}").names_limit = LIMIT
+            self.world.add(f"i{number}").announced_limit = LIMIT
 
     def play(self):
         self.world.run(self.run)
--- a/tests/services/exchanges/test_own_pauses.py
+++ b/tests/services/exchanges/test_own_pauses.py
@@ -64,7 +64,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.ask, world, answer)
                 await trio.sleep(0.5)
-                world.instances.servers["e0"].behaviour = Behaviour.SILENT
+                world.instances.servers["e0"].behaviour = Behaviour.UNRESPONSIVE
                 nursery.start_soon(world.request, "stream")
                 await trio.sleep(0.1)
                 world.add("e1", "llm")
@@ -83,7 +83,7 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self.ask, world, answer)
                     await trio.sleep(0.5)
-                    world.instances.servers["e0"].behaviour = Behaviour.SILENT
+                    world.instances.servers["e0"].behaviour = Behaviour.UNRESPONSIVE
                     nursery.start_soon(world.request, "stream")
                     await trio.sleep(0.1)
                     world.add("e1", "llm")
--- a/tests/services/exchanges/test_quarantined_requests.py
+++ b/tests/services/exchanges/test_quarantined_requests.py
@@ -235,7 +235,7 @@
     def test_clients_that_leave_do_not_count(self):
         async def script(world):
             for server in world.instances.servers.values():
-                server.behaviour = Behaviour.SILENT
+                server.behaviour = Behaviour.UNRESPONSIVE
             for _ in range(3 * ENDS_TO_REFUSE):
                 with trio.move_on_after(0.1):
                     await world.request("unsafe")
@@ -247,7 +247,7 @@
 class EvidenceTest(QuarantinedRequestsCase):
     async def leave_waiting(self, world, server):
         """Let a request wait at a silent instance until its client leaves."""
-        server.behaviour = Behaviour.SILENT
+        server.behaviour = Behaviour.UNRESPONSIVE
         others = [other for other in world.instances.servers.values() if other is not server]
         for other in others:
             other.instance = msgspec.structs.replace(other.instance, draining=True)
--- a/tests/services/exchanges/test_rejected_entries.py
+++ b/tests/services/exchanges/test_rejected_entries.py
@@ -130,8 +130,8 @@
             self.assertEqual(reads["unborn:1"], 0)
             for name in entries:
                 self.assertEqual(world.cache_events.reads[f"{name}:1"], reads[f"{name}:1"], name)
-                self.assertEqual(world.instances.servers[name].attempted, [], name)
-            self.assertTrue(world.instances.servers["i0"].attempted)
+                self.assertEqual(world.instances.servers[name].received_orders, [], name)
+            self.assertTrue(world.instances.servers["i0"].received_orders)
 
         self.run_world(script, service="llm", born_ms=BORN)
 
--- a/tests/services/exchanges/test_resting_load.py
+++ b/tests/services/exchanges/test_resting_load.py
@@ -68,10 +68,10 @@
         await trio.sleep(begin)
         servers = self.world.instances.servers.values()
         for server in servers:
-            server.sheds_for = self.rest_seconds
+            server.requested_backoff_seconds = self.rest_seconds
         await trio.sleep(REFUSING_SECONDS)
         for server in servers:
-            server.sheds_for = 0.0
+            server.requested_backoff_seconds = 0.0
 
     async def call(self):
         """Send a request, and once more to another node if it is told to come back in time."""
--- a/tests/services/exchanges/test_restored_instances.py
+++ b/tests/services/exchanges/test_restored_instances.py
@@ -51,7 +51,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     leaving = msgspec.structs.replace(world.listed["i0"], draining=True)
                     world.publish(InstanceListed(leaving))
                     said_at = trio.current_time()
@@ -71,7 +71,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     leaving = msgspec.structs.replace(world.listed["i0"], draining=True)
                     world.publish(InstanceListed(leaving))
                     said_at = trio.current_time()
@@ -90,7 +90,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     ended = world.listed["i0"]
                     world.publish(InstanceRemoved("i0"))
                     await trio.sleep(1.0)
@@ -113,7 +113,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     world.publish(InstanceRemoved("i0"))
                     await trio.sleep(1.0)
                     await world.lose(copy, 0.5)
@@ -131,7 +131,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     for name in ("i0", "i1", "i2"):
                         world.publish(InstanceRemoved(name))
                     for name in ("i3", "i4"):
--- a/tests/services/exchanges/test_restored_keys.py
+++ b/tests/services/exchanges/test_restored_keys.py
@@ -56,7 +56,7 @@
 
                 async def script(world):
                     await trio.sleep(2.0)
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     world.go_away()
                     world.publish(ConfigurationPublished(WITHOUT_KEY))
                     revoked_at, ran = trio.current_time(), []
@@ -73,7 +73,7 @@
     async def lose_known_end(self, world):
         """Take a key away, let all nodes hear of it, and come back from a copy of before."""
         await trio.sleep(1.0)
-        copy = world.shared.model.copy()
+        copy = world.shared.model.backup()
         world.publish(ConfigurationPublished(WITHOUT_KEY))
         await trio.sleep(3.0)
         return copy
@@ -137,7 +137,7 @@
 
                     async def script(world, restarts=restarts):
                         await trio.sleep(1.0)
-                        await world.lose(world.shared.model.copy())
+                        await world.lose(world.shared.model.backup())
                         if restarts:
                             world.kill_nodes()
                             for number in range(NODES):
@@ -156,7 +156,7 @@
 
                 async def script(world):
                     await trio.sleep(1.0)
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     world.change_configuration()
                     await trio.sleep(2.0)
                     await world.lose(copy, 3.5)
--- a/tests/services/exchanges/test_restored_lease.py
+++ b/tests/services/exchanges/test_restored_lease.py
@@ -62,7 +62,7 @@
 
                 async def script(world):
                     earlier = await self.start_nodes(world)
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     self.set_reach(world, earlier, reaches=False)
                     later = await self.wait_holder(world, earlier)
                     await trio.sleep(LEASE_SECONDS)
@@ -79,7 +79,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     holder = await self.start_nodes(world)
                     world.come_back(copy)
                     for _ in range(ENGINES * NODES):
@@ -94,7 +94,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     world.change_configuration(LOST_CHANGES)
                     await self.start_nodes(world)
                     world.name_weights(2)
--- a/tests/services/exchanges/test_restored_nodes.py
+++ b/tests/services/exchanges/test_restored_nodes.py
@@ -19,7 +19,7 @@
         """Run a script with six nodes and a copy of the store of before they were there."""
 
         async def start(world):
-            empty = world.shared.model.copy()
+            empty = world.shared.model.backup()
             for number in range(NODES):
                 world.start_node(world.nursery, f"n{number}", f"z{1 + number % 3}")
             await trio.sleep(2.0)
@@ -61,7 +61,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world, _empty):
-                    copy = world.shared.model.copy()
+                    copy = world.shared.model.backup()
                     before = self.stored(world)
                     world.kill_nodes()
                     for number in range(NODES):
--- a/tests/services/exchanges/test_restored_store.py
+++ b/tests/services/exchanges/test_restored_store.py
@@ -28,7 +28,7 @@
 
     async def come_back_from_copy(self, world, before_loss=lambda: None):
         """Lose some changes, and wait for a while; return the revision that nodes have seen."""
-        copy = world.shared.model.copy()
+        copy = world.shared.model.backup()
         world.change_configuration(LOST_CHANGES)
         before_loss()
         await trio.sleep(CALM_SECONDS)
--- a/tests/services/exchanges/test_silent_connections.py
+++ b/tests/services/exchanges/test_silent_connections.py
@@ -46,7 +46,7 @@
     def test_requests_that_may_run_once_are_served_again_on_new_connections(self):
         async def script(world):
             for instance in world.listed.values():
-                world.instances.silence_connections(instance.address)
+                world.instances.block_connections(instance.address)
             answers = []
 
             async def ask(number):
--- a/tests/services/exchanges/test_weights.py
+++ b/tests/services/exchanges/test_weights.py
@@ -146,11 +146,17 @@
             await trio.sleep(1.0)
             self.assertFalse(holder.lease.may_order)
             sent = [
-                o for s in self.servers(world) for _, o in s.attempted if o.fencing_token == token
+                o
+                for s in self.servers(world)
+                for _, o in s.received_orders
+                if o.fencing_token == token
             ]
             await trio.sleep(2 * LEASE_SECONDS)
             later = [
-                o for s in self.servers(world) for _, o in s.attempted if o.fencing_token == token
+                o
+                for s in self.servers(world)
+                for _, o in s.received_orders
+                if o.fencing_token == token
             ]
             self.assertLessEqual(len(sent), 3)
             self.assertEqual(later, sent)
@@ -174,7 +180,7 @@
         async def script(world):
             await trio.sleep(LEASE_SECONDS + 1.0)
             servers = self.servers(world)
-            servers[0].lose_order_answers = 1
+            servers[0].lost_order_answers = 1
             servers[1].order_delay_seconds = 3.0
             world.name_weights(2)
             await trio.sleep(BOUND_SECONDS)
--- a/tests/services/quarantine/test_quarantine.py
+++ b/tests/services/quarantine/test_quarantine.py
@@ -179,9 +179,9 @@
             with self.subTest(lost_whole=lost_whole):
 
                 async def script(store, quarantines, records, lost_whole=lost_whole):
-                    empty = store._shared.model.copy()
+                    empty = store._shared.model.backup()
                     await self.tell_all(store, quarantines, records, seen_by="n0")
-                    copy = empty if lost_whole else store._shared.model.copy()
+                    copy = empty if lost_whole else store._shared.model.backup()
                     await trio.sleep(TRIAL_AFTER_SECONDS)
                     self.assertEqual(await quarantines[0].admit(FATAL), 0.0)
                     quarantines[0].note_broken(RequestName(FATAL), "i9")
--- a/tests/simulation/harness.py
+++ b/tests/simulation/harness.py
@@ -73,4 +73,4 @@
         """Check that every sending came to its end, or was refused as not run."""
         for answer in cluster.history.answers:
             if answer.outcome not in (Outcome.COMPLETE, *outcomes):
-                self.assertTrue(answer.says_not_run, answer)
+                self.assertTrue(answer.reports_not_run, answer)
--- a/tests/simulation/test_configuration.py
+++ b/tests/simulation/test_configuration.py
@@ -113,7 +113,7 @@
 
 async def restored_store(cluster):
     """The store comes back from a copy that lacks a change which all routers have."""
-    copy = cluster.copy_store()
+    copy = cluster.back_up_store()
     await edit(cluster)
     await trio.sleep(3)
     cluster.restore_store(copy)
--- a/tests/simulation/test_not_run.py
+++ b/tests/simulation/test_not_run.py
@@ -98,7 +98,7 @@
             for request_class in ("quick", "once"):
                 answer = await cluster.ask("r0", call(request_class=request_class))
                 self.assertEqual(answer.outcome, Outcome.REFUSED)
-                self.assertTrue(answer.says_not_run, answer)
+                self.assertTrue(answer.reports_not_run, answer)
 
         self.run_clean(body)
 
--- a/tests/simulation/test_overload.py
+++ b/tests/simulation/test_overload.py
@@ -64,7 +64,7 @@
         for answer in cluster.history.answers
         if answer.code != "rate_limited" and answer.outcome is not Outcome.CONNECTION_REFUSED
     )
-    lives = cluster.history.lives
+    lives = cluster.history.incarnations
     spans = []
     for first, began_at in enumerate(entered):
         for last in range(first, len(entered)):
@@ -121,7 +121,7 @@
         # A tenth, and the floor and the savings of three routers.
         self.assertLess(len(dispatches) / firsts, 1.5)
         for answer in cluster.history.answers:
-            self.assertTrue(answer.says_not_run, answer)
+            self.assertTrue(answer.reports_not_run, answer)
 
     def test_a_budget_that_allows_everything_is_caught(self):
         variant = (RetryBudget, "allows", lambda *_: True)
@@ -143,7 +143,7 @@
         refused = [item for item in cluster.history.answers if item.code == "overloaded"]
         self.assertGreater(len(refused), 2)
         for answer in refused:
-            self.assertTrue(answer.says_not_run)
+            self.assertTrue(answer.reports_not_run)
             self.assertEqual(answer.ended_at, answer.started_at)
 
     def test_a_refusal_that_waits_for_cancels_is_caught(self):
--- a/tests/simulation/test_restart.py
+++ b/tests/simulation/test_restart.py
@@ -33,7 +33,7 @@
         answer = await cluster.ask(router, call(max_tokens=1))
         if answer.outcome is Outcome.COMPLETE:
             return answer.first_token_at - began_at
-        assert answer.says_not_run, answer
+        assert answer.reports_not_run, answer
         assert answer.ended_at == answer.started_at, answer
         await trio.sleep(STEP_SECONDS)
     return float("inf")
