--- a/emulator/engine/model.py
+++ b/emulator/engine/model.py
@@ -339,7 +339,7 @@
     def _record_notices(self, first_new: int) -> None:
         """Record the notices from index ``first_new`` on."""
         for notice in self._notices[first_new:]:
-            self.executions.record(notice, self.incarnation)
+            self.executions.record_notice(notice, self.incarnation)
             if notice.kind is NoticeKind.FINISHED:
                 self._nonces.end(notice.attempt)
 
--- a/emulator/engine/records.py
+++ b/emulator/engine/records.py
@@ -41,7 +41,7 @@
         self._runs: deque[RunRecord] = deque(maxlen=retained_runs)
         self._exports: list[BlockExport] = []
 
-    def record(self, notice: Notice, incarnation: str) -> None:
+    def record_notice(self, notice: Notice, incarnation: str) -> None:
         """Record the run or the exports that a notice reports."""
         attempt = notice.attempt
         if notice.kind is NoticeKind.STARTED:
--- a/emulator/exchange_platform/http_instance.py
+++ b/emulator/exchange_platform/http_instance.py
@@ -325,8 +325,10 @@
 
     def report_notices(self, request_id: str, *, asks_backoff: bool) -> None:
         """Notify the listener of the notices in a response, if there are any."""
-        own = self.notices
-        sent = ResponseNotices(own.leaving, own.backoff_seconds if asks_backoff else 0.0, own.limit)
+        announced = self.notices
+        sent = ResponseNotices(
+            announced.leaving, announced.backoff_seconds if asks_backoff else 0.0, announced.limit
+        )
         if sent != ResponseNotices():
             self._listener.notices_sent(self, request_id, sent)
 
--- a/emulator/simulation/oracle.py
+++ b/emulator/simulation/oracle.py
@@ -65,7 +65,7 @@
             yield f"stream: {_name(answer)} has a wrong usage"
         broken = answer.outcome in (Outcome.REFUSED, Outcome.FAILED)
         if broken and not answer.code:
-            yield f"stream: {_name(answer)} was cut off without a word"
+            yield f"stream: {_name(answer)} was cut off without an error"
 
 
 def _single_run_violations(cluster: SimulatedCluster) -> Iterator[str]:
@@ -92,7 +92,7 @@
             continue
         ran = [item for item in dispatches[answer.number] if item.request.nonce in cluster.runs]
         if ran:
-            yield f"not run: {_name(answer)} was said not to have run ({answer.code}), but ran"
+            yield f"not run: {_name(answer)} was reported as not run ({answer.code}), but ran"
 
 
 def _planned_stop_violations(cluster: SimulatedCluster) -> Iterator[str]:
@@ -144,7 +144,7 @@
     sent = _by_sending(cluster)
     for answer in cluster.history.answers:
         if answer.code and answer.retry_after_seconds <= 0:
-            yield f"refusal: {_name(answer)} doesn't say when to come back"
+            yield f"refusal: {_name(answer)} doesn't say when to retry"
         if answer.delayed or answer.outcome not in (Outcome.REFUSED, Outcome.FAILED):
             continue
         took = answer.ended_at - answer.started_at
