--- a/emulator/soak/checks.py
+++ b/emulator/soak/checks.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from emulator.soak.history import (
-    LEASES_LAPSE,
+    LEASES_EXPIRED_EARLY,
     Arrival,
     History,
     RequestKind,
@@ -17,16 +17,16 @@
 )
 from emulator.soak.instance_checks import INSTANCE_CHECKS
 from emulator.soak.limit_checks import LIMIT_CHECKS
+from emulator.soak.notice_checks import NOTICE_CHECKS
 from emulator.soak.promises import Bounds, Check, Violation
 from emulator.soak.regress_checks import REGRESS_CHECKS
-from emulator.soak.word_checks import WORD_CHECKS
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 OK = 200
-DENIALS = frozenset({401, 403, 404})
+DENIAL_STATUSES = frozenset({401, 403, 404})
 """Answers that only a node may give whose configuration has no such route or key."""
 
-LATE_SECONDS = 0.75
+MAX_LATE_SECONDS = 0.75
 """An answer may come so much later than the caller's deadline on an undisturbed node."""
 
 RECOVERED_SHARE = 0.9
@@ -58,7 +58,11 @@
     """Yield requests whose answer says not run although they ran."""
     runs = _runs_by_request(history)
     for request in history.requests.values():
-        if request.kind.at_most_once and request.status in PROMISES and runs[request.request_id]:
+        if (
+            request.kind.at_most_once
+            and request.status in NOT_RUN_STATUSES
+            and runs[request.request_id]
+        ):
             yield f"{request.kind} {request.request_id} got {request.status} and ran"
 
 
@@ -117,28 +121,28 @@
     """Yield runs on older weights than their bound allows, while nothing disturbed."""
     for run in history.runs:
         request = history.requests.get(run.request_id)
-        required = [n for n in history.namings if run.at - n.at > bounds.weights]
+        required = [n for n in history.weights_changes if run.at - n.at > bounds.weights]
         if not required or not run.version or request is None:
             continue
-        naming = max(required, key=lambda n: n.version)
-        since = naming.at - bounds.contact
-        disturbed = not history.bounded(request.node, since, run.at)
-        if run.version < naming.version and not disturbed:
+        newest = max(required, key=lambda n: n.version)
+        since = newest.at - bounds.settling
+        disturbed = not history.time_bounds_apply(request.node, since, run.at)
+        if run.version < newest.version and not disturbed:
             yield (
                 f"{run.request_id} started on version {run.version} at {run.instance_id}, "
-                f"{run.at - naming.at:.2f} s after version {naming.version} was named"
+                f"{run.at - newest.at:.2f} s after version {newest.version} was named"
             )
 
 
 def draining_instances_get_nothing(history: History, bounds: Bounds) -> Iterable[str]:
     """Yield runs at instances that said long before that they are draining."""
-    leaving = {leaving.life: leaving.at for leaving in history.leavings}
+    leaving = {leaving.incarnation: leaving.at for leaving in history.drain_starts}
     for run in history.runs:
-        at = leaving.get(run.life)
+        at = leaving.get(run.incarnation)
         request = history.requests.get(run.request_id)
         if at is None or request is None or run.at - at <= bounds.drain:
             continue
-        if history.bounded(request.node, run.at - bounds.contact, run.at):
+        if history.time_bounds_apply(request.node, run.at - bounds.settling, run.at):
             yield f"{run.request_id} ran at {run.instance_id}, draining for {run.at - at:.2f} s"
 
 
@@ -153,9 +157,9 @@
             continue
         later = [c for c in changes[request.path] if c not in known and c.at <= request.ended_at]
         present = known[-1].present
-        wrong = request.status in DENIALS if present else request.status == OK
-        since = request.sent_at - bounds.contact
-        if wrong and not later and history.bounded(request.node, since, request.ended_at):
+        wrong = request.status in DENIAL_STATUSES if present else request.status == OK
+        since = request.sent_at - bounds.settling
+        if wrong and not later and history.time_bounds_apply(request.node, since, request.ended_at):
             late = request.sent_at - known[-1].at
             what = "added" if present else "removed"
             yield f"{request.path} {what}, {late:.2f} s later {request.node} said {request.status}"
@@ -175,8 +179,8 @@
             yield f"token {token} was used by {sorted(names)}"
     for earlier, later in itertools.pairwise(history.orders):
         close = later.at - earlier.at < bounds.lease
-        resumed = history.disturbed(earlier.holder, earlier.at - bounds.thaw, earlier.at)
-        lapsed = history.happened(LEASES_LAPSE, earlier.at - bounds.lease, later.at)
+        resumed = history.disturbed(earlier.holder, earlier.at - bounds.resume_slack, earlier.at)
+        lapsed = history.happened(LEASES_EXPIRED_EARLY, earlier.at - bounds.lease, later.at)
         if close and later.holder != earlier.holder and not resumed and not lapsed:
             yield f"{later.holder} ordered {later.at - earlier.at:.2f} s after {earlier.holder}"
         if later.token < earlier.token and not resumed:
@@ -251,8 +255,8 @@
     request = history.requests.get(request_id)
     if request is None or not request.left or request.ended_at is None:
         return False
-    late = at - request.ended_at > bounds.leaving
-    return late and history.bounded(request.node, request.sent_at - bounds.contact, at)
+    late = at - request.ended_at > bounds.abandoned
+    return late and history.time_bounds_apply(request.node, request.sent_at - bounds.settling, at)
 
 
 def answers_come_in_time(history: History, bounds: Bounds) -> Iterable[str]:
@@ -261,8 +265,8 @@
         if request.left or request.ended_at is None:
             continue
         late = request.ended_at - request.deadline_at
-        since = request.sent_at - bounds.contact
-        if late > LATE_SECONDS and not history.disturbed(request.node, since, request.ended_at):
+        since = request.sent_at - bounds.settling
+        if late > MAX_LATE_SECONDS and not history.disturbed(request.node, since, request.ended_at):
             yield f"{request.kind} {request.request_id} ended {late:.2f} s after its deadline"
 
 
@@ -286,7 +290,7 @@
 
 def processes_stay_alive(history: History, _bounds: Bounds) -> Iterable[str]:
     """Yield processes that ended by themselves."""
-    for node in history.unexpected_ends:
+    for node in history.unexpected_exits:
         yield f"ended by itself: {node}"
 
 
@@ -308,7 +312,9 @@
         and not request.path
         and not request.fatal
     ]
-    served = sum(1 for r in late if r.whole and r.status is not None and r.status not in PROMISES)
+    served = sum(
+        1 for r in late if r.whole and r.status is not None and r.status not in NOT_RUN_STATUSES
+    )
     if not late or served < RECOVERED_SHARE * len(late):
         ends = Counter(str(request.status) for request in late)
         detail = f"{served} of {len(late)} served after recovery: {dict(ends)}"
@@ -352,7 +358,7 @@
     "answers in time": answers_come_in_time,
     "retry budget": retries_stay_in_budget,
     **INSTANCE_CHECKS,
-    **WORD_CHECKS,
+    **NOTICE_CHECKS,
     **LIMIT_CHECKS,
     **REGRESS_CHECKS,
     "processes": processes_stay_alive,
--- a/emulator/soak/deployment.py
+++ b/emulator/soak/deployment.py
@@ -21,9 +21,9 @@
 from emulator.soak import suspendable_node
 from emulator.soak.history import (
     Disturbance,
+    FatalTermination,
     History,
-    InstanceEnd,
-    InstanceTime,
+    IncarnationPeriod,
     ListedInstance,
 )
 from emulator.soak.proxies import TcpProxy, UdpProxy
@@ -115,7 +115,7 @@
         self._generator = generator
         self._started = 0
         self._born_ms = FIRST_BORN_MS
-        self.recorder.on_fatal = self._end_under
+        self.recorder.on_fatal = self._schedule_fatal_termination
 
     async def start(self, nursery: trio.Nursery, processes: ProcessGroup, nodes: int) -> None:
         """Start store, instances and nodes.
@@ -169,30 +169,30 @@
         proxy = TcpProxy(address)
         listed = await self._nursery.start(proxy.run, port)
         self.recorder.addresses[traits.instance_id] = listed
-        self.recorder.lives[traits.instance_id] = instance
+        self.recorder.current_instances[traits.instance_id] = instance
         links = InstanceLinks(instance, proxy, scope, trio.current_time())
         self.instances.append(links)
         self.history.instances.append(
-            InstanceTime(traits.life, service, trio.current_time(), is_plain=not model)
+            IncarnationPeriod(traits.life, service, trio.current_time(), is_plain=not model)
         )
         self.recorder.changed(instance)
         return links
 
-    def end_instance(self, links: InstanceLinks, *, unlisted: bool) -> None:
+    def terminate_instance(self, links: InstanceLinks, *, unlisted: bool) -> None:
         """End an instance at once."""
         instance_id = links.instance.traits.instance_id
         links.scope.cancel()
         links.proxy.close()
-        life = links.instance.traits.life
-        ended = next(time for time in self.history.instances if time.life == life)
+        incarnation = links.instance.traits.life
+        ended = next(time for time in self.history.instances if time.incarnation == incarnation)
         ended.until = trio.current_time()
         self.instances.remove(links)
         self.recorder.addresses.pop(instance_id)
-        self.recorder.lives.pop(instance_id)
+        self.recorder.current_instances.pop(instance_id)
         if unlisted:
             self.store.remove(f"servers/{instance_id}")
 
-    def note_listed(self) -> None:
+    def record_listed(self) -> None:
         """Record the instances that take requests now."""
         self.history.listed = [
             ListedInstance(
@@ -205,19 +205,21 @@
             if not (links.instance.draining or links.instance.words.leaving)
         ]
 
-    def _end_under(self, instance: HttpInstance, request: str) -> None:
+    def _schedule_fatal_termination(self, instance: HttpInstance, request: str) -> None:
         """Let an instance end soon under a request that has begun there, and start again."""
-        self._nursery.start_soon(self._end_and_restart, instance, request)
+        self._nursery.start_soon(self._terminate_and_restart, instance, request)
 
-    async def _end_and_restart(self, instance: HttpInstance, request: str) -> None:
+    async def _terminate_and_restart(self, instance: HttpInstance, request: str) -> None:
         """End an instance under a request; it is back after some seconds, mostly under its id."""
         traits = instance.traits
         await trio.sleep(self._generator.uniform(*FATAL_SECONDS))
         links = next((links for links in self.instances if links.instance is instance), None)
         if links is None:
             return
-        self.history.ends.append(InstanceEnd(request, traits.life, trio.current_time()))
-        self.end_instance(links, unlisted=False)
+        self.history.fatal_terminations.append(
+            FatalTermination(request, traits.life, trio.current_time())
+        )
+        self.terminate_instance(links, unlisted=False)
         await trio.sleep(self._generator.uniform(*RESTART_SECONDS))
         own_id = self._generator.random() < SAME_ID_SHARE
         if not own_id:
@@ -294,7 +296,7 @@
     async def serve(path: str) -> quart.Response:
         """Record what comes; refuse it as an instance of another id does."""
         request_id = quart.request.headers.get("Attempt-Id", "")
-        history.decoyed.append(f"/{path} {request_id}")
+        history.decoy_requests.append(f"/{path} {request_id}")
         return quart.Response(b"", status=MISDIRECTED, headers={"Instance-Id": "decoy"})
 
     return app
--- a/emulator/soak/beside_fatal.py
+++ b/emulator/soak/fatal_impact.py
@@ -16,7 +16,7 @@
 MILLISECONDS = 1_000.0
 
 
-class Fared(msgspec.Struct, frozen=True):
+class RequestOutcomes(msgspec.Struct, frozen=True):
     """How some requests fared.
 
     Attributes:
@@ -34,34 +34,34 @@
         return f"{self.requests} requests, {self.served_share:.3f} served, {self.head_ms:.0f} ms"
 
 
-class BesideFatal(msgspec.Struct, frozen=True):
+class FatalImpact(msgspec.Struct, frozen=True):
     """Honest requests while fatal ones come, and at other times."""
 
-    beside: Fared
-    otherwise: Fared
+    beside: RequestOutcomes
+    otherwise: RequestOutcomes
 
     def __str__(self) -> str:
         """Return it as a line."""
         return f"honest requests beside fatal ones: {self.beside}; otherwise: {self.otherwise}"
 
 
-def compare_beside_fatal(history: History) -> BesideFatal:
+def measure_fatal_impact(history: History) -> FatalImpact:
     """Return how honest requests fared with fatal ones under way and without."""
     fatal = [request.sent_at for request in history.requests.values() if request.fatal]
     honest = [r for r in history.requests.values() if not (r.fatal or r.left or r.path)]
-    beside = [r for r in honest if _is_beside(r.sent_at, fatal)]
-    others = [r for r in honest if not _is_beside(r.sent_at, fatal)]
-    return BesideFatal(_fared(beside), _fared(others))
+    beside = [r for r in honest if _is_during_fatal(r.sent_at, fatal)]
+    others = [r for r in honest if not _is_during_fatal(r.sent_at, fatal)]
+    return FatalImpact(_outcomes(beside), _outcomes(others))
 
 
-def _is_beside(at: float, fatal: Sequence[float]) -> bool:
+def _is_during_fatal(at: float, fatal: Sequence[float]) -> bool:
     """Return whether a fatal request was sent shortly before a time."""
     return any(at - AFTER_SECONDS <= sent_at <= at for sent_at in fatal)
 
 
-def _fared(requests: Sequence[SentRequest]) -> Fared:
+def _outcomes(requests: Sequence[SentRequest]) -> RequestOutcomes:
     """Return how requests fared."""
     served = [r for r in requests if r.whole and r.status == SERVED]
     heads = [(r.head_at - r.sent_at) * MILLISECONDS for r in served if r.head_at is not None]
     share = len(served) / len(requests) if requests else 0.0
-    return Fared(len(requests), share, statistics.median(heads) if heads else 0.0)
+    return RequestOutcomes(len(requests), share, statistics.median(heads) if heads else 0.0)
--- a/emulator/soak/faults.py
+++ b/emulator/soak/faults.py
@@ -9,12 +9,12 @@
 
 from emulator.platform.faults import FaultOrder
 from emulator.soak.deployment import GRACE_SECONDS, Deployment, NodeLinks
-from emulator.soak.history import KILLED, LEASES_LAPSE, ONLY_PEERS, RESTORED, STORE
+from emulator.soak.history import KILLED, LEASES_EXPIRED_EARLY, PEER_LINK_CUT, RESTORED, STORE
+from emulator.soak.hostile_callers import HostileCallers
 from emulator.soak.instance_faults import BROKEN_LINKS, Fault, draw_seconds, instance_faults
 from emulator.soak.operators import Operator
 from emulator.soak.profiles import RESTORE, Profile
 from emulator.soak.proxies import LinkState
-from emulator.soak.stubborn_callers import StubbornCallers
 
 SERIES_LENGTH = (2, 4)
 SERIES_SECONDS = (0.1, 0.8)
@@ -27,16 +27,16 @@
 """For the interpreter to start: SIGHUP ends it until the first line of the program ignores it."""
 
 
-BACK_SHARE = 0.25
+ROLLBACK_SHARE = 0.25
 """Of replaced nodes: any node changes its build, also back to the earlier one."""
 
 REVOKING_SHARE = 0.5
 """Of suspensions: a key is taken away."""
 
-LONG_SECONDS = (5.5, 9.0)
+REVOKING_SUSPENSION_SECONDS = (5.5, 9.0)
 """Longer than a key may be used that was taken away."""
 
-ON_THE_WAY_SECONDS = 0.05
+IN_FLIGHT_SECONDS = 0.05
 """For requests to reach the socket of a node that doesn't run."""
 
 
@@ -47,7 +47,7 @@
         self,
         deployment: Deployment,
         operator: Operator,
-        callers: StubbornCallers,
+        callers: HostileCallers,
         generator: random.Random,
         profile: Profile,
     ) -> None:
@@ -83,11 +83,11 @@
             "all nodes killed": self._all_killed,
             "node stopped": self._node_stopped,
             "node replaced": self._node_replaced,
-            "settings reloaded": self._hang_up,
+            "settings reloaded": self._settings_reloaded,
             "key revoked": self._key_revoked,
             "weights named": self._weights_named,
             "node suspended": self._node_suspended,
-            "fatal request": callers.insist,
+            "fatal request": callers.repeat_fatal_request,
             **instance_faults(deployment, operator, generator),
         }
 
@@ -148,12 +148,12 @@
         """Come back from a copy; promises hold from the store's return on."""
         disturbance = self._deployment.disturb(RESTORED, STORE)
         restores = self._deployment.restores
-        await restores.come_back()
+        await restores.restore_backup()
         disturbance.until = trio.current_time()
-        await restores.write_again()
+        await restores.rewrite_missing()
 
     async def _leases_lapse(self) -> None:
-        disturbance = self._deployment.disturb(LEASES_LAPSE, STORE)
+        disturbance = self._deployment.disturb(LEASES_EXPIRED_EARLY, STORE)
         self._deployment.shared.order_faults(FaultOrder(lapse_leases=True))
         await trio.lowlevel.checkpoint()
         disturbance.until = trio.current_time()
@@ -176,7 +176,7 @@
 
     async def _node_without_peers(self) -> None:
         node = self._node()
-        disturbance = self._deployment.disturb(ONLY_PEERS, node.name)
+        disturbance = self._deployment.disturb(PEER_LINK_CUT, node.name)
         node.peers.cut = True
         await trio.sleep(draw_seconds(self._generator))
         node.peers.cut = False
@@ -226,14 +226,17 @@
         self._deployment.signal_node(node, signal.SIGSTOP)
         seconds, key = draw_seconds(self._generator), ""
         if self._generator.random() < REVOKING_SHARE:
-            seconds, key = self._generator.uniform(*LONG_SECONDS), self._operator.revoke()
+            seconds, key = (
+                self._generator.uniform(*REVOKING_SUSPENSION_SECONDS),
+                self._operator.revoke(),
+            )
         await trio.sleep(seconds)
         node.suspended_seconds += seconds
         node.suspended.write_text(str(node.suspended_seconds))
         async with trio.open_nursery() as nursery:
             if key:
                 nursery.start_soon(self._callers.use_key, node, key)
-                await trio.sleep(ON_THE_WAY_SECONDS)
+                await trio.sleep(IN_FLIGHT_SECONDS)
             if self._deployment.node_exit_code(node) is None:
                 self._deployment.signal_node(node, signal.SIGCONT)
             disturbance.until = trio.current_time()
@@ -266,7 +269,7 @@
     async def _node_replaced(self) -> None:
         """Replace a node by one of the other build: forwards, and now and then back."""
         behind = [node for node in self._deployment.nodes if node.other_build]
-        forwards = bool(behind) and self._generator.random() >= BACK_SHARE
+        forwards = bool(behind) and self._generator.random() >= ROLLBACK_SHARE
         node = self._generator.choice(behind) if forwards else self._node()
         if self._deployment.other_build is None or not node.running:
             return
@@ -290,7 +293,7 @@
         await trio.sleep(SETTLE_SECONDS)
         starting.until = trio.current_time()
 
-    async def _hang_up(self) -> None:
+    async def _settings_reloaded(self) -> None:
         node = self._node()
         await trio.lowlevel.checkpoint()
         started = trio.current_time() - node.started_at > INTERPRETER_SECONDS
@@ -303,4 +306,4 @@
 
     async def _weights_named(self) -> None:
         await trio.lowlevel.checkpoint()
-        self._operator.name_weights()
+        self._operator.set_weights_version()
--- a/emulator/soak/history.py
+++ b/emulator/soak/history.py
@@ -13,7 +13,7 @@
 """Subject of the times at which the machine of the soak itself stood still."""
 
 
-LEASES_LAPSE = "leases lapse"
+LEASES_EXPIRED_EARLY = "leases lapse"
 """Leases that the store ends before their time, against its protocol."""
 
 RESTORED = "restored"
@@ -22,7 +22,7 @@
 KILLED = "killed"
 """What happens to a node whose process is killed; it is started again."""
 
-ONLY_PEERS = "peer link"
+PEER_LINK_CUT = "peer link"
 """What happens to a node that is cut off from other nodes, and from nothing else."""
 
 
@@ -90,7 +90,7 @@
     Attributes:
         request_id: The request.
         instance_id: The instance.
-        life: The instance and its start.
+        incarnation: The instance and its start.
         service: Service of the instance.
         at: Start.
         tenant: Tenant that the instance was told.
@@ -103,7 +103,7 @@
 
     request_id: str
     instance_id: str
-    life: str
+    incarnation: str
     service: str
     at: float
     tenant: str
@@ -121,21 +121,21 @@
         request_id: The request; empty for a report or an order.
         service: Service of the instance.
         at: When it came.
-        life: The instance and its start.
+        incarnation: The instance and its start.
     """
 
     request_id: str
     service: str
     at: float
-    life: str = ""
+    incarnation: str = ""
 
 
-class SaidWord(msgspec.Struct, frozen=True):
+class SentNotice(msgspec.Struct, frozen=True):
     """What an instance said of itself in an answer.
 
     Attributes:
         request_id: The request that was answered.
-        life: The instance and its start.
+        incarnation: The instance and its start.
         at: When the answer was made.
         leaving: Whether it says that the instance leaves.
         rest_seconds: Rest that it asks for; 0 for none.
@@ -143,10 +143,10 @@
     """
 
     request_id: str
-    life: str
+    incarnation: str
     at: float
     leaving: bool
-    rest_seconds: float
+    backoff_seconds: float
     limit: float | None = None
 
 
@@ -154,42 +154,42 @@
     """A limit that an instance names from a time on.
 
     Attributes:
-        life: The instance and its start.
+        incarnation: The instance and its start.
         at: From when on its answers say so.
         per_second: Requests a second that it takes from all nodes together; None for no limit.
     """
 
-    life: str
+    incarnation: str
     at: float
     per_second: float | None
 
 
-class InstanceEnd(msgspec.Struct, frozen=True):
+class FatalTermination(msgspec.Struct, frozen=True):
     """The end of an instance under a request that ends each one which begins it.
 
     Attributes:
         fatal: Name of the request.
-        life: The instance and its start.
+        incarnation: The instance and its start.
         at: When it ended.
     """
 
     fatal: str
-    life: str
+    incarnation: str
     at: float
 
 
-class InstanceTime(msgspec.Struct):
+class IncarnationPeriod(msgspec.Struct):
     """The time in which a life of an instance serves.
 
     Attributes:
-        life: The instance and its start.
+        incarnation: The instance and its start.
         service: Its service.
         since: When it was listed.
         is_plain: Whether it is no engine.
         until: Its end; infinite while it lives.
     """
 
-    life: str
+    incarnation: str
     service: str
     since: float
     is_plain: bool
@@ -249,22 +249,22 @@
     at: float
 
 
-class Naming(msgspec.Struct, frozen=True):
+class WeightsChange(msgspec.Struct, frozen=True):
     """A weights version, and when the store acknowledged it."""
 
     version: int
     at: float
 
 
-class Leaving(msgspec.Struct, frozen=True):
+class DrainStart(msgspec.Struct, frozen=True):
     """An instance that said that it is draining.
 
     Attributes:
-        life: The instance and its start: it may come back and take requests again.
+        incarnation: The instance and its start: it may come back and take requests again.
         at: When the store acknowledged that.
     """
 
-    life: str
+    incarnation: str
     at: float
 
 
@@ -313,29 +313,29 @@
     requests: dict[str, SentRequest] = {}
     runs: list[Run] = []
     arrivals: list[Arrival] = []
-    ends: list[InstanceEnd] = []
-    decoyed: list[str] = []
+    fatal_terminations: list[FatalTermination] = []
+    decoy_requests: list[str] = []
     listed: list[ListedInstance] = []
     orders: list[TakenOrder] = []
     revocations: list[Revocation] = []
-    namings: list[Naming] = []
+    weights_changes: list[WeightsChange] = []
     route_changes: list[RouteChange] = []
-    leavings: list[Leaving] = []
-    words: list[SaidWord] = []
+    drain_starts: list[DrainStart] = []
+    notices: list[SentNotice] = []
     limits: list[LimitChange] = []
-    instances: list[InstanceTime] = []
+    instances: list[IncarnationPeriod] = []
     disturbances: list[Disturbance] = []
-    unexpected_ends: list[str] = []
+    unexpected_exits: list[str] = []
     tenants: dict[str, str] = {}
     isolated: set[str] = set()
 
-    def bounded(self, node: str, since: float, until: float) -> bool:
+    def time_bounds_apply(self, node: str, since: float, until: float) -> bool:
         """Return whether promises that are bound in time hold for a node.
 
         They do while its process, its links, the store and the machine were undisturbed. Losing all
         other nodes excuses nothing.
         """
-        excuses = (fault for fault in self.disturbances if fault.what != ONLY_PEERS)
+        excuses = (fault for fault in self.disturbances if fault.what != PEER_LINK_CUT)
         return not any(
             fault.subject in (node, STORE, MACHINE)
             and fault.since <= until
@@ -354,7 +354,7 @@
         """Return whether a node was killed, stopped, started, halted or cut off within a time."""
         return any(
             fault.subject in (node, MACHINE)
-            and fault.what != ONLY_PEERS
+            and fault.what != PEER_LINK_CUT
             and fault.since <= until
             and fault.until >= since
             for fault in self.disturbances
--- a/emulator/soak/stubborn_callers.py
+++ b/emulator/soak/hostile_callers.py
@@ -22,7 +22,7 @@
 """Drawn: how often it is sent at the same moment."""
 
 
-class StubbornCallers:
+class HostileCallers:
     """Sends such requests."""
 
     def __init__(self, deployment: Deployment, callers: Callers, generator: random.Random) -> None:
@@ -37,7 +37,7 @@
         self._callers = callers
         self._generator = generator
 
-    async def insist(self) -> None:
+    async def repeat_fatal_request(self) -> None:
         """Send one fatal request again and again for a while, at any node."""
         generator = self._generator
         name = generator.randbytes(4).hex()
--- a/emulator/soak/instance_checks.py
+++ b/emulator/soak/instance_checks.py
@@ -21,7 +21,7 @@
 def fatal_requests_end_few(history: History, bounds: Bounds) -> Iterable[str]:
     """Yield requests that reach instances too often after they have ended some."""
     ends: dict[str, list[float]] = defaultdict(list)
-    for end in history.ends:
+    for end in history.fatal_terminations:
         ends[end.fatal].append(end.at)
     arrivals: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in history.arrivals:
@@ -29,15 +29,15 @@
         if request is not None and request.fatal:
             arrivals[request.fatal].append(arrival)
     for fatal, times in ends.items():
-        if len(times) < bounds.fatal_ends:
+        if len(times) < bounds.max_fatal_terminations:
             continue
-        bounded_from = sorted(times)[bounds.fatal_ends - 1] + bounds.contact
+        bounded_from = sorted(times)[bounds.max_fatal_terminations - 1] + bounds.settling
         late = [
             arrival
             for arrival in arrivals[fatal]
             if arrival.at > bounded_from
-            and history.bounded(
-                history.requests[arrival.request_id].node, arrival.at - bounds.contact, arrival.at
+            and history.time_bounds_apply(
+                history.requests[arrival.request_id].node, arrival.at - bounds.settling, arrival.at
             )
         ]
         if len(late) > bounds.fatal_retries:
@@ -62,10 +62,13 @@
 
     They may have ended some time apart: ends are remembered for ten minutes.
     """
-    earlier = [end for end in history.ends if end.at <= _end_of(request)]
+    earlier = [end for end in history.fatal_terminations if end.at <= _end_of(request)]
     latest = max((end.at for end in earlier), default=-float("inf"))
-    lives = {end.life for end in earlier}
-    return len(lives) >= bounds.fatal_ends and latest >= request.sent_at - RELEASE_SECONDS
+    current_instances = {end.incarnation for end in earlier}
+    return (
+        len(current_instances) >= bounds.max_fatal_terminations
+        and latest >= request.sent_at - RELEASE_SECONDS
+    )
 
 
 def _is_known(history: History, request: SentRequest) -> bool:
@@ -94,17 +97,19 @@
 
 def untrusted_entries_lead_nowhere(history: History, _bounds: Bounds) -> Iterable[str]:
     """Yield what came where only an entry leads that names no instance."""
-    yield from (f"{what} was sent by an entry that can't be trusted" for what in history.decoyed)
+    yield from (
+        f"{what} was sent by an entry that can't be trusted" for what in history.decoy_requests
+    )
 
 
 def weights_reach_all_engines(history: History, bounds: Bounds) -> Iterable[str]:
     """Yield listed engines that were there all the time and lack the newest weights."""
-    if not history.namings:
+    if not history.weights_changes:
         return
-    newest = history.namings[-1]
+    newest = history.weights_changes[-1]
     for instance in history.listed:
         behind = instance.version and instance.version < newest.version
-        settled = instance.since < newest.at + bounds.contact
+        settled = instance.since < newest.at + bounds.settling
         if behind and settled:
             yield f"{instance.instance_id} has version {instance.version} of {newest.version}"
 
--- a/emulator/soak/instance_faults.py
+++ b/emulator/soak/instance_faults.py
@@ -9,7 +9,7 @@
 
 from emulator.soak.deployment import ENGINES, PLAIN, ZONES, Deployment, InstanceLinks
 from emulator.soak.foreign_entries import FOREIGN_PREFIX, foreign_entry
-from emulator.soak.history import Leaving, LimitChange
+from emulator.soak.history import DrainStart, LimitChange
 from emulator.soak.operators import Operator
 from emulator.soak.proxies import LinkState
 
@@ -21,7 +21,7 @@
 IMAGE_SHARE = 0.5
 """Of instances that restart: they come back with the weights of their image."""
 
-REST_SECONDS = (0.3, 4.0)
+BACKOFF_SECONDS = (0.3, 4.0)
 SHED_SECONDS = (0.2, 1.5)
 """For so long an instance refuses everything and asks for rest."""
 
@@ -31,7 +31,7 @@
 LIMIT_SECONDS = (4.0, 10.0)
 """For so long an instance names one limit."""
 
-WORD_ALONE_SHARE = 0.5
+NOTICE_ONLY_SHARE = 0.5
 """Of instances that leave by their word: their entry says ready until they have ended."""
 
 REUSE_SECONDS = 2.0
@@ -61,9 +61,9 @@
         "instance connections silent": faults.instance_connections_silent,
         "instance crashed": faults.instance_crashed,
         "instance leaves": faults.instance_leaves,
-        "instance says it leaves": faults.instance_says_leaving,
-        "instances want rest": faults.instances_want_rest,
-        "instances name limits": faults.instances_name_limits,
+        "instance says it leaves": faults.instance_announces_leaving,
+        "instances want rest": faults.instances_request_backoff,
+        "instances name limits": faults.instances_announce_limits,
         "instance fails": faults.instance_fails,
         "orders late": faults.orders_late,
         "instance restarts": faults.instance_restarts,
@@ -114,7 +114,7 @@
             return
         disturbance = self._deployment.disturb("crashed", traits.instance_id)
         version = links.instance.version
-        self._deployment.end_instance(links, unlisted=False)
+        self._deployment.terminate_instance(links, unlisted=False)
         await trio.sleep(self._generator.uniform(0.2, 3.0))
         self._deployment.store.remove(f"servers/{traits.instance_id}")
         await self._deployment.add_instance(traits.service, traits.zone, version)
@@ -133,7 +133,7 @@
         version = links.instance.version
         if self._generator.random() < IMAGE_SHARE:
             version = IMAGE_VERSION
-        self._deployment.end_instance(links, unlisted=False)
+        self._deployment.terminate_instance(links, unlisted=False)
         await trio.sleep(self._generator.uniform(0.1, 4.0))
         if self._generator.random() < 0.3:
             self._deployment.store.remove(f"servers/{traits.instance_id}")
@@ -152,7 +152,7 @@
         disturbance = self._deployment.disturb("address passed on", traits.instance_id)
         port = int(self._deployment.recorder.addresses[traits.instance_id].rpartition(":")[2])
         version = links.instance.version
-        self._deployment.end_instance(links, unlisted=False)
+        self._deployment.terminate_instance(links, unlisted=False)
         await trio.sleep(REUSE_SECONDS)
         other = PLAIN if traits.service == ENGINES else ENGINES
         await self._deployment.add_instance(other, traits.zone, self._operator.weights, port=port)
@@ -194,13 +194,13 @@
         )
         instance.draining = True
         self._deployment.recorder.changed(instance)
-        leaving = Leaving(instance.traits.life, trio.current_time())
-        self._deployment.history.leavings.append(leaving)
+        leaving = DrainStart(instance.traits.life, trio.current_time())
+        self._deployment.history.drain_starts.append(leaving)
         await trio.sleep(DRAIN_SECONDS + draw_seconds(self._generator))
         if links in self._deployment.instances:
-            self._deployment.end_instance(links, unlisted=True)
+            self._deployment.terminate_instance(links, unlisted=True)
 
-    async def instance_says_leaving(self) -> None:
+    async def instance_announces_leaving(self) -> None:
         """Let an instance say in its answers that it leaves, its entry later or never, and end."""
         links = self._instance()
         instance = links.instance
@@ -213,14 +213,14 @@
         await trio.sleep(DRAIN_SECONDS + draw_seconds(self._generator))
         if links not in self._deployment.instances:
             return
-        if self._generator.random() >= WORD_ALONE_SHARE:
+        if self._generator.random() >= NOTICE_ONLY_SHARE:
             instance.draining = True
             self._deployment.recorder.changed(instance)
             await trio.sleep(DRAIN_SECONDS)
         if links in self._deployment.instances:
-            self._deployment.end_instance(links, unlisted=True)
+            self._deployment.terminate_instance(links, unlisted=True)
 
-    async def instances_want_rest(self) -> None:
+    async def instances_request_backoff(self) -> None:
         """Let one instance, or all of its service, refuse for a moment and ask for rest."""
         chosen = [self._instance()]
         service = chosen[0].instance.traits.service
@@ -231,12 +231,12 @@
                 if links.instance.traits.service == service
             ]
         for links in chosen:
-            links.instance.words.rest_seconds = self._generator.uniform(*REST_SECONDS)
+            links.instance.words.rest_seconds = self._generator.uniform(*BACKOFF_SECONDS)
         await trio.sleep(self._generator.uniform(*SHED_SECONDS))
         for links in chosen:
             links.instance.words.rest_seconds = 0.0
 
-    async def instances_name_limits(self) -> None:
+    async def instances_announce_limits(self) -> None:
         """Let one instance, half or all of a service name limits, change them, and lift them."""
         service = self._instance().instance.traits.service
         chosen = [x for x in self._deployment.instances if x.instance.traits.service == service]
@@ -244,17 +244,17 @@
         chosen = self._generator.sample(chosen, max(1, round(share * len(chosen))))
         for _change in range(self._generator.choice((1, 1, 2, 3))):
             for links in chosen:
-                self._name_limit(links, self._generator.choice(LIMITS))
+                self._announce_limit(links, self._generator.choice(LIMITS))
             await trio.sleep(self._generator.uniform(*LIMIT_SECONDS))
         for links in chosen:
-            self._name_limit(links, None)
+            self._announce_limit(links, None)
 
-    def _name_limit(self, links: InstanceLinks, per_second: float | None) -> None:
+    def _announce_limit(self, links: InstanceLinks, per_second: float | None) -> None:
         """Let an instance's answers name another limit; one that has ended names nothing."""
         if links in self._deployment.instances:
             links.instance.words.limit = per_second
-            life = links.instance.traits.life
-            change = LimitChange(life, trio.current_time(), per_second)
+            incarnation = links.instance.traits.life
+            change = LimitChange(incarnation, trio.current_time(), per_second)
             self._deployment.history.limits.append(change)
 
     def _count(self, service: str) -> int:
--- a/emulator/soak/machine.py
+++ b/emulator/soak/machine.py
@@ -17,7 +17,7 @@
 STOLEN_FIELD = 7
 UNKNOWN_SHARE = -1.0
 
-LOOK_SECONDS = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 STALL_SECONDS = 0.25
 """A look that comes so late means that this machine gave no processor time to anyone."""
 
@@ -90,16 +90,16 @@
     async def run(self) -> None:
         """Look at the clock until cancelled."""
         while True:
-            looked_at = trio.current_time()
-            await trio.sleep(LOOK_SECONDS)
-            self.note(looked_at, trio.current_time())
+            checked_at = trio.current_time()
+            await trio.sleep(CHECK_INTERVAL_SECONDS)
+            self.note(checked_at, trio.current_time())
 
-    def note(self, looked_at: float, now: float) -> None:
+    def note(self, checked_at: float, now: float) -> None:
         """Take two looks that should be ``LOOK_SECONDS`` apart."""
-        late = now - looked_at - LOOK_SECONDS
+        late = now - checked_at - CHECK_INTERVAL_SECONDS
         if late < STALL_SECONDS:
             return
         self.stalls.count += 1
         self.stalls.total_seconds += late
         self.stalls.longest_seconds = max(self.stalls.longest_seconds, late)
-        self._history.disturbances.append(Disturbance("stood still", MACHINE, looked_at, now))
+        self._history.disturbances.append(Disturbance("stood still", MACHINE, checked_at, now))
--- /dev/null
+++ b/emulator/soak/notice_checks.py
@@ -0,0 +1,76 @@
+"""Checks of what nodes do after an instance has said in an answer that it leaves or wants rest."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterable
+
+from emulator.soak.history import Arrival, History, SentNotice
+from emulator.soak.promises import Bounds, Check
+
+NodeAndIncarnation = tuple[str, str]
+
+
+def leaving_notices_are_obeyed(history: History, bounds: Bounds) -> Iterable[str]:
+    """Yield requests that reach an instance long after their node passed on its notice of leaving.
+
+    A node that was interrupted since may have forgotten it, and may catch up late.
+    """
+    announced: dict[NodeAndIncarnation, float] = {}
+    for notice in history.notices:
+        request = history.requests.get(notice.request_id)
+        if not notice.leaving or request is None or request.head_at is None:
+            continue
+        key = (request.node, notice.incarnation)
+        announced[key] = min(announced.get(key, float("inf")), request.head_at)
+    for arrival in history.arrivals:
+        request = history.requests.get(arrival.request_id)
+        since = announced.get((request.node, arrival.incarnation)) if request is not None else None
+        if request is None or since is None or request.sent_at <= since + bounds.drain:
+            continue
+        if not history.interrupted(request.node, since, arrival.at):
+            late = request.sent_at - since
+            yield (
+                f"{request.node} sent {arrival.request_id} to {arrival.incarnation} "
+                f"{late:.2f} s after it passed on the notice"
+            )
+
+
+def backoffs_are_kept(history: History, bounds: Bounds) -> Iterable[str]:
+    """Yield rests in which a node sent an instance more than what was on its way."""
+    arrivals = _arrivals_by_node(history)
+    for notice in history.notices:
+        request = history.requests.get(notice.request_id)
+        if not notice.backoff_seconds or request is None:
+            continue
+        first, last = notice.at + bounds.in_flight, notice.at + notice.backoff_seconds
+        within = [a for a in arrivals[(request.node, notice.incarnation)] if first < a.at < last]
+        if len(within) > bounds.within_backoff and not history.interrupted(
+            request.node, notice.at, within[-1].at
+        ):
+            yield (
+                f"{request.node} sent {len(within)} requests to {notice.incarnation} in "
+                f"{notice.backoff_seconds:.2f} s of backoff, "
+                f"the first {_after(notice, within[0]):.2f} s in"
+            )
+
+
+def _after(notice: SentNotice, arrival: Arrival) -> float:
+    """Return how long after a notice a request came, in seconds."""
+    return arrival.at - notice.at
+
+
+def _arrivals_by_node(history: History) -> dict[NodeAndIncarnation, list[Arrival]]:
+    """Return what reached each life of an instance from each node, in order."""
+    arrivals: dict[NodeAndIncarnation, list[Arrival]] = defaultdict(list)
+    for arrival in history.arrivals:
+        request = history.requests.get(arrival.request_id)
+        if request is not None:
+            arrivals[(request.node, arrival.incarnation)].append(arrival)
+    return arrivals
+
+
+NOTICE_CHECKS: dict[str, Check] = {
+    "word of leaving": leaving_notices_are_obeyed,
+    "rest": backoffs_are_kept,
+}
--- a/emulator/soak/operators.py
+++ b/emulator/soak/operators.py
@@ -7,7 +7,7 @@
 import trio
 
 from emulator.soak.deployment import CONFIGURATION_KEY, ENGINES, HOST, MODEL, PLAIN, Deployment
-from emulator.soak.history import Naming, RequestKind, Revocation, RouteChange
+from emulator.soak.history import RequestKind, Revocation, RouteChange, WeightsChange
 
 TENANTS = ("t1", "t2", "t3")
 ISOLATED = ("t3",)
@@ -19,7 +19,7 @@
 MAX_ADDED_ROUTES = 12
 """The oldest added route is removed when there are more."""
 
-SHARES = {RequestKind.SAFE: PLAIN, RequestKind.UNSAFE: PLAIN}
+ROUTE_SERVICES = {RequestKind.SAFE: PLAIN, RequestKind.UNSAFE: PLAIN}
 
 
 class Operator:
@@ -80,13 +80,13 @@
         change = RouteChange(path, present, trio.current_time())
         self._deployment.history.route_changes.append(change)
 
-    def name_weights(self) -> None:
+    def set_weights_version(self) -> None:
         """Name new weights."""
         self._weights += 1
         document = {"model": MODEL, "version": self._weights}
         self._deployment.store.put(f"op/version/{MODEL}", document)
-        naming = Naming(self._weights, trio.current_time())
-        self._deployment.history.namings.append(naming)
+        weights_change = WeightsChange(self._weights, trio.current_time())
+        self._deployment.history.weights_changes.append(weights_change)
 
     @property
     def weights(self) -> int:
@@ -141,7 +141,7 @@
         "kind": "streaming" if streaming else kind.value,
         "timeoutMs": TIMEOUT_MS,
         "targetLatencyMs": 500,
-        "service": SHARES.get(kind, ENGINES),
+        "service": ROUTE_SERVICES.get(kind, ENGINES),
         "maxAttempts": 1 if kind.at_most_once else 2,
         "resumable": kind is RequestKind.RESUMABLE,
     }
--- a/emulator/soak/loyal_callers.py
+++ b/emulator/soak/persistent_callers.py
@@ -30,7 +30,7 @@
 BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.ConnectionNotAvailable)
 
 
-class LoyalCallers:
+class PersistentCallers:
     """Some callers with a connection each."""
 
     def __init__(
--- a/emulator/soak/proxies.py
+++ b/emulator/soak/proxies.py
@@ -29,12 +29,12 @@
     """What a connection has stopped to pass on."""
 
     def __init__(self) -> None:
-        self.silent_forth = False
-        self.silent_back = False
+        self.blocked_to_target = False
+        self.blocked_from_target = False
 
-    def holds(self, back: bool) -> bool:
+    def is_blocked(self, back: bool) -> bool:
         """Return whether a direction passes nothing more."""
-        return self.silent_back if back else self.silent_forth
+        return self.blocked_from_target if back else self.blocked_to_target
 
 
 class TcpProxy:
@@ -77,8 +77,8 @@
             back_only: Only what comes back from the target is held.
         """
         for connection in self._open:
-            connection.silent_back = True
-            connection.silent_forth = connection.silent_forth or not back_only
+            connection.blocked_from_target = True
+            connection.blocked_to_target = connection.blocked_to_target or not back_only
         return len(self._open)
 
     async def run(
@@ -128,13 +128,13 @@
         """Forward one direction; a broken end resets the other one."""
         try:
             async for data in source:
-                if connection.holds(back):
+                if connection.is_blocked(back):
                     continue
                 await self._wait_open(back)
                 if self.delay_seconds:
                     await trio.sleep(self.delay_seconds)
                 await sink.send_all(data)
-            if connection.holds(back):
+            if connection.is_blocked(back):
                 return
             await self._wait_open(back)
             await sink.send_eof()
--- a/emulator/soak/recorder.py
+++ b/emulator/soak/recorder.py
@@ -10,10 +10,10 @@
 from emulator.exchange_platform.http_instance import HttpInstance, InstanceWords, RunHeaders
 from emulator.platform.shared_store import SharedStore
 from emulator.platform.store_model import ABSENT_REVISION
-from emulator.soak.history import Arrival, History, Run, SaidWord, TakenOrder
+from emulator.soak.history import Arrival, History, Run, SentNotice, TakenOrder
 from hopstep.adapters import key_value_store_wire as wire
 
-OTHERS = ("op/", "servers/")
+DIRECT_KEY_PREFIXES = ("op/", "servers/")
 """Keys of operators and instances."""
 
 
@@ -41,12 +41,12 @@
         self._documents[key] = value
         self._write(key, value)
 
-    def write_again(self, key: str) -> None:
+    def rewrite_missing(self, key: str) -> None:
         """Write a document that the store may lack, unless it is gone by now."""
-        if key in self.lacking():
+        if key in self.missing_from_store():
             self._write(key, self._documents[key])
 
-    def lacking(self) -> list[str]:
+    def missing_from_store(self) -> list[str]:
         """Return the documents that the store lacks, or has another version of."""
         stored = self._shared.model.snapshot()
         return [
@@ -55,10 +55,14 @@
             if key not in stored or stored[key].value != value
         ]
 
-    def outlived(self) -> list[str]:
+    def stale_in_store(self) -> list[str]:
         """Return the keys of operators and instances that the store has although they are gone."""
         stored = self._shared.model.snapshot()
-        return [key for key in stored if key.startswith(OTHERS) and key not in self._documents]
+        return [
+            key
+            for key in stored
+            if key.startswith(DIRECT_KEY_PREFIXES) and key not in self._documents
+        ]
 
     def _write(self, key: str, value: bytes) -> None:
         """Write bytes, whatever the key holds."""
@@ -87,7 +91,7 @@
         self._history = history
         self._store = store
         self.addresses: dict[str, str] = {}
-        self.lives: dict[str, HttpInstance] = {}
+        self.current_instances: dict[str, HttpInstance] = {}
         self.on_fatal: Callable[[HttpInstance, str], None] = lambda _instance, _request: None
 
     def arrived(self, instance: HttpInstance, request_id: str) -> None:
@@ -104,10 +108,12 @@
 
     def said(self, instance: HttpInstance, request_id: str, words: InstanceWords) -> None:
         """Record what an instance said of itself in an answer."""
-        life = instance.traits.life
+        incarnation = instance.traits.life
         now = trio.current_time()
-        word = SaidWord(request_id, life, now, words.leaving, words.rest_seconds, words.limit)
-        self._history.words.append(word)
+        notice = SentNotice(
+            request_id, incarnation, now, words.leaving, words.rest_seconds, words.limit
+        )
+        self._history.notices.append(notice)
 
     def began(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
         """Record a run."""
@@ -115,7 +121,7 @@
             Run(
                 request_id=headers.request_id,
                 instance_id=instance.traits.instance_id,
-                life=instance.traits.life,
+                incarnation=instance.traits.life,
                 service=instance.traits.service,
                 at=trio.current_time(),
                 tenant=headers.tenant,
@@ -141,7 +147,7 @@
         """Write an instance's entry, if it is the one that lives under its id."""
         instance_id = instance.traits.instance_id
         address = self.addresses.get(instance_id)
-        if address is not None and self.lives.get(instance_id) is instance:
+        if address is not None and self.current_instances.get(instance_id) is instance:
             self._store.put(f"servers/{instance_id}", instance.entry(address))
 
     def met_fatal(self, instance: HttpInstance, request: str) -> None:
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -9,13 +9,13 @@
 import trio
 
 from emulator.fleet.processes import ProcessGroup
-from emulator.soak.beside_fatal import BesideFatal, compare_beside_fatal
 from emulator.soak.callers import Callers
 from emulator.soak.checks import check_all, check_recovery
 from emulator.soak.deployment import Deployment
+from emulator.soak.fatal_impact import FatalImpact, measure_fatal_impact
 from emulator.soak.faults import Faults
 from emulator.soak.history import History
-from emulator.soak.loyal_callers import LoyalCallers
+from emulator.soak.hostile_callers import HostileCallers
 from emulator.soak.machine import (
     MachineLoad,
     MachineStalls,
@@ -24,17 +24,17 @@
     read_processor_times,
 )
 from emulator.soak.operators import Operator
+from emulator.soak.persistent_callers import PersistentCallers
 from emulator.soak.probes import Probes
 from emulator.soak.profiles import RESTORE, profile_of
 from emulator.soak.promises import Bounds, Violation
-from emulator.soak.stubborn_callers import StubbornCallers
 
 START_SECONDS = 30.0
 RECOVERY_SECONDS = 12.0
 QUIET_SECONDS = 22.0
 """After the faults, the time for recovery included."""
 
-LOYAL_CALLERS_PER_NODE = 2
+PERSISTENT_CALLERS_PER_NODE = 2
 WATCH_SECONDS = 0.2
 SETTLED_SECONDS = 5.0
 
@@ -84,7 +84,7 @@
     faults: dict[str, int]
     profile: str
     route_changes: int
-    beside: BesideFatal
+    beside: FatalImpact
     stalls: MachineStalls
     load: MachineLoad
 
@@ -102,14 +102,14 @@
     operator = Operator(deployment, random.Random(plan.seed + 2))
     callers = Callers(deployment, random.Random(plan.seed + 3), plan.rate)
     probes = Probes(deployment, random.Random(plan.seed + 4))
-    loyal = LoyalCallers(
+    persistent = PersistentCallers(
         deployment,
         random.Random(plan.seed + 5),
         callers.readiness,
-        LOYAL_CALLERS_PER_NODE * plan.nodes,
+        PERSISTENT_CALLERS_PER_NODE * plan.nodes,
     )
-    stubborn = StubbornCallers(deployment, callers, random.Random(plan.seed + 6))
-    faults = Faults(deployment, operator, stubborn, generator, profile)
+    hostile = HostileCallers(deployment, callers, random.Random(plan.seed + 6))
+    faults = Faults(deployment, operator, hostile, generator, profile)
     machine = MachineWatch(deployment.history)
     with ProcessGroup(plan.directory) as processes:
         async with trio.open_nursery() as nursery:
@@ -117,21 +117,21 @@
             await deployment.start(nursery, processes, plan.nodes)
             for node in deployment.nodes:
                 await processes.wait_listening(node.name, node.readiness)
-            nursery.start_soon(_watch_ends, deployment)
+            nursery.start_soon(_watch_exits, deployment)
             nursery.start_soon(machine.run)
             if RESTORE in profile.kinds:
-                nursery.start_soon(deployment.restores.keep_copies)
+                nursery.start_soon(deployment.restores.take_backups)
             nursery.start_soon(callers.run)
-            nursery.start_soon(loyal.run)
+            nursery.start_soon(persistent.run)
             nursery.start_soon(operator.change_routes, profile.change_seconds)
             nursery.start_soon(probes.run)
             await trio.sleep(SETTLED_SECONDS)
             await faults.run(plan.seconds)
             healed_at = trio.current_time()
-            operator.name_weights()
+            operator.set_weights_version()
             await trio.sleep(plan.quiet_seconds)
             ended_at = trio.current_time()
-            deployment.note_listed()
+            deployment.record_listed()
             nursery.cancel_scope.cancel()
     violations = check_all(deployment.history, Bounds())
     violations += check_recovery(deployment.history, healed_at + RECOVERY_SECONDS, ended_at)
@@ -139,7 +139,7 @@
     return _result(deployment.history, violations, faults, profile.name, machine.stalls, load)
 
 
-async def _watch_ends(deployment: Deployment) -> None:
+async def _watch_exits(deployment: Deployment) -> None:
     """Record processes that end by themselves."""
     seen: set[str] = set()
     while True:
@@ -149,7 +149,7 @@
             if ended and node.name not in seen:
                 seen.add(node.name)
                 code = deployment.node_exit_code(node)
-                deployment.history.unexpected_ends.append(f"{node.name}, code {code}")
+                deployment.history.unexpected_exits.append(f"{node.name}, code {code}")
 
 
 def _result(
@@ -172,7 +172,7 @@
         dict(sorted(faults.counts.items())),
         profile,
         len(history.route_changes),
-        compare_beside_fatal(history),
+        measure_fatal_impact(history),
         stalls,
         load,
     )
--- a/tests/emulator/soak/test_beside_fatal.py
+++ b/tests/emulator/soak/test_beside_fatal.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from emulator.soak.beside_fatal import compare_beside_fatal
+from emulator.soak.fatal_impact import measure_fatal_impact
 from emulator.soak.history import History, RequestKind, SentRequest
 
 
@@ -27,14 +27,14 @@
             request("probe", 10.5, path="/added1/"),
         ]
         seen = History(requests={sent.request_id: sent for sent in requests})
-        compared = compare_beside_fatal(seen)
+        compared = measure_fatal_impact(seen)
         self.assertEqual(compared.beside.requests, 3)
         self.assertAlmostEqual(compared.beside.served_share, 2 / 3)
         self.assertAlmostEqual(compared.beside.head_ms, 300.0)
         self.assertEqual((compared.otherwise.requests, compared.otherwise.served_share), (1, 1.0))
 
     def test_no_requests(self):
-        self.assertEqual(compare_beside_fatal(History()).beside.served_share, 0.0)
+        self.assertEqual(measure_fatal_impact(History()).beside.served_share, 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/emulator/soak/test_checks.py
+++ b/tests/emulator/soak/test_checks.py
@@ -4,23 +4,23 @@
 
 from emulator.soak.checks import CHECKS, check_all, check_recovery, expected_body
 from emulator.soak.history import (
-    LEASES_LAPSE,
+    LEASES_EXPIRED_EARLY,
     MACHINE,
-    ONLY_PEERS,
+    PEER_LINK_CUT,
     STORE,
     Arrival,
     Disturbance,
+    DrainStart,
+    FatalTermination,
     History,
-    InstanceEnd,
-    Leaving,
     ListedInstance,
-    Naming,
     RequestKind,
     Revocation,
     RouteChange,
     Run,
     SentRequest,
     TakenOrder,
+    WeightsChange,
 )
 from emulator.soak.promises import Bounds
 
@@ -163,30 +163,30 @@
     def test_old_weights(self):
         for at, caught in ((91.0, True), (93.0, False)):
             sent = request(kind=RequestKind.RESUMABLE)
-            seen = history(sent, namings=[Naming(2, at)])
+            seen = history(sent, weights_changes=[WeightsChange(2, at)])
             self.assertEqual("weights" in self.broken(seen), caught, at)
             seen.disturbances.append(Disturbance("outage", STORE, at + 1.0, at + 2.0))
             self.assertNotIn("weights", self.broken(seen))
 
     def test_a_draining_instance(self):
         for at, caught in ((97.0, True), (99.0, False)):
-            seen = history(request(), leavings=[Leaving("i1@1", at)])
+            seen = history(request(), drain_starts=[DrainStart("i1@1", at)])
             self.assertEqual("draining" in self.broken(seen), caught, at)
 
     def test_a_draining_instance_that_comes_back_may_take_requests(self):
         sent = request()
-        runs = [run_of(sent, life="i1@2")]
-        seen = history(sent, runs=runs, leavings=[Leaving("i1@1", 90.0)])
+        runs = [run_of(sent, incarnation="i1@2")]
+        seen = history(sent, runs=runs, drain_starts=[DrainStart("i1@1", 90.0)])
         self.assertNotIn("draining", self.broken(seen))
 
     def test_losing_only_other_nodes_excuses_no_request_at_a_draining_instance(self):
-        for what, caught in ((ONLY_PEERS, True), ("store link", False), ("paused", False)):
-            seen = history(request(), leavings=[Leaving("i1@1", 97.0)])
+        for what, caught in ((PEER_LINK_CUT, True), ("store link", False), ("paused", False)):
+            seen = history(request(), drain_starts=[DrainStart("i1@1", 97.0)])
             seen.disturbances.append(Disturbance(what, "n0", 96.0, 98.0))
             self.assertEqual("draining" in self.broken(seen), caught, what)
 
     def test_a_draining_instance_long_after_trouble(self):
-        seen = history(request(), leavings=[Leaving("i1@1", 90.0)])
+        seen = history(request(), drain_starts=[DrainStart("i1@1", 90.0)])
         seen.disturbances.append(Disturbance("outage", STORE, 89.0, 96.5))
         self.assertIn("draining", self.broken(seen))
 
@@ -219,7 +219,7 @@
             ("store link", "n0", 97.5, False),
             ("store link", "n0", 96.5, True),
             ("store link", "n1", 99.0, True),
-            (ONLY_PEERS, "n0", 99.0, True),
+            (PEER_LINK_CUT, "n0", 99.0, True),
             ("outage", STORE, 97.5, False),
             ("outage", STORE, 96.5, True),
             ("stood still", MACHINE, 98.0, False),
@@ -241,12 +241,12 @@
             self.assertEqual("one holder" in self.broken(seen), caught, (first, second))
 
     def test_leases_that_end_before_their_time_excuse_turns_and_no_tokens(self):
-        lapse = Disturbance(LEASES_LAPSE, STORE, 9.0, 9.0)
+        lapse = Disturbance(LEASES_EXPIRED_EARLY, STORE, 9.0, 9.0)
         turns = [TakenOrder("i1", "n0", 5, 10.0), TakenOrder("i2", "n1", 6, 12.9)]
         self.assertNotIn("one holder", self.broken(history(orders=turns, disturbances=[lapse])))
-        lapse = Disturbance(LEASES_LAPSE, STORE, 6.9, 6.9)
+        lapse = Disturbance(LEASES_EXPIRED_EARLY, STORE, 6.9, 6.9)
         self.assertIn("one holder", self.broken(history(orders=turns, disturbances=[lapse])))
-        lapse = Disturbance(LEASES_LAPSE, STORE, 9.0, 9.0)
+        lapse = Disturbance(LEASES_EXPIRED_EARLY, STORE, 9.0, 9.0)
         for second in (TakenOrder("i2", "n1", 5, 12.9), TakenOrder("i2", "n1", 4, 90.0)):
             seen = history(orders=[turns[0], second], disturbances=[lapse])
             self.assertIn("one holder", self.broken(seen))
@@ -316,7 +316,9 @@
         """Return a request's ends of instances around 100 s and its later arrivals at them."""
         sent = [request(f"r{n}", at=at + n / 10, fatal="f", status=502) for n in range(late)]
         seen = history(*sent, runs=[])
-        seen.ends = [InstanceEnd("f", f"i{n}@1", 100.0 + n / 10) for n in range(ends)]
+        seen.fatal_terminations = [
+            FatalTermination("f", f"i{n}@1", 100.0 + n / 10) for n in range(ends)
+        ]
         for field, value in changes.items():
             setattr(seen, field, value)
         return seen
@@ -337,7 +339,7 @@
             ("paused", "n0", 103.0, False),
             ("paused", "n0", 100.9, True),
             ("paused", "n1", 103.0, True),
-            (ONLY_PEERS, "n0", 103.0, True),
+            (PEER_LINK_CUT, "n0", 103.0, True),
             ("outage", STORE, 103.0, False),
         ):
             disturbance = Disturbance(what, subject, 99.0, until)
@@ -346,7 +348,7 @@
 
     def test_ends_of_two_fatal_requests_do_not_add_up(self):
         seen = self.fatal_history(2)
-        seen.ends.append(InstanceEnd("g", "i9@1", 100.0))
+        seen.fatal_terminations.append(FatalTermination("g", "i9@1", 100.0))
         self.assertNotIn("fatal requests", self.broken(seen))
 
     def test_an_ordinary_request_that_is_refused_as_fatal(self):
@@ -365,8 +367,10 @@
             request(f"answered-{number}", at=answered_at)
             for number, answered_at in enumerate(answers)
         ]
-        lives = [InstanceEnd("f", f"i{number}@1", 99.0) for number in range(ends)]
-        seen = history(refused, *answered, ends=lives, disturbances=list(faults))
+        current_instances = [FatalTermination("f", f"i{number}@1", 99.0) for number in range(ends)]
+        seen = history(
+            refused, *answered, fatal_terminations=current_instances, disturbances=list(faults)
+        )
         return "honest requests" in self.broken(seen)
 
     def test_an_ordinary_request_that_nobody_can_tell_from_a_fatal_one(self):
@@ -387,7 +391,7 @@
         self.assertTrue(self.quarantined(at=112.0))
 
     def test_what_an_untrusted_entry_leads_to(self):
-        self.assertIn("untrusted entries", self.broken(history(decoyed=["/report"])))
+        self.assertIn("untrusted entries", self.broken(history(decoy_requests=["/report"])))
 
     def test_engines_that_miss_the_newest_weights_for_good(self):
         for since, version, caught in (
@@ -398,11 +402,11 @@
             (50.0, 0, False),
         ):
             listed = [ListedInstance("i1", "engines", since, version)]
-            seen = history(namings=[Naming(2, 100.0)], listed=listed)
+            seen = history(weights_changes=[WeightsChange(2, 100.0)], listed=listed)
             self.assertEqual("weights everywhere" in self.broken(seen), caught, (since, version))
 
     def test_a_process_that_ends(self):
-        self.assertIn("processes", self.broken(history(unexpected_ends=["n0"])))
+        self.assertIn("processes", self.broken(history(unexpected_exits=["n0"])))
 
     def test_recovery_asks_for_no_fatal_request(self):
         served = [request(f"r{n}", at=100.0 + n / 10) for n in range(20)]
--- a/tests/emulator/soak/test_limit_checks.py
+++ b/tests/emulator/soak/test_limit_checks.py
@@ -4,18 +4,18 @@
 
 import msgspec
 
-from emulator.soak.history import Arrival, Disturbance, InstanceTime, LimitChange, SaidWord
+from emulator.soak.history import Arrival, Disturbance, IncarnationPeriod, LimitChange, SentNotice
 from emulator.soak.limit_checks import (
-    limit_spells,
+    limit_periods,
     limits_are_kept,
     limits_are_used,
-    refused_only_without_room,
+    refused_only_without_free_capacity,
 )
 from emulator.soak.promises import Bounds
 from tests.emulator.soak.test_checks import history, request
 
 BOUNDS = Bounds()
-LIFE = "i1@1"
+INCARNATION = "i1@1"
 NAMED_AT = 100.0
 ALLOWED = 14
 """Within 4 s at 1.5 a second."""
@@ -24,16 +24,18 @@
 class LimitChecksTest(unittest.TestCase):
     def seen(self, count, at=104.0, step=0.01, limit=1.5, node="n0"):
         """Return a history: a limit named at 100 s and passed on, then requests of one node."""
-        told = request("told", at=NAMED_AT, head_at=NAMED_AT + 0.1)
-        told.node = node
+        announced = request("told", at=NAMED_AT, head_at=NAMED_AT + 0.1)
+        announced.node = node
         followers = [request(f"r{number}", at=at + step * number) for number in range(count)]
         for follower in followers:
             follower.node = node
-        found = history(told, *followers)
-        found.arrivals = [Arrival(r.request_id, r.service, r.sent_at, LIFE) for r in followers]
-        found.words = [SaidWord("told", LIFE, NAMED_AT, False, 0.0, limit)]
-        found.limits = [LimitChange(LIFE, NAMED_AT, limit)]
-        found.instances = [InstanceTime(LIFE, told.service, 90.0, is_plain=True)]
+        found = history(announced, *followers)
+        found.arrivals = [
+            Arrival(r.request_id, r.service, r.sent_at, INCARNATION) for r in followers
+        ]
+        found.notices = [SentNotice("told", INCARNATION, NAMED_AT, False, 0.0, limit)]
+        found.limits = [LimitChange(INCARNATION, NAMED_AT, limit)]
+        found.instances = [IncarnationPeriod(INCARNATION, announced.service, 90.0, is_plain=True)]
         return found
 
     def broken(self, found):
@@ -51,17 +53,17 @@
         more = request("more", at=104.2)
         more.node = "n1"
         found.requests["more"] = more
-        found.arrivals.append(Arrival("more", more.service, 104.2, LIFE))
+        found.arrivals.append(Arrival("more", more.service, 104.2, INCARNATION))
         self.assertEqual(self.broken(found), 0, "n1 hasn't been told")
-        told = request("told1", at=NAMED_AT, head_at=NAMED_AT + 0.1)
-        told.node = "n1"
-        found.requests["told1"] = told
-        found.words.append(SaidWord("told1", LIFE, NAMED_AT, False, 0.0, 1.5))
+        announced = request("told1", at=NAMED_AT, head_at=NAMED_AT + 0.1)
+        announced.node = "n1"
+        found.requests["told1"] = announced
+        found.notices.append(SentNotice("told1", INCARNATION, NAMED_AT, False, 0.0, 1.5))
         self.assertEqual(self.broken(found), 1)
 
     def test_reports_and_orders_count(self):
         found = self.seen(ALLOWED)
-        found.arrivals.append(Arrival("", "plain", 104.2, LIFE))
+        found.arrivals.append(Arrival("", "plain", 104.2, INCARNATION))
         self.assertEqual(self.broken(found), 1)
 
     def test_an_interrupted_node_is_excused_and_a_store_that_is_away_excuses_nobody(self):
@@ -73,17 +75,17 @@
 
     def test_a_lifted_limit_and_a_later_life_bind_nobody(self):
         lifted = self.seen(99)
-        lifted.limits.append(LimitChange(LIFE, 103.9, None))
+        lifted.limits.append(LimitChange(INCARNATION, 103.9, None))
         self.assertEqual(self.broken(lifted), 0)
         later = self.seen(99)
-        later.arrivals = [msgspec.structs.replace(a, life="i1@2") for a in later.arrivals]
+        later.arrivals = [msgspec.structs.replace(a, incarnation="i1@2") for a in later.arrivals]
         self.assertEqual(self.broken(later), 0)
 
     def test_a_changed_limit_allows_what_each_part_of_the_window_takes(self):
         found = self.seen(0)
-        found.limits.append(LimitChange(LIFE, 102.0, 4.0))
-        [spell] = limit_spells(found)
-        self.assertAlmostEqual(spell.takes(100.0, 104.0), 2 * 1.5 + 2 * 4.0)
+        found.limits.append(LimitChange(INCARNATION, 102.0, 4.0))
+        [period] = limit_periods(found)
+        self.assertAlmostEqual(period.capacity(100.0, 104.0), 2 * 1.5 + 2 * 4.0)
 
     def test_a_limit_that_is_not_used_while_callers_are_refused_is_caught(self):
         def refused(found, count):
@@ -99,15 +101,15 @@
     def ended(self, count):
         """Return a history in which the limit is lifted after 10 s: it takes 10.5 from 3 s on."""
         found = self.seen(count, step=0.2)
-        found.limits.append(LimitChange(LIFE, 110.0, None))
+        found.limits.append(LimitChange(INCARNATION, 110.0, None))
         return found
 
     def test_a_refusal_beside_a_free_instance_is_caught(self):
         found = self.seen(0)
         found.requests["no"] = request("no", at=105.0, status=503, ended_at=105.0)
-        self.assertEqual(list(refused_only_without_room(found, BOUNDS)), [])
-        free = InstanceTime("i2@1", found.requests["no"].service, 90.0, is_plain=True)
+        self.assertEqual(list(refused_only_without_free_capacity(found, BOUNDS)), [])
+        free = IncarnationPeriod("i2@1", found.requests["no"].service, 90.0, is_plain=True)
         found.instances.append(free)
-        self.assertEqual(len(list(refused_only_without_room(found, BOUNDS))), 1)
+        self.assertEqual(len(list(refused_only_without_free_capacity(found, BOUNDS))), 1)
         found.disturbances = [Disturbance("link", "i2", 104.0, 105.0)]
-        self.assertEqual(list(refused_only_without_room(found, BOUNDS)), [])
+        self.assertEqual(list(refused_only_without_free_capacity(found, BOUNDS)), [])
--- a/tests/emulator/soak/test_machine.py
+++ b/tests/emulator/soak/test_machine.py
@@ -8,7 +8,7 @@
 
 from emulator.soak.history import MACHINE, History
 from emulator.soak.machine import (
-    LOOK_SECONDS,
+    CHECK_INTERVAL_SECONDS,
     STALL_SECONDS,
     UNKNOWN_SHARE,
     MachineWatch,
@@ -23,16 +23,16 @@
     def test_late_looks_are_stalls_and_disturb_the_machine(self):
         history = History()
         watch = MachineWatch(history)
-        watch.note(10.0, 10.0 + LOOK_SECONDS + STALL_SECONDS / 2)
+        watch.note(10.0, 10.0 + CHECK_INTERVAL_SECONDS + STALL_SECONDS / 2)
         self.assertEqual((watch.stalls.count, history.disturbances), (0, []))
         watch.note(10.0, 11.0)
         watch.note(11.0, 11.5)
         self.assertEqual(watch.stalls.count, 2)
-        self.assertAlmostEqual(watch.stalls.total_seconds, 1.5 - 2 * LOOK_SECONDS)
-        self.assertAlmostEqual(watch.stalls.longest_seconds, 1.0 - LOOK_SECONDS)
+        self.assertAlmostEqual(watch.stalls.total_seconds, 1.5 - 2 * CHECK_INTERVAL_SECONDS)
+        self.assertAlmostEqual(watch.stalls.longest_seconds, 1.0 - CHECK_INTERVAL_SECONDS)
         self.assertTrue(history.disturbed(MACHINE, 10.5, 10.6))
-        self.assertFalse(history.bounded("n0", 10.5, 10.6))
-        self.assertTrue(history.bounded("n0", 12.0, 13.0))
+        self.assertFalse(history.time_bounds_apply("n0", 10.5, 10.6))
+        self.assertTrue(history.time_bounds_apply("n0", 12.0, 13.0))
 
     def test_a_clock_that_runs_evenly_shows_no_stall(self):
         watch = MachineWatch(History())
--- a/tests/emulator/soak/test_profiles.py
+++ b/tests/emulator/soak/test_profiles.py
@@ -8,6 +8,7 @@
 from emulator.soak.callers import Callers
 from emulator.soak.deployment import Deployment
 from emulator.soak.faults import Faults
+from emulator.soak.hostile_callers import HostileCallers
 from emulator.soak.operators import Operator
 from emulator.soak.profiles import (
     LIMITS,
@@ -20,7 +21,6 @@
     WORDS,
     profile_of,
 )
-from emulator.soak.stubborn_callers import StubbornCallers
 
 
 class ProfilesTest(unittest.TestCase):
@@ -29,7 +29,7 @@
             generator = random.Random(1)
             deployment = Deployment(Path(directory), generator)
             operator = Operator(deployment, generator)
-            callers = StubbornCallers(deployment, Callers(deployment, generator, 1.0), generator)
+            callers = HostileCallers(deployment, Callers(deployment, generator, 1.0), generator)
             return Faults(deployment, operator, callers, generator, profile).kinds
 
     def test_profiles_draw_known_kinds_and_all_of_them(self):
--- a/tests/emulator/soak/test_proxies.py
+++ b/tests/emulator/soak/test_proxies.py
@@ -35,7 +35,7 @@
 
         trio.run(main)
 
-    async def hears(self, stream):
+    async def received(self, stream):
         """Return what comes within a moment."""
         with trio.move_on_after(WAIT_SECONDS):
             return bytes(await stream.receive_some())
@@ -44,7 +44,7 @@
     def test_an_open_link_passes_both_ways(self):
         async def script(_proxy, stream):
             await stream.send_all(b"one")
-            self.assertEqual(await self.hears(stream), b"one")
+            self.assertEqual(await self.received(stream), b"one")
 
         self.run_link(script)
 
@@ -54,15 +54,15 @@
 
                 async def script(proxy, stream, back_only=back_only, served=served):
                     await stream.send_all(b"zero")
-                    self.assertEqual(await self.hears(stream), b"zero")
+                    self.assertEqual(await self.received(stream), b"zero")
                     self.assertEqual(proxy.silence_established(back_only=back_only), 1)
                     await stream.send_all(b"one")
-                    self.assertEqual(await self.hears(stream), b"")
+                    self.assertEqual(await self.received(stream), b"")
                     self.assertEqual(self.served, served)
                     host, _, port = proxy.address.rpartition(":")
                     async with await trio.open_tcp_stream(host, int(port)) as another:
                         await another.send_all(b"two")
-                        self.assertEqual(await self.hears(another), b"two")
+                        self.assertEqual(await self.received(another), b"two")
 
                 self.run_link(script)
 
@@ -70,10 +70,10 @@
         async def script(proxy, stream):
             proxy.set_state(LinkState.SILENT)
             await stream.send_all(b"one")
-            self.assertEqual(await self.hears(stream), b"")
+            self.assertEqual(await self.received(stream), b"")
             self.assertEqual(self.served, b"")
             proxy.set_state(LinkState.OPEN)
-            self.assertEqual(await self.hears(stream), b"one")
+            self.assertEqual(await self.received(stream), b"one")
 
         self.run_link(script)
 
@@ -81,17 +81,17 @@
         async def script(proxy, stream):
             proxy.set_state(LinkState.ONE_WAY)
             await stream.send_all(b"one")
-            self.assertEqual(await self.hears(stream), b"")
+            self.assertEqual(await self.received(stream), b"")
             self.assertEqual(self.served, b"one")
             proxy.set_state(LinkState.OPEN)
-            self.assertEqual(await self.hears(stream), b"one")
+            self.assertEqual(await self.received(stream), b"one")
 
         self.run_link(script)
 
     def test_a_resetting_link_ends_open_and_new_connections(self):
         async def script(proxy, stream):
             await stream.send_all(b"one")
-            self.assertEqual(await self.hears(stream), b"one")
+            self.assertEqual(await self.received(stream), b"one")
             proxy.set_state(LinkState.RESET)
             with self.assertRaises(trio.BrokenResourceError):
                 await stream.receive_some()
@@ -105,9 +105,9 @@
     def test_a_closed_proxy_ends_its_connections_and_frees_its_port(self):
         async def script(proxy, stream):
             await stream.send_all(b"one")
-            self.assertEqual(await self.hears(stream), b"one")
+            self.assertEqual(await self.received(stream), b"one")
             proxy.close()
-            self.assertEqual(await self.hears(stream), b"")
+            self.assertEqual(await self.received(stream), b"")
             host, _, port = proxy.address.rpartition(":")
             with self.assertRaises(OSError):
                 await trio.open_tcp_stream(host, int(port))
--- a/tests/emulator/soak/test_restores.py
+++ b/tests/emulator/soak/test_restores.py
@@ -10,7 +10,7 @@
 from emulator.soak.history import History, RequestKind, RouteChange, SentRequest
 from emulator.soak.promises import Bounds
 from emulator.soak.recorder import DirectStore
-from emulator.soak.restores import LAPSING_SECONDS, REWRITING_SECONDS, Restores
+from emulator.soak.restores import EXPIRY_SECONDS, REWRITING_SECONDS, Restores
 from emulator.virtual_time import run_in_virtual_time
 
 PATH = "/added1/"
@@ -24,7 +24,7 @@
             documents = DirectStore(shared)
             restores = Restores(shared, documents, random.Random(1))
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(restores.keep_copies)
+                nursery.start_soon(restores.take_backups)
                 await trio.sleep(1.0)
                 await script(shared, documents, restores)
                 nursery.cancel_scope.cancel()
@@ -41,11 +41,11 @@
                 documents.put_bytes("op/config", b"%d" % number)
             documents.put_bytes("servers/i1", b"i1")
             written = self.values(shared)
-            await restores.come_back()
+            await restores.restore_backup()
             self.assertEqual((shared.model.revision, shared.model.era), (revision, 2))
             self.assertEqual(self.values(shared), {})
             started_at = trio.current_time()
-            await restores.write_again()
+            await restores.rewrite_missing()
             self.assertLessEqual(trio.current_time() - started_at, REWRITING_SECONDS)
             self.assertEqual(self.values(shared), written)
 
@@ -56,11 +56,11 @@
             documents.put_bytes("servers/i1", b"i1")
             await trio.sleep(10.0)
             documents.remove("servers/i1")
-            await restores.come_back()
+            await restores.restore_backup()
             self.assertIn("servers/i1", self.values(shared))
             started_at = trio.current_time()
-            await restores.write_again()
-            self.assertGreaterEqual(trio.current_time() - started_at, LAPSING_SECONDS[0])
+            await restores.rewrite_missing()
+            self.assertGreaterEqual(trio.current_time() - started_at, EXPIRY_SECONDS[0])
             self.assertNotIn("servers/i1", self.values(shared))
 
         self.run_script(script)
@@ -68,9 +68,9 @@
     def test_a_document_that_changes_meanwhile_is_not_written_as_it_was(self):
         async def script(shared, documents, restores):
             documents.put_bytes("op/config", b"1")
-            await restores.come_back()
+            await restores.restore_backup()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(restores.write_again)
+                nursery.start_soon(restores.rewrite_missing)
                 await trio.sleep(0.0)
                 documents.put_bytes("op/config", b"2")
             self.assertEqual(self.values(shared), {"op/config": b"2"})
--- a/tests/emulator/soak/test_word_checks.py
+++ b/tests/emulator/soak/test_word_checks.py
@@ -4,72 +4,76 @@
 
 import msgspec
 
-from emulator.soak.history import Arrival, Disturbance, SaidWord
+from emulator.soak.history import Arrival, Disturbance, SentNotice
+from emulator.soak.notice_checks import backoffs_are_kept, leaving_notices_are_obeyed
 from emulator.soak.promises import Bounds
-from emulator.soak.word_checks import leaving_words_bind, rests_are_kept
 from tests.emulator.soak.test_checks import history, request
 
 BOUNDS = Bounds()
-LIFE = "i1@1"
-TOLD_AT = 100.1
+INCARNATION = "i1@1"
+ANNOUNCED_AT = 100.1
 
 
 class WordChecksTest(unittest.TestCase):
-    def seen(self, rest_seconds=0.0, **later):
+    def seen(self, backoff_seconds=0.0, **later):
         """Return a history: one answer with a word at 100 s, and requests by id and time."""
-        first = request("told", at=100.0, head_at=TOLD_AT)
+        first = request("told", at=100.0, head_at=ANNOUNCED_AT)
         followers = [request(name, at=at) for name, at in later.items()]
         found = history(first, *followers)
-        found.arrivals = [Arrival(r.request_id, r.service, r.sent_at, LIFE) for r in followers]
-        found.words = [SaidWord("told", LIFE, 100.0, not rest_seconds, rest_seconds)]
+        found.arrivals = [
+            Arrival(r.request_id, r.service, r.sent_at, INCARNATION) for r in followers
+        ]
+        found.notices = [
+            SentNotice("told", INCARNATION, 100.0, not backoff_seconds, backoff_seconds)
+        ]
         return found
 
     def test_requests_after_the_bound_are_caught(self):
-        late = self.seen(a=TOLD_AT + BOUNDS.drain + 0.01)
-        self.assertEqual(len(list(leaving_words_bind(late, BOUNDS))), 1)
+        late = self.seen(a=ANNOUNCED_AT + BOUNDS.drain + 0.01)
+        self.assertEqual(len(list(leaving_notices_are_obeyed(late, BOUNDS))), 1)
 
     def test_requests_within_the_bound_are_not(self):
-        soon = self.seen(a=TOLD_AT + BOUNDS.drain - 0.01)
-        self.assertEqual(list(leaving_words_bind(soon, BOUNDS)), [])
+        soon = self.seen(a=ANNOUNCED_AT + BOUNDS.drain - 0.01)
+        self.assertEqual(list(leaving_notices_are_obeyed(soon, BOUNDS)), [])
 
     def test_another_life_and_another_node_are_not_bound(self):
         later_life = self.seen(a=110.0)
-        later_life.arrivals = [msgspec.structs.replace(later_life.arrivals[0], life="i1@2")]
-        self.assertEqual(list(leaving_words_bind(later_life, BOUNDS)), [])
+        later_life.arrivals = [msgspec.structs.replace(later_life.arrivals[0], incarnation="i1@2")]
+        self.assertEqual(list(leaving_notices_are_obeyed(later_life, BOUNDS)), [])
         elsewhere = self.seen(a=110.0)
         elsewhere.requests["a"].node = "n1"
-        self.assertEqual(list(leaving_words_bind(elsewhere, BOUNDS)), [])
+        self.assertEqual(list(leaving_notices_are_obeyed(elsewhere, BOUNDS)), [])
 
     def test_an_answer_that_was_not_passed_on_binds_nobody(self):
         lost = self.seen(a=110.0)
         lost.requests["told"].head_at = None
-        self.assertEqual(list(leaving_words_bind(lost, BOUNDS)), [])
+        self.assertEqual(list(leaving_notices_are_obeyed(lost, BOUNDS)), [])
 
     def test_a_node_that_was_interrupted_is_excused(self):
         excused = self.seen(a=110.0)
         excused.disturbances = [Disturbance("killed", "n0", 105.0, 106.0)]
-        self.assertEqual(list(leaving_words_bind(excused, BOUNDS)), [])
+        self.assertEqual(list(leaving_notices_are_obeyed(excused, BOUNDS)), [])
         held = self.seen(a=110.0)
         held.disturbances = [Disturbance("outage", "store", 105.0, 106.0)]
-        self.assertEqual(len(list(leaving_words_bind(held, BOUNDS))), 1)
+        self.assertEqual(len(list(leaving_notices_are_obeyed(held, BOUNDS))), 1)
 
     def test_three_requests_within_a_rest_are_caught_and_two_are_not(self):
         three = self.seen(3.0, a=100.6, b=101.0, c=102.9)
-        self.assertEqual(len(list(rests_are_kept(three, BOUNDS))), 1)
+        self.assertEqual(len(list(backoffs_are_kept(three, BOUNDS))), 1)
         two = self.seen(3.0, a=100.6, b=101.0)
-        self.assertEqual(list(rests_are_kept(two, BOUNDS)), [])
+        self.assertEqual(list(backoffs_are_kept(two, BOUNDS)), [])
 
     def test_requests_on_their_way_and_after_the_end_do_not_count(self):
         around = self.seen(3.0, a=100.1, b=100.4, c=100.5, d=103.0, e=103.1)
-        self.assertEqual(list(rests_are_kept(around, BOUNDS)), [])
+        self.assertEqual(list(backoffs_are_kept(around, BOUNDS)), [])
 
     def test_a_rest_binds_the_node_that_was_asked(self):
         other = self.seen(3.0, a=100.6, b=101.0, c=102.0)
         for name in "abc":
             other.requests[name].node = "n1"
-        self.assertEqual(list(rests_are_kept(other, BOUNDS)), [])
+        self.assertEqual(list(backoffs_are_kept(other, BOUNDS)), [])
 
     def test_a_cut_of_the_node_excuses_it(self):
         excused = self.seen(3.0, a=100.6, b=101.0, c=102.0)
         excused.disturbances = [Disturbance("callers' link", "n0", 101.0, 101.5)]
-        self.assertEqual(list(rests_are_kept(excused, BOUNDS)), [])
+        self.assertEqual(list(backoffs_are_kept(excused, BOUNDS)), [])
