--- a/emulator/cli/soak.py
+++ b/emulator/cli/soak.py
@@ -59,7 +59,7 @@
     stalls = result.stalls
     print(f"soak: seed {seed}, {result.profile}, {result.requests} requests, {result.statuses}")
     print(f"soak: {result.route_changes} changes of routes, faults {result.faults}")
-    print(f"soak: {result.beside}")
+    print(f"soak: {result.impact}")
     print(
         f"soak: the machine stood still {stalls.count} times, {stalls.total_seconds:.2f} s in all, "
         f"{stalls.longest_seconds:.2f} s at the longest"
--- a/emulator/soak/fatal_impact.py
+++ b/emulator/soak/fatal_impact.py
@@ -37,21 +37,23 @@
 class FatalImpact(msgspec.Struct, frozen=True):
     """Honest requests while fatal ones come, and at other times."""
 
-    beside: RequestOutcomes
+    during_fatal: RequestOutcomes
     otherwise: RequestOutcomes
 
     def __str__(self) -> str:
         """Return it as a line."""
-        return f"honest requests beside fatal ones: {self.beside}; otherwise: {self.otherwise}"
+        return (
+            f"honest requests beside fatal ones: {self.during_fatal}; otherwise: {self.otherwise}"
+        )
 
 
 def measure_fatal_impact(history: History) -> FatalImpact:
     """Return how honest requests fared with fatal ones under way and without."""
     fatal = [request.sent_at for request in history.requests.values() if request.fatal]
     honest = [r for r in history.requests.values() if not (r.fatal or r.left or r.path)]
-    beside = [r for r in honest if _is_during_fatal(r.sent_at, fatal)]
+    during_fatal = [r for r in honest if _is_during_fatal(r.sent_at, fatal)]
     others = [r for r in honest if not _is_during_fatal(r.sent_at, fatal)]
-    return FatalImpact(_outcomes(beside), _outcomes(others))
+    return FatalImpact(_outcomes(during_fatal), _outcomes(others))
 
 
 def _is_during_fatal(at: float, fatal: Sequence[float]) -> bool:
--- a/emulator/soak/faults.py
+++ b/emulator/soak/faults.py
@@ -170,7 +170,7 @@
         """Silence what is open between a node and the store; new connections work."""
         node = self._node()
         disturbance = self._deployment.disturb("store connections silent", node.name)
-        node.store.silence_established(back_only=self._generator.random() < 0.5)
+        node.store.block_established(back_only=self._generator.random() < 0.5)
         await trio.lowlevel.checkpoint()
         disturbance.until = trio.current_time()
 
--- a/emulator/soak/instance_faults.py
+++ b/emulator/soak/instance_faults.py
@@ -103,7 +103,7 @@
         links = self._instance()
         instance_id = links.instance.traits.instance_id
         disturbance = self._deployment.disturb("connections silent", instance_id)
-        links.proxy.silence_established(back_only=self._generator.random() < 0.5)
+        links.proxy.block_established(back_only=self._generator.random() < 0.5)
         await trio.lowlevel.checkpoint()
         disturbance.until = trio.current_time()
 
--- a/emulator/soak/profiles.py
+++ b/emulator/soak/profiles.py
@@ -153,7 +153,7 @@
 """What happens to instances, in one profile for soaks that are too short for all."""
 
 
-WORDS = Profile(
+NOTICES = Profile(
     "words of instances",
     (
         "instance says it leaves",
@@ -291,7 +291,7 @@
     if not name:
         newer = seed >= FIRST_SEED_WITH_RESTORES
         return (PROFILES_WITH_RESTORES if newer else PROFILES)[seed % len(PROFILES)]
-    by_name = (*PROFILES, *PROFILES_WITH_RESTORES, SHORT, WORDS, LIMITS, RESTORES, VERSIONS)
+    by_name = (*PROFILES, *PROFILES_WITH_RESTORES, SHORT, NOTICES, LIMITS, RESTORES, VERSIONS)
     found = {profile.name: profile for profile in by_name}
     if name not in found:
         raise ValueError(f"profile: expected one of {sorted(found)}, got {name!r}")
--- a/emulator/soak/proxies.py
+++ b/emulator/soak/proxies.py
@@ -70,7 +70,7 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def silence_established(self, *, back_only: bool = False) -> int:
+    def block_established(self, *, back_only: bool = False) -> int:
         """Let the connections that are open now pass nothing more, and return how many they are.
 
         Args:
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -73,7 +73,7 @@
         faults: Faults by kind.
         profile: Name of the profile of faults.
         route_changes: Changes of configurations that probes asked for.
-        beside: How honest requests fared, with fatal ones under way and without.
+        impact: How honest requests fared, with fatal ones under way and without.
         stalls: How long the machine itself stood still.
         load: What else the machine did.
     """
@@ -84,7 +84,7 @@
     faults: dict[str, int]
     profile: str
     route_changes: int
-    beside: FatalImpact
+    impact: FatalImpact
     stalls: MachineStalls
     load: MachineLoad
 
--- a/tests/emulator/soak/test_beside_fatal.py
+++ b/tests/emulator/soak/test_beside_fatal.py
@@ -28,13 +28,13 @@
         ]
         seen = History(requests={sent.request_id: sent for sent in requests})
         compared = measure_fatal_impact(seen)
-        self.assertEqual(compared.beside.requests, 3)
-        self.assertAlmostEqual(compared.beside.served_share, 2 / 3)
-        self.assertAlmostEqual(compared.beside.head_ms, 300.0)
+        self.assertEqual(compared.during_fatal.requests, 3)
+        self.assertAlmostEqual(compared.during_fatal.served_share, 2 / 3)
+        self.assertAlmostEqual(compared.during_fatal.head_ms, 300.0)
         self.assertEqual((compared.otherwise.requests, compared.otherwise.served_share), (1, 1.0))
 
     def test_no_requests(self):
-        self.assertEqual(measure_fatal_impact(History()).beside.served_share, 0.0)
+        self.assertEqual(measure_fatal_impact(History()).during_fatal.served_share, 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/emulator/soak/test_profiles.py
+++ b/tests/emulator/soak/test_profiles.py
@@ -12,13 +12,13 @@
 from emulator.soak.operators import Operator
 from emulator.soak.profiles import (
     LIMITS,
+    NOTICES,
     PROFILES,
     RESTORE,
     RESTORES,
     SHORT,
     STORE_KINDS,
     VERSIONS,
-    WORDS,
     profile_of,
 )
 
@@ -35,13 +35,13 @@
     def test_profiles_draw_known_kinds_and_all_of_them(self):
         drawn = {
             kind
-            for profile in (*PROFILES, WORDS, LIMITS, RESTORES, VERSIONS)
+            for profile in (*PROFILES, NOTICES, LIMITS, RESTORES, VERSIONS)
             for kind in profile.kinds
         }
         self.assertEqual(drawn, self.known_kinds(PROFILES[0]))
 
     def test_a_profile_is_found_by_its_name(self):
-        for profile in (*PROFILES, SHORT, WORDS, LIMITS, RESTORES, VERSIONS):
+        for profile in (*PROFILES, SHORT, NOTICES, LIMITS, RESTORES, VERSIONS):
             self.assertIs(profile_of(1, profile.name), profile)
         with self.assertRaisesRegex(ValueError, "profile: expected one of"):
             profile_of(1, "none")
--- a/tests/emulator/soak/test_proxies.py
+++ b/tests/emulator/soak/test_proxies.py
@@ -55,7 +55,7 @@
                 async def script(proxy, stream, back_only=back_only, served=served):
                     await stream.send_all(b"zero")
                     self.assertEqual(await self.received(stream), b"zero")
-                    self.assertEqual(proxy.silence_established(back_only=back_only), 1)
+                    self.assertEqual(proxy.block_established(back_only=back_only), 1)
                     await stream.send_all(b"one")
                     self.assertEqual(await self.received(stream), b"")
                     self.assertEqual(self.served, served)
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -59,7 +59,7 @@
     def test_idle_connections_that_may_be_silent_are_left(self):
         async def script(client, proxy):
             self.assertEqual(await self.ask_at_once(client, proxy, 3), 3)
-            self.assertEqual(proxy.silence_established(), 3)
+            self.assertEqual(proxy.block_established(), 3)
             self.assertFalse(await self.ask(client, proxy))
             await client.drop_idle(proxy.address)
             self.assertEqual(await self.ask_at_once(client, proxy, 3), 3)
@@ -90,7 +90,7 @@
                 async def script(client, proxy, back_only=back_only):
                     store = PlatformStore(proxy.address, client, answer_seconds=0.3)
                     await store.listing("")
-                    proxy.silence_established(back_only=back_only)
+                    proxy.block_established(back_only=back_only)
                     with self.assertRaises(StoreError):
                         await store.listing("")
                     await store.reconnect()
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -10,14 +10,21 @@
 
 import trio
 
-from emulator.soak.profiles import LIMITS, RESTORES, SHORT, WORDS
+from emulator.soak.profiles import LIMITS, NOTICES, RESTORES, SHORT
 from emulator.soak.run import SoakPlan, run_soak
 
 FAULT_SECONDS = 15.0
 QUIET_SECONDS = 16.0
 NODES = 5
 RATE = 30.0
-SOAKS = ((2, ""), (3, ""), (5, SHORT.name), (8, WORDS.name), (9, LIMITS.name), (11, RESTORES.name))
+SOAKS = (
+    (2, ""),
+    (3, ""),
+    (5, SHORT.name),
+    (8, NOTICES.name),
+    (9, LIMITS.name),
+    (11, RESTORES.name),
+)
 """Seeds and profiles: ways to the store that are lost under changes; planned work under changes;
 fatal requests, later lives of instances, entries of other writers and suspended machines; instances
 that say in their answers that they leave or want rest; that name limits; and a store that comes
@@ -40,7 +47,7 @@
                 print(
                     f"soak: seed {seed}, {result.profile}, {result.requests} requests, "
                     f"{result.route_changes} changes of routes, faults {result.faults}, "
-                    f"{result.beside}, machine stood still {result.stalls.total_seconds:.2f} s, "
+                    f"{result.impact}, machine stood still {result.stalls.total_seconds:.2f} s, "
                     f"{len(result.violations)} broken",
                     flush=True,
                 )
