--- a/emulator/soak/__init__.py
+++ b/emulator/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak: nodes as processes, faults from outside, promises checked by what is seen."""
+"""Randomized soak: nodes run as processes under injected faults, and observations are checked."""
--- a/emulator/soak/checks.py
+++ b/emulator/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises, checked over a history alone. Each check yields what broke it."""
+"""Checks of the promises over a recorded history. Each check yields a text per violation."""
 
 from __future__ import annotations
 
@@ -22,22 +22,27 @@
 from emulator.soak.regress_checks import REGRESS_CHECKS
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""HTTP statuses that state that the request wasn't executed."""
+
 OK = 200
 DENIAL_STATUSES = frozenset({401, 403, 404})
-"""Answers that only a node may give whose configuration has no such route or key."""
+"""HTTP statuses that a node may send only if its configuration lacks the route or key."""
 
 MAX_LATE_SECONDS = 0.75
-"""An answer may come so much later than the caller's deadline on an undisturbed node."""
+"""Time after the caller's deadline in which a response may end, on an undisturbed node."""
 
 RECOVERED_SHARE = 0.9
+"""Share of requests that must be served after recovery."""
+
 MAX_LATE_ARRIVALS = 3
-"""A few may be on their way as a caller leaves."""
+"""Arrivals for callers that have left; a few requests may be in flight as the caller leaves."""
 
 MAX_LATE_ENDS_SHARE = 0.25
+"""Share of the runs for callers that left which may end late."""
 
 
 def check_all(history: History, bounds: Bounds) -> list[Violation]:
-    """Return everything that broke a promise."""
+    """Return all violations in a history."""
     return [
         Violation(name, detail)
         for name, check in CHECKS.items()
@@ -46,7 +51,7 @@
 
 
 def at_most_once(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield requests that may run once and ran more often."""
+    """Yield requests that may run at most once and ran more often."""
     for request_id, runs in _runs_by_request(history).items():
         request = history.requests.get(request_id)
         if request is not None and request.kind.at_most_once and len(runs) > 1:
@@ -55,7 +60,7 @@
 
 
 def not_run_is_true(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield requests whose answer says not run although they ran."""
+    """Yield requests that ran although their response states that they didn't."""
     runs = _runs_by_request(history)
     for request in history.requests.values():
         if (
@@ -67,7 +72,7 @@
 
 
 def answers_are_own_and_whole(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield successes that aren't the whole answer of a run of the same request."""
+    """Yield successful responses that aren't the complete response of a run of the same request."""
     runs = _runs_by_request(history)
     for request in history.requests.values():
         if request.status != OK or not request.whole or request.left:
@@ -80,19 +85,19 @@
 
 
 def expected_body(request: SentRequest) -> bytes:
-    """Return the body of a request's whole answer."""
+    """Return the body of a request's complete response."""
     if request.kind in (RequestKind.STREAM, RequestKind.RESUMABLE):
         return b"".join(event_bytes(request.request_id, n) for n in range(request.events))
     return f"done {request.request_id}".encode()
 
 
 def event_bytes(request_id: str, number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return the bytes of one event of a stream."""
     return f"id: {number}\ndata: {request_id} {number}\n\n".encode()
 
 
 def only_what_was_sent_runs(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield runs of unknown requests, for other tenants, at other services, or with a key shown."""
+    """Yield runs of unknown requests, for a wrong tenant or service, or with the key forwarded."""
     for run in history.runs:
         request = history.requests.get(run.request_id)
         if request is None:
@@ -106,7 +111,7 @@
 
 
 def revoked_keys_run_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that ran although their key was taken away long before they were sent."""
+    """Yield requests that ran although their key was revoked long before they were sent."""
     revoked = {revocation.key: revocation.at for revocation in history.revocations}
     for run in history.runs:
         request = history.requests.get(run.request_id)
@@ -118,7 +123,7 @@
 
 
 def weights_are_new_enough(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield runs on older weights than their bound allows, while nothing disturbed."""
+    """Yield runs on older weights than the bound allows, in periods without faults."""
     for run in history.runs:
         request = history.requests.get(run.request_id)
         required = [n for n in history.weights_changes if run.at - n.at > bounds.weights]
@@ -135,7 +140,7 @@
 
 
 def draining_instances_get_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield runs at instances that said long before that they are draining."""
+    """Yield runs at instances that were listed as draining long before."""
     leaving = {leaving.incarnation: leaving.at for leaving in history.drain_starts}
     for run in history.runs:
         at = leaving.get(run.incarnation)
@@ -147,7 +152,7 @@
 
 
 def configurations_are_in_force(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield probes that were answered as only an older configuration says."""
+    """Yield probes whose response can only come from an outdated configuration."""
     changes: dict[str, list[RouteChange]] = defaultdict(list)
     for change in history.route_changes:
         changes[change.path].append(change)
@@ -166,10 +171,10 @@
 
 
 def one_holder_orders(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield tokens with two holders, and holders that take turns within a lease.
+    """Yield fencing tokens with two holders, and changes of the holder within one lease duration.
 
-    A new holder waits for a lease before it orders, which can't be enough where the store ends
-    leases before their time: the former holder learns that later.
+    A new holder waits for one lease duration before it sends orders. That isn't enough where the
+    store ends leases before their expiry: the former holder learns of it later.
     """
     holders: dict[int, set[str]] = defaultdict(set)
     for order in history.orders:
@@ -188,7 +193,7 @@
 
 
 def isolation_is_kept(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield salts that an isolated tenant shares, or that two weights versions share."""
+    """Yield cache salts shared by an isolated tenant and others, or by two weights versions."""
     tenants: dict[str, set[str]] = defaultdict(set)
     versions: dict[str, set[int]] = defaultdict(set)
     for run in history.runs:
@@ -204,10 +209,10 @@
 
 
 def planned_stops_cut_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that a planned stop cut off, while nothing else disturbed.
+    """Yield requests that a planned stop cut off, while there was no other fault.
 
-    A connection may be closed as a request crosses on it: that one went nowhere, and its caller
-    knows at once.
+    Excepted are requests that were sent while the node closed their connection: they reach no
+    instance, and their callers see the failure at once.
     """
     arrived = {arrival.request_id for arrival in history.arrivals}
     stops = [fault for fault in history.disturbances if fault.planned]
@@ -230,7 +235,7 @@
 
 
 def clients_that_left_occupy_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield what arrives or still runs for callers that left, where that may be repeated."""
+    """Yield counts of late arrivals and of late repeatable runs for callers that left."""
     arrivals = [a for a in history.arrivals if _left_before(history, a.request_id, a.at, bounds)]
     if len(arrivals) > MAX_LATE_ARRIVALS:
         yield f"{len(arrivals)} arrivals for callers that had left"
@@ -243,7 +248,7 @@
 
 
 def _left_and_repeatable(history: History, run: Run) -> bool:
-    """Return whether a run that has ended was for a caller that left, and may be repeated."""
+    """Return whether an ended run was for a caller that left, and isn't of the unsafe kind."""
     request = history.requests.get(run.request_id)
     if request is None or run.ended_at is None:
         return False
@@ -251,7 +256,7 @@
 
 
 def _left_before(history: History, request_id: str, at: float, bounds: Bounds) -> bool:
-    """Return whether a caller had left well before a moment, on a node that could know."""
+    """Return whether a caller had left well before a time, at a node without recent faults."""
     request = history.requests.get(request_id)
     if request is None or not request.left or request.ended_at is None:
         return False
@@ -260,7 +265,7 @@
 
 
 def answers_come_in_time(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests without a final answer long after their deadline, on undisturbed nodes."""
+    """Yield requests that ended long after their deadline, on undisturbed nodes."""
     for request in history.requests.values():
         if request.left or request.ended_at is None:
             continue
@@ -271,7 +276,10 @@
 
 
 def retries_stay_in_budget(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield windows with more arrivals beyond the first of each request than allowed."""
+    """Yield services with a window of more retries than allowed.
+
+    Retries are arrivals beyond the first of each request.
+    """
     services = {request.service for request in history.requests.values()}
     for service in sorted(services):
         arrivals = [a for a in history.arrivals if a.service == service]
@@ -295,11 +303,11 @@
 
 
 def check_recovery(history: History, since: float, until: float) -> list[Violation]:
-    """Return what shows that requests aren't served again after all faults have gone.
+    """Return a violation if too few requests are served after all faults have been repaired.
 
     Args:
-        history: What was seen.
-        since: Recovery should have ended.
+        history: Observations of the soak.
+        since: Time by which recovery must have ended.
         until: End of the soak.
     """
     revoked = {revocation.key for revocation in history.revocations}
@@ -335,7 +343,7 @@
 
 
 def _runs_by_request(history: History) -> dict[str, list[Run]]:
-    """Return the runs of each request."""
+    """Return the runs by request id."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in history.runs:
         runs[run.request_id].append(run)
--- a/emulator/soak/faults.py
+++ b/emulator/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, drawn by a seed, each with an end."""
+"""Faults of a soak, drawn from a seeded generator; each is repaired after a while."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 
 SERIES_LENGTH = (2, 4)
 SERIES_SECONDS = (0.1, 0.8)
-"""Between the begins of two faults of a series."""
+"""Time between the starts of two faults of a series, shortest and longest."""
 
 SETTLE_SECONDS = 2.5
-"""A started node counts as disturbed for so long."""
+"""Time after its start in which a node counts as disturbed."""
 
 INTERPRETER_SECONDS = 0.3
-"""For the interpreter to start: SIGHUP ends it until the first line of the program ignores it."""
+"""Start time of the interpreter; SIGHUP ends the process until the program ignores it."""
 
 
 ROLLBACK_SHARE = 0.25
-"""Of replaced nodes: any node changes its build, also back to the earlier one."""
+"""Share of replacements in which any node changes its build, also back to the other build."""
 
 REVOKING_SHARE = 0.5
-"""Of suspensions: a key is taken away."""
+"""Share of suspensions during which a key is revoked."""
 
 REVOKING_SUSPENSION_SECONDS = (5.5, 9.0)
-"""Longer than a key may be used that was taken away."""
+"""Duration of such a suspension; longer than the bound on using a revoked key."""
 
 IN_FLIGHT_SECONDS = 0.05
-"""For requests to reach the socket of a node that doesn't run."""
+"""Time for requests to reach the socket of a stopped node."""
 
 
 class Faults:
-    """Draws faults and carries them out."""
+    """Draws faults and injects them."""
 
     def __init__(
         self,
@@ -51,14 +51,14 @@
         generator: random.Random,
         profile: Profile,
     ) -> None:
-        """Prepare.
+        """Prepare all kinds of faults.
 
         Args:
-            deployment: What is disturbed.
+            deployment: Parts that get the faults.
             operator: Changes keys and weights.
-            callers: Send what ends instances, or has a key that was taken away.
+            callers: Send fatal requests, and requests with revoked keys.
             generator: Draws kind, subject, time and strength.
-            profile: Kinds, and how closely they follow each other.
+            profile: Kinds of faults, and the pauses between them.
         """
         self._profile = profile
         self.counts: dict[str, int] = {}
@@ -97,9 +97,9 @@
         return set(self._kinds)
 
     async def run(self, seconds: float) -> None:
-        """Disturb for a time, and wait until everything is healed.
+        """Inject faults for some seconds, and wait until all are repaired.
 
-        Faults go on while others begin; some come in series of their kind.
+        Faults overlap; some come in series of their kind.
         """
         profile = self._profile
         async with trio.open_nursery() as nursery:
@@ -116,11 +116,11 @@
                         await trio.sleep(self._generator.uniform(*SERIES_SECONDS))
 
     def _node(self) -> NodeLinks:
-        """Return a node."""
+        """Return a random node."""
         return self._generator.choice(self._deployment.nodes)
 
     async def _store_fault(self, what: str, begin: FaultOrder, end: FaultOrder) -> None:
-        """Let the store fail for a while."""
+        """Apply a fault to the store for a random duration."""
         disturbance = self._deployment.disturb(what, STORE)
         self._deployment.shared.order_faults(begin)
         await trio.sleep(draw_seconds(self._generator))
@@ -145,7 +145,7 @@
         disturbance.until = trio.current_time()
 
     async def _store_restored(self) -> None:
-        """Come back from a copy; promises hold from the store's return on."""
+        """Restore the store from a backup; time bounds apply again once the store is back."""
         disturbance = self._deployment.disturb(RESTORED, STORE)
         restores = self._deployment.restores
         await restores.restore_backup()
@@ -167,7 +167,7 @@
         disturbance.until = trio.current_time()
 
     async def _store_connections_silent(self) -> None:
-        """Silence what is open between a node and the store; new connections work."""
+        """Block the open connections between a node and the store; new connections work."""
         node = self._node()
         disturbance = self._deployment.disturb("store connections silent", node.name)
         node.store.block_established(back_only=self._generator.random() < 0.5)
@@ -215,9 +215,9 @@
         disturbance.until = trio.current_time()
 
     async def _node_suspended(self) -> None:
-        """Suspend a node's machine: its ordinary steady clock doesn't count the time.
+        """Suspend a node's machine: its ordinary monotonic clock doesn't count the time.
 
-        In some of the cases a key is taken away meanwhile, and is used as the machine goes on.
+        In some cases a key is revoked during the suspension, and is used as the machine resumes.
         """
         node = self._node()
         if not node.running:
@@ -252,7 +252,7 @@
                 nursery.start_soon(self._kill, node)
 
     async def _kill(self, node: NodeLinks) -> None:
-        """Kill a node and start it again."""
+        """Kill a node's process and start it again."""
         if not node.running:
             return
         node.running = False
@@ -267,17 +267,17 @@
         await self._stop_and_start(self._node())
 
     async def _node_replaced(self) -> None:
-        """Replace a node by one of the other build: forwards, and now and then back."""
-        behind = [node for node in self._deployment.nodes if node.other_build]
-        forwards = bool(behind) and self._generator.random() >= ROLLBACK_SHARE
-        node = self._generator.choice(behind) if forwards else self._node()
+        """Replace a node by one of the other build: mostly an upgrade, sometimes a rollback."""
+        outdated = [node for node in self._deployment.nodes if node.other_build]
+        upgrade = bool(outdated) and self._generator.random() >= ROLLBACK_SHARE
+        node = self._generator.choice(outdated) if upgrade else self._node()
         if self._deployment.other_build is None or not node.running:
             return
         node.other_build = not node.other_build
         await self._stop_and_start(node)
 
     async def _stop_and_start(self, node: NodeLinks) -> None:
-        """Stop a node as planned, and start it again."""
+        """Stop a node by SIGTERM as in a planned stop, and start it again."""
         if not node.running:
             return
         node.running = False
--- a/emulator/soak/foreign_entries.py
+++ b/emulator/soak/foreign_entries.py
@@ -1,4 +1,7 @@
-"""Entries of another writer, none of which names an instance; all lead to the decoy."""
+"""Invalid entries of an unknown writer: none describes a usable instance.
+
+Those that contain an address contain the decoy's.
+"""
 
 from __future__ import annotations
 
@@ -7,54 +10,54 @@
 from collections.abc import Callable
 
 Document = dict[str, object]
-"""An entry as it is written."""
+"""An entry's JSON object."""
 
 FOREIGN_PREFIX = "foreign"
-"""Ids under which nobody else lists itself begin so."""
+"""Prefix of instance ids that no real instance uses."""
 
 
-def _without(name: str) -> Callable[[Document], Document]:
-    """Return what leaves a field out."""
+def _remove_field(name: str) -> Callable[[Document], Document]:
+    """Return a function that removes a field from an entry."""
     return lambda entry: {key: value for key, value in entry.items() if key != name}
 
 
-def _with(name: str, value: object) -> Callable[[Document], Document]:
-    """Return what puts another value into a field."""
+def _replace_field(name: str, value: object) -> Callable[[Document], Document]:
+    """Return a function that replaces the value of a field of an entry."""
     return lambda entry: {**entry, name: value}
 
 
 CHANGES = (
-    *(_without(name) for name in ("service", "address", "zone", "version", "slots", "state")),
-    *(_without(name) for name in ("coldRemainingMs", "callSequence", "born")),
-    *(_with("state", value) for value in ("resting", "", None, 1)),
-    *(_with("slots", value) for value in (0, -1, "4", 2.5, 10**9)),
-    *(_with("born", value) for value in ("1", 1.5, -1, None)),
-    _with("service", 7),
-    _with("zone", []),
-    _with("models", {}),
-    _with("callSequence", -1),
+    *(_remove_field(name) for name in ("service", "address", "zone", "version", "slots", "state")),
+    *(_remove_field(name) for name in ("coldRemainingMs", "callSequence", "born")),
+    *(_replace_field("state", value) for value in ("resting", "", None, 1)),
+    *(_replace_field("slots", value) for value in (0, -1, "4", 2.5, 10**9)),
+    *(_replace_field("born", value) for value in ("1", 1.5, -1, None)),
+    _replace_field("service", 7),
+    _replace_field("zone", []),
+    _replace_field("models", {}),
+    _replace_field("callSequence", -1),
 )
 
-NO_DOCUMENTS = (b"\xff\xfe", b"{", b"null", b"[]", b'"ready"')
+NOT_OBJECTS = (b"\xff\xfe", b"{", b"null", b"[]", b'"ready"')
 
 
 def foreign_entry(generator: random.Random, service: str, zone: str, decoy: str) -> bytes:
-    """Return an entry that names no instance.
+    """Return an entry that describes no usable instance.
 
     Args:
-        generator: Draws what is wrong with it.
-        service: Service that it claims.
-        zone: Zone that it claims.
-        decoy: Address that it claims.
+        generator: Draws what is wrong with the entry.
+        service: Service in the entry.
+        zone: Zone in the entry.
+        decoy: Address in the entry.
     """
     if generator.random() < 0.2:
-        return generator.choice(NO_DOCUMENTS)
-    entry = whole_document(service, zone, decoy)
+        return generator.choice(NOT_OBJECTS)
+    entry = valid_document(service, zone, decoy)
     return json.dumps(generator.choice(CHANGES)(entry)).encode()
 
 
-def whole_document(service: str, zone: str, address: str) -> Document:
-    """Return an entry of which nothing is wrong."""
+def valid_document(service: str, zone: str, address: str) -> Document:
+    """Return a valid entry."""
     return {
         "service": service,
         "address": address,
--- a/emulator/soak/history.py
+++ b/emulator/soak/history.py
@@ -1,4 +1,7 @@
-"""What callers, instances and the operator saw during a soak; times are of its steady clock."""
+"""Observations of callers, instances and the operator during a soak.
+
+All times are seconds of the soak process's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -7,27 +10,27 @@
 import msgspec
 
 STORE = "store"
-"""Subject of disturbances of the store for everyone."""
+"""Subject of faults of the store that affect every client."""
 
 MACHINE = "machine"
-"""Subject of the times at which the machine of the soak itself stood still."""
+"""Subject of stalls of the machine that runs the soak."""
 
 
 LEASES_EXPIRED_EARLY = "leases lapse"
-"""Leases that the store ends before their time, against its protocol."""
+"""Leases that the store ends before their expiry, which violates its protocol."""
 
 RESTORED = "restored"
-"""A store that is away and comes back from a copy."""
+"""A store that is unavailable and is then restored from a backup."""
 
 KILLED = "killed"
-"""What happens to a node whose process is killed; it is started again."""
+"""Fault of a node whose process is killed and then started again."""
 
 PEER_LINK_CUT = "peer link"
-"""What happens to a node that is cut off from other nodes, and from nothing else."""
+"""Fault of a node that is cut off from the other nodes only."""
 
 
 class RequestKind(enum.StrEnum):
-    """How often a request may run."""
+    """Kind of a request, which decides whether it may be executed more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -36,32 +39,33 @@
 
     @property
     def at_most_once(self) -> bool:
-        """Whether a request may run once only."""
+        """Whether a request may be executed at most once."""
         return self in (RequestKind.UNSAFE, RequestKind.STREAM)
 
 
 class SentRequest(msgspec.Struct):
-    """A request of a caller and how it ended.
+    """A request of a caller and its outcome.
 
     Attributes:
         request_id: Its id.
-        kind: How often it may run.
+        kind: Kind, which decides how often it may run.
         service: Service of its route.
-        key: Key that it carries.
+        key: API key that it carries.
         node: Node that it was sent to.
         sent_at: Time of sending.
-        deadline_at: When the caller gives up.
-        events: Events that a whole stream has.
+        deadline_at: Deadline of the caller.
+        events: Number of events of the complete stream.
         ended_at: Time of its end; None while it runs.
-        status: HTTP status; None without an answer.
-        stamp: Signature of the instance.
-        body: Body that came.
-        whole: Whether the answer ended as the protocol says.
-        left: Whether the caller left on purpose.
-        refused_connection: Whether no connection came about.
-        path: Path of a probe of the configuration; empty for others.
-        fatal: Name that equal requests share which end each instance that begins them; else empty.
-        head_at: When the head of the answer came; None without one.
+        status: HTTP status; None without a response.
+        stamp: Signature of the run that produced the response.
+        body: Body received so far.
+        whole: Whether the response ended as the protocol requires.
+        left: Whether the caller disconnected on purpose.
+        refused_connection: Whether the connection couldn't be established.
+        path: Path of a configuration probe; empty for other requests.
+        fatal: Name shared by equal requests that crash each instance that begins them; empty for
+            other requests.
+        head_at: When the head of the response arrived; None without one.
     """
 
     request_id: str
@@ -85,20 +89,20 @@
 
 
 class Run(msgspec.Struct):
-    """A request that an instance began to work on.
+    """One execution of a request by an instance.
 
     Attributes:
         request_id: The request.
         instance_id: The instance.
-        incarnation: The instance and its start.
+        incarnation: Instance id and start of the incarnation.
         service: Service of the instance.
-        at: Start.
-        tenant: Tenant that the instance was told.
+        at: Start of the run.
+        tenant: Tenant in the headers that the instance received.
         version: Weights version at the instance.
-        salt: Text under which segments are kept.
+        salt: Cache salt that separates cached segments.
         key_shown: Whether the caller's key reached the instance.
         stamp: Signature of the run.
-        ended_at: Its end, whole or not; None while it runs.
+        ended_at: Its end, complete or not; None while it runs.
     """
 
     request_id: str
@@ -115,13 +119,13 @@
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request that reached an instance, whether it ran or not.
+    """A request that reached an instance, whether it was executed or not.
 
     Attributes:
-        request_id: The request; empty for a report or an order.
+        request_id: The request; empty for a request for a report and for an order.
         service: Service of the instance.
-        at: When it came.
-        incarnation: The instance and its start.
+        at: Time of arrival.
+        incarnation: Instance id and start of the incarnation.
     """
 
     request_id: str
@@ -131,15 +135,15 @@
 
 
 class SentNotice(msgspec.Struct, frozen=True):
-    """What an instance said of itself in an answer.
+    """Notices that an instance sent in the headers of a response.
 
     Attributes:
         request_id: The request that was answered.
-        incarnation: The instance and its start.
-        at: When the answer was made.
-        leaving: Whether it says that the instance leaves.
-        rest_seconds: Rest that it asks for; 0 for none.
-        limit: Requests a second that it takes from all nodes together; None for no limit.
+        incarnation: Instance id and start of the incarnation.
+        at: When the response was created.
+        leaving: Whether the instance announces that it is shutting down.
+        backoff_seconds: Backoff that it asks for; 0 for none.
+        limit: Requests per second that it accepts from all nodes together; None for no limit.
     """
 
     request_id: str
@@ -151,12 +155,12 @@
 
 
 class LimitChange(msgspec.Struct, frozen=True):
-    """A limit that an instance names from a time on.
+    """A change of the limit that an instance announces.
 
     Attributes:
-        incarnation: The instance and its start.
-        at: From when on its answers say so.
-        per_second: Requests a second that it takes from all nodes together; None for no limit.
+        incarnation: Instance id and start of the incarnation.
+        at: When its responses begin to carry the limit.
+        per_second: Requests per second that it accepts from all nodes together; None for no limit.
     """
 
     incarnation: str
@@ -165,12 +169,12 @@
 
 
 class FatalTermination(msgspec.Struct, frozen=True):
-    """The end of an instance under a request that ends each one which begins it.
+    """The crash of an instance that was caused by a fatal request.
 
     Attributes:
         fatal: Name of the request.
-        incarnation: The instance and its start.
-        at: When it ended.
+        incarnation: Instance id and start of the incarnation.
+        at: Time of the crash.
     """
 
     fatal: str
@@ -179,14 +183,14 @@
 
 
 class IncarnationPeriod(msgspec.Struct):
-    """The time in which a life of an instance serves.
+    """The time in which an incarnation of an instance serves.
 
     Attributes:
-        incarnation: The instance and its start.
+        incarnation: Instance id and start of the incarnation.
         service: Its service.
         since: When it was listed.
-        is_plain: Whether it is no engine.
-        until: Its end; infinite while it lives.
+        is_plain: Whether it belongs to a plain service rather than to engines.
+        until: Its end; infinite while it runs.
     """
 
     incarnation: str
@@ -197,12 +201,12 @@
 
 
 class ListedInstance(msgspec.Struct, frozen=True):
-    """An instance that is listed and takes requests.
+    """An instance that is listed and accepts requests.
 
     Attributes:
         instance_id: Its id.
         service: Its service.
-        since: When it was listed in this life.
+        since: When this incarnation was listed.
         version: Its weights version; 0 for a plain service.
     """
 
@@ -213,13 +217,13 @@
 
 
 class TakenOrder(msgspec.Struct, frozen=True):
-    """An order that an instance carried out.
+    """An order that an instance executed.
 
     Attributes:
         instance_id: The instance.
         holder: Node that sent it.
         token: Its fencing token.
-        at: When it was taken.
+        at: When it was executed.
     """
 
     instance_id: str
@@ -229,7 +233,7 @@
 
 
 class Revocation(msgspec.Struct, frozen=True):
-    """A key that was taken away, and when the store acknowledged that."""
+    """A revoked API key, and when the store acknowledged the revocation."""
 
     key: str
     at: float
@@ -239,8 +243,8 @@
     """A route that was added or removed.
 
     Attributes:
-        path: Its path; each is added and removed once at most.
-        present: Whether it was added.
+        path: Its path; each path is added at most once and removed at most once.
+        present: Whether it was added; False if it was removed.
         at: When the store acknowledged the change.
     """
 
@@ -250,18 +254,19 @@
 
 
 class WeightsChange(msgspec.Struct, frozen=True):
-    """A weights version, and when the store acknowledged it."""
+    """A new target version of the weights, and when the store acknowledged it."""
 
     version: int
     at: float
 
 
 class DrainStart(msgspec.Struct, frozen=True):
-    """An instance that said that it is draining.
+    """The moment at which an instance is listed as draining.
 
     Attributes:
-        incarnation: The instance and its start: it may come back and take requests again.
-        at: When the store acknowledged that.
+        incarnation: Instance id and start of the incarnation; a later incarnation may accept
+            requests again.
+        at: When the store acknowledged the entry.
     """
 
     incarnation: str
@@ -269,14 +274,14 @@
 
 
 class Disturbance(msgspec.Struct):
-    """A fault, from when it began until it was healed.
+    """A fault, from its start until it was repaired.
 
     Attributes:
         what: Kind of fault.
-        subject: Node or instance; ``store`` for the store.
-        since: Begin.
-        until: End; infinite while it lasts.
-        planned: Whether it is a planned stop.
+        subject: Name of a node, id of an instance, ``store`` or ``machine``.
+        since: Start.
+        until: End; infinite while the fault lasts.
+        planned: Whether it is a planned stop of a node.
     """
 
     what: str
@@ -287,27 +292,27 @@
 
 
 class History(msgspec.Struct):
-    """Everything that was seen.
+    """Everything that was observed. All lists are in order of time.
 
     Attributes:
-        requests: By id.
-        runs: In the order of their starts.
-        arrivals: In order.
-        ends: Ends of instances under fatal requests, in order.
-        decoyed: Requests that came where only an entry leads that can't be trusted.
+        requests: Requests by id.
+        runs: Executions of requests, in the order of their starts.
+        arrivals: Requests that reached instances.
+        fatal_terminations: Crashes of instances under fatal requests.
+        decoy_requests: Requests that reached the address to which only untrusted entries point.
         listed: Instances at the end of the soak.
-        orders: In order.
-        revocations: In order.
-        namings: In order.
-        route_changes: In order.
-        leavings: In order.
-        words: What instances said of themselves in answers, in order.
-        limits: Limits that instances named, in order.
-        instances: All lives of instances.
-        disturbances: In the order of their begins.
-        unexpected_ends: Nodes whose process ended by itself, with the exit code.
+        orders: Orders that instances executed.
+        revocations: Revoked keys.
+        weights_changes: Target versions of the weights.
+        route_changes: Routes added and removed.
+        drain_starts: Instances that were listed as draining.
+        notices: Notices that instances sent in responses.
+        limits: Limits that instances announced.
+        instances: All incarnations of instances.
+        disturbances: Faults, in the order of their starts.
+        unexpected_exits: Nodes whose process ended by itself, with the exit code.
         tenants: Tenant of each key.
-        isolated: Tenants that share nothing.
+        isolated: Tenants that share no cached segments with others.
     """
 
     requests: dict[str, SentRequest] = {}
@@ -330,28 +335,28 @@
     isolated: set[str] = set()
 
     def time_bounds_apply(self, node: str, since: float, until: float) -> bool:
-        """Return whether promises that are bound in time hold for a node.
+        """Return whether promises with a time bound apply to a node in a period.
 
-        They do while its process, its links, the store and the machine were undisturbed. Losing all
-        other nodes excuses nothing.
+        They apply while its process, its links, the store and the machine were undisturbed. Losing
+        the links to all other nodes doesn't suspend them.
         """
-        excuses = (fault for fault in self.disturbances if fault.what != PEER_LINK_CUT)
+        faults = (fault for fault in self.disturbances if fault.what != PEER_LINK_CUT)
         return not any(
             fault.subject in (node, STORE, MACHINE)
             and fault.since <= until
             and fault.until >= since
-            for fault in excuses
+            for fault in faults
         )
 
     def disturbed(self, subject: str, since: float, until: float) -> bool:
-        """Return whether a fault of a subject overlaps with a time."""
+        """Return whether a fault of a subject overlaps with a period."""
         return any(
             fault.subject == subject and fault.since <= until and fault.until >= since
             for fault in self.disturbances
         )
 
     def interrupted(self, node: str, since: float, until: float) -> bool:
-        """Return whether a node was killed, stopped, started, halted or cut off within a time."""
+        """Return whether a node was killed, stopped, started, paused or cut off in a period."""
         return any(
             fault.subject in (node, MACHINE)
             and fault.what != PEER_LINK_CUT
@@ -361,7 +366,7 @@
         )
 
     def restarted(self, node: str, since: float, until: float) -> bool:
-        """Return whether a node's process ended within a time, and forgot all that it knew."""
+        """Return whether a node's process ended in a period, and so lost its state."""
         return any(
             fault.subject == node
             and (fault.planned or fault.what == KILLED)
@@ -370,7 +375,7 @@
         )
 
     def happened(self, what: str, since: float, until: float) -> bool:
-        """Return whether a kind of fault overlaps with a time, whatever its subject."""
+        """Return whether a kind of fault overlaps with a period, whatever its subject."""
         return any(
             fault.what == what and fault.since <= until and fault.until >= since
             for fault in self.disturbances
--- a/emulator/soak/instance_checks.py
+++ b/emulator/soak/instance_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what becomes of instances: under fatal requests, listed by others, in later lives."""
+"""Checks of fatal requests and their quarantine, of untrusted entries and of weights rollouts."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 from emulator.soak.promises import Bounds, Check
 
 QUARANTINED = b"request_quarantined"
-"""Body of the refusal of a request that ends instances."""
+"""Body of the refusal of a request that crashes instances."""
 
 RELEASE_SECONDS = 12.0
-"""After the last end: a refused request is tried again after eight, and its whole answer told."""
+"""Time from the last crash until a wrongly quarantined request must be released.
+
+A trial takes place after eight seconds; its complete response is then reported to the other nodes.
+"""
 
 SERVED = 200
 
 
 def fatal_requests_end_few(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that reach instances too often after they have ended some."""
+    """Yield fatal requests that still reach instances after they have crashed several."""
     ends: dict[str, list[float]] = defaultdict(list)
     for end in history.fatal_terminations:
         ends[end.fatal].append(end.at)
@@ -41,14 +44,14 @@
             )
         ]
         if len(late) > bounds.fatal_retries:
-            yield f"{fatal} reached instances {len(late)} times more, {len(times)} ended in all"
+            yield f"{fatal} reached instances {len(late)} times more, {len(times)} crashed in all"
 
 
 def honest_requests_are_not_quarantined(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that were refused as if they ended instances, and could be told from those.
+    """Yield ordinary requests that were quarantined although nodes could know them to be harmless.
 
-    One that was never answered whole, as far as any node can know, can't be told from a fatal one
-    when three instances have just ended while it was under way; it is refused until it is tried.
+    A request without a complete response known to any node can't be distinguished from a fatal one
+    when three instances have just crashed while it ran; it is refused until its trial.
     """
     for request in history.requests.values():
         if request.fatal or request.body != QUARANTINED:
@@ -58,9 +61,9 @@
 
 
 def _instances_just_ended(history: History, request: SentRequest, bounds: Bounds) -> bool:
-    """Return whether enough instances had ended, the last one a short time before a request.
+    """Return whether enough instances had crashed, the last one a short time before a request.
 
-    They may have ended some time apart: ends are remembered for ten minutes.
+    The crashes may lie some time apart: nodes remember them for ten minutes.
     """
     earlier = [end for end in history.fatal_terminations if end.at <= _end_of(request)]
     latest = max((end.at for end in earlier), default=-float("inf"))
@@ -72,7 +75,7 @@
 
 
 def _is_known(history: History, request: SentRequest) -> bool:
-    """Return whether a node that has run on since then had answered an equal request whole."""
+    """Return whether a node sent a complete response to an equal request, and ran on since."""
     asked = _identity(history, request)
     return any(
         answered.status == SERVED
@@ -86,24 +89,22 @@
 
 
 def _identity(history: History, request: SentRequest) -> tuple[str, str, bytes]:
-    """Return what equal requests share: caller, path and body."""
+    """Return what identifies equal requests: tenant, path and body."""
     return history.tenants.get(request.key, ""), path_of(request), body_of(request)
 
 
 def _end_of(request: SentRequest) -> float:
-    """Return when a request ended; infinite while it is under way."""
+    """Return when a request ended; infinite while it runs."""
     return request.ended_at if request.ended_at is not None else float("inf")
 
 
 def untrusted_entries_lead_nowhere(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield what came where only an entry leads that names no instance."""
-    yield from (
-        f"{what} was sent by an entry that can't be trusted" for what in history.decoy_requests
-    )
+    """Yield requests to the decoy address, to which only untrusted entries point."""
+    yield from (f"{path} was sent because of an untrusted entry" for path in history.decoy_requests)
 
 
 def weights_reach_all_engines(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield listed engines that were there all the time and lack the newest weights."""
+    """Yield engines that were listed long enough and still lack the newest weights."""
     if not history.weights_changes:
         return
     newest = history.weights_changes[-1]
--- a/emulator/soak/instance_faults.py
+++ b/emulator/soak/instance_faults.py
@@ -1,4 +1,4 @@
-"""Faults of instances: their links, ends, later lives, addresses and entries."""
+"""Faults of instances: links, crashes, restarts, addresses, entries, notices and orders."""
 
 from __future__ import annotations
 
@@ -14,45 +14,47 @@
 from emulator.soak.proxies import LinkState
 
 FAULT_SECONDS = (0.5, 6.0)
+"""Duration of a fault, shortest and longest."""
+
 DRAIN_SECONDS = 2.5
 BROKEN_LINKS = (LinkState.SILENT, LinkState.ONE_WAY, LinkState.RESET)
 MIN_INSTANCES = 2
 IMAGE_VERSION = 1
 IMAGE_SHARE = 0.5
-"""Of instances that restart: they come back with the weights of their image."""
+"""Share of restarting instances that load the weights of their image instead of their last ones."""
 
 BACKOFF_SECONDS = (0.3, 4.0)
 SHED_SECONDS = (0.2, 1.5)
-"""For so long an instance refuses everything and asks for rest."""
+"""Time in which an instance refuses all requests and asks for backoff."""
 
 LIMITS = (0.0, 0.3, 1.5, 1.5, 4.0, 12.0)
-"""Requests a second."""
+"""Announced limits, requests per second."""
 
 LIMIT_SECONDS = (4.0, 10.0)
-"""For so long an instance names one limit."""
+"""Time for which an instance announces one limit."""
 
 NOTICE_ONLY_SHARE = 0.5
-"""Of instances that leave by their word: their entry says ready until they have ended."""
+"""Share of instances announcing shutdown in responses whose entry says ready until they end."""
 
 REUSE_SECONDS = 2.0
-"""The platform gives an address of an ended instance to another one no sooner."""
+"""Time before the platform gives the address of a terminated instance to another one."""
 
 Fault = Callable[[], Awaitable[None]]
 
 
 def draw_seconds(generator: random.Random) -> float:
-    """Return how long a fault lasts."""
+    """Return a random duration of a fault, in seconds."""
     return generator.uniform(*FAULT_SECONDS)
 
 
 def instance_faults(
     deployment: Deployment, operator: Operator, generator: random.Random
 ) -> dict[str, Fault]:
-    """Return the kinds of faults of instances.
+    """Return the faults of instances by their kind.
 
     Args:
-        deployment: What is disturbed.
-        operator: Knows the newest weights.
+        deployment: Holds the instances that get the faults.
+        operator: Holds the target version of the weights.
         generator: Draws instance, time and strength.
     """
     faults = _InstanceFaults(deployment, operator, generator)
@@ -73,7 +75,7 @@
 
 
 class _InstanceFaults:
-    """Carries them out."""
+    """Injects the faults of instances."""
 
     def __init__(
         self, deployment: Deployment, operator: Operator, generator: random.Random
@@ -83,7 +85,7 @@
         self._generator = generator
 
     def _instance(self) -> InstanceLinks:
-        """Return an instance."""
+        """Return a random instance."""
         return self._generator.choice(self._deployment.instances)
 
     async def instance_link(self) -> None:
@@ -99,7 +101,7 @@
         disturbance.until = trio.current_time()
 
     async def instance_connections_silent(self) -> None:
-        """Silence what is open between all nodes and an instance; new connections work."""
+        """Block the open connections between all nodes and an instance; new connections work."""
         links = self._instance()
         instance_id = links.instance.traits.instance_id
         disturbance = self._deployment.disturb("connections silent", instance_id)
@@ -121,9 +123,9 @@
         disturbance.until = trio.current_time()
 
     async def instance_restarts(self) -> None:
-        """End an instance, and start it again under its id before or after its entry lapses.
+        """Terminate an instance and start it again under its id.
 
-        It comes back with the weights that it had, or with those of its image.
+        Its entry may expire before that. It starts with its last weights or those of its image.
         """
         links = self._instance()
         traits = links.instance.traits
@@ -144,7 +146,7 @@
         disturbance.until = trio.current_time()
 
     async def address_passed_on(self) -> None:
-        """End an instance, start another one at its address, and it again elsewhere."""
+        """Terminate an instance, give its address to another, and restart it at a new address."""
         links = self._instance()
         traits = links.instance.traits
         if links.instance.draining or self._count(traits.service) <= MIN_INSTANCES:
@@ -163,7 +165,7 @@
         disturbance.until = trio.current_time()
 
     async def foreign_entries(self) -> None:
-        """Write entries of another writer for a while, one of them over an instance's own."""
+        """Write invalid entries for a while; one may overwrite an instance's own entry."""
         generator, store = self._generator, self._deployment.store
         keys = []
         for _ in range(generator.randint(1, 4)):
@@ -194,14 +196,14 @@
         )
         instance.draining = True
         self._deployment.recorder.changed(instance)
-        leaving = DrainStart(instance.traits.life, trio.current_time())
-        self._deployment.history.drain_starts.append(leaving)
+        started = DrainStart(instance.traits.life, trio.current_time())
+        self._deployment.history.drain_starts.append(started)
         await trio.sleep(DRAIN_SECONDS + draw_seconds(self._generator))
         if links in self._deployment.instances:
             self._deployment.terminate_instance(links, unlisted=True)
 
     async def instance_announces_leaving(self) -> None:
-        """Let an instance say in its answers that it leaves, its entry later or never, and end."""
+        """Let an instance announce its shutdown in responses, and later or never in its entry."""
         links = self._instance()
         instance = links.instance
         if self._count(instance.traits.service) <= MIN_INSTANCES or instance.draining:
@@ -221,7 +223,7 @@
             self._deployment.terminate_instance(links, unlisted=True)
 
     async def instances_request_backoff(self) -> None:
-        """Let one instance, or all of its service, refuse for a moment and ask for rest."""
+        """Let one instance, or all of its service, refuse requests and ask for backoff."""
         chosen = [self._instance()]
         service = chosen[0].instance.traits.service
         if self._generator.random() < 0.5:
@@ -237,7 +239,7 @@
             links.instance.words.rest_seconds = 0.0
 
     async def instances_announce_limits(self) -> None:
-        """Let one instance, half or all of a service name limits, change them, and lift them."""
+        """Let one instance, half or all of a service announce limits, change and lift them."""
         service = self._instance().instance.traits.service
         chosen = [x for x in self._deployment.instances if x.instance.traits.service == service]
         share = self._generator.choice((0.0, 0.5, 1.0))
@@ -250,7 +252,7 @@
             self._announce_limit(links, None)
 
     def _announce_limit(self, links: InstanceLinks, per_second: float | None) -> None:
-        """Let an instance's answers name another limit; one that has ended names nothing."""
+        """Change the limit in an instance's responses; does nothing if it has terminated."""
         if links in self._deployment.instances:
             links.instance.words.limit = per_second
             incarnation = links.instance.traits.life
@@ -258,7 +260,7 @@
             self._deployment.history.limits.append(change)
 
     def _count(self, service: str) -> int:
-        """Return how many instances of a service take requests."""
+        """Return the number of instances of a service that accept requests."""
         return sum(
             links.instance.traits.service == service
             and not (links.instance.draining or links.instance.words.leaving)
--- a/emulator/soak/limit_checks.py
+++ b/emulator/soak/limit_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what nodes do after instances have named limits in their answers."""
+"""Checks that nodes keep and use the rate limits that instances announce in their responses."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class LimitPeriod(msgspec.Struct, frozen=True):
-    """The time in which a life of an instance names limits.
+    """A period in which an incarnation of an instance announces limits without interruption.
 
     Attributes:
-        incarnation: The instance and its start.
-        changes: The limits that it names, the first one at the begin.
-        until: When it names none any more, or has ended.
+        incarnation: Instance id and start of the incarnation.
+        changes: The limits that it announces, the first one at the start of the period.
+        until: When it lifts the limit or ends.
     """
 
     incarnation: str
@@ -28,11 +28,11 @@
 
     @property
     def since(self) -> float:
-        """When it first named a limit."""
+        """Start of the period."""
         return self.changes[0].at
 
     def capacity(self, since: float, until: float) -> float:
-        """Return the requests that the limits take within a time."""
+        """Return the number of requests that the limits allow between two times."""
         total = 0.0
         ends = [*(change.at for change in self.changes[1:]), self.until]
         for change, end in zip(self.changes, ends, strict=True):
@@ -44,8 +44,8 @@
 def limits_are_kept(history: History, bounds: Bounds) -> Iterable[str]:
     """Yield windows in which an instance got more than its limit allows.
 
-    Counted are reports and orders, and requests of nodes that had passed an answer with the limit
-    on half a second before; a node that was interrupted since is excused, the others aren't.
+    Requests for reports and orders count, and requests of nodes that passed on a response with the
+    limit half a second or more before. Requests of a node that was interrupted since don't count.
     """
     arrivals = _arrivals_by_incarnation(history)
     for period in limit_periods(history):
@@ -62,9 +62,9 @@
 
 
 def limits_are_used(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield times without any fault in which callers were refused and a limit wasn't used."""
+    """Yield periods without faults in which callers were refused and a limit wasn't used up."""
     arrivals = _arrivals_by_incarnation(history)
-    services = {instance.incarnation: instance.service for instance in history.instances}
+    services = {lifetime.incarnation: lifetime.service for lifetime in history.instances}
     for period in limit_periods(history):
         since, until = period.since + bounds.settling, period.until
         if until - since < bounds.limit_window or _any_fault(history, period.since, until):
@@ -77,9 +77,9 @@
 
 
 def refused_only_without_free_capacity(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that were refused at once although an instance of their service was free.
+    """Yield requests that reached no instance although one of their service had free capacity.
 
-    Only plain services: an engine may load weights.
+    Only plain services are checked: an engine may be loading weights.
     """
     reached = {arrival.request_id for arrival in history.arrivals}
     for request in history.requests.values():
@@ -96,8 +96,8 @@
 
 
 def limit_periods(history: History) -> list[LimitPeriod]:
-    """Return the times in which lives of instances name limits."""
-    ends = {instance.incarnation: instance.until for instance in history.instances}
+    """Return the periods in which incarnations of instances announce limits."""
+    ends = {lifetime.incarnation: lifetime.until for lifetime in history.instances}
     changes: dict[str, list[LimitChange]] = defaultdict(list)
     periods = []
     for change in history.limits:
@@ -115,7 +115,7 @@
 def _counted(
     history: History, period: LimitPeriod, arrivals: Sequence[Arrival], bounds: Bounds
 ) -> list[float]:
-    """Return when requests came that count, in order."""
+    """Return the arrival times of the requests that count towards a limit, in order."""
     announced = _announced_at(history, period)
     times = []
     for arrival in arrivals:
@@ -133,7 +133,7 @@
 
 
 def _announced_at(history: History, period: LimitPeriod) -> dict[str, float]:
-    """Return when each node first passed an answer on that names the limit."""
+    """Return when each node first passed on a response with a limit of the period."""
     announced: dict[str, float] = {}
     for notice in history.notices:
         request = history.requests.get(notice.request_id)
@@ -148,12 +148,12 @@
 
 
 def _any_fault(history: History, since: float, until: float) -> bool:
-    """Return whether anything was disturbed within a time."""
+    """Return whether there was any fault between two times."""
     return any(fault.since <= until and fault.until >= since for fault in history.disturbances)
 
 
 def _refused(history: History, service: str, since: float, until: float) -> int:
-    """Return how many requests for a service were refused within a time."""
+    """Return how many requests for a service were refused between two times."""
     return sum(
         request.service == service
         and request.status == REFUSED
@@ -166,22 +166,22 @@
 def _free_instances(
     history: History, request: SentRequest, since: float, until: float
 ) -> list[str]:
-    """Return the plain instances of a request's service that were there and said nothing."""
+    """Return the undisturbed plain instances of a request's service that sent no notice."""
     return [
-        instance.incarnation
-        for instance in history.instances
-        if instance.service == request.service
-        and instance.is_plain
-        and instance.since <= since
-        and instance.until >= until
-        and not _disturbed_or_announced(history, instance, since, until)
+        lifetime.incarnation
+        for lifetime in history.instances
+        if lifetime.service == request.service
+        and lifetime.is_plain
+        and lifetime.since <= since
+        and lifetime.until >= until
+        and not _disturbed_or_announced(history, lifetime, since, until)
     ]
 
 
 def _disturbed_or_announced(
     history: History, instance: IncarnationPeriod, since: float, until: float
 ) -> bool:
-    """Return whether an instance failed, left, rested or was limited at any time before an end."""
+    """Return whether an instance had a fault in a period, or announced anything by its end."""
     incarnation, instance_id = instance.incarnation, instance.incarnation.partition("@")[0]
     return (
         history.disturbed(instance_id, since, until)
@@ -196,7 +196,7 @@
 
 
 def _arrivals_by_incarnation(history: History) -> dict[str, list[Arrival]]:
-    """Return what reached each life of an instance, in order."""
+    """Return the requests that reached each incarnation of an instance, in order."""
     arrivals: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in history.arrivals:
         arrivals[arrival.incarnation].append(arrival)
--- a/emulator/soak/notice_checks.py
+++ b/emulator/soak/notice_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what nodes do after an instance has said in an answer that it leaves or wants rest."""
+"""Checks that nodes obey instances' notices: that they shut down, or ask for backoff."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def leaving_notices_are_obeyed(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that reach an instance long after their node passed on its notice of leaving.
+    """Yield requests sent to an instance long after their node received its shutdown notice.
 
-    A node that was interrupted since may have forgotten it, and may catch up late.
+    A node that was interrupted since then is excepted: it may have lost the notice or be late.
     """
     announced: dict[NodeAndIncarnation, float] = {}
     for notice in history.notices:
@@ -37,7 +37,7 @@
 
 
 def backoffs_are_kept(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield rests in which a node sent an instance more than what was on its way."""
+    """Yield backoffs in which a node sent an instance more requests than were in flight."""
     arrivals = _arrivals_by_node(history)
     for notice in history.notices:
         request = history.requests.get(notice.request_id)
@@ -56,12 +56,12 @@
 
 
 def _after(notice: SentNotice, arrival: Arrival) -> float:
-    """Return how long after a notice a request came, in seconds."""
+    """Return the time from a notice to the arrival of a request, in seconds."""
     return arrival.at - notice.at
 
 
 def _arrivals_by_node(history: History) -> dict[NodeAndIncarnation, list[Arrival]]:
-    """Return what reached each life of an instance from each node, in order."""
+    """Return the requests that reached each incarnation from each node, in order."""
     arrivals: dict[NodeAndIncarnation, list[Arrival]] = defaultdict(list)
     for arrival in history.arrivals:
         request = history.requests.get(arrival.request_id)
--- a/emulator/soak/promises.py
+++ b/emulator/soak/promises.py
@@ -1,4 +1,4 @@
-"""What the deployment promises, and what a broken promise is."""
+"""Bounds of the deployment's promises, and the type of a violation."""
 
 from __future__ import annotations
 
@@ -10,31 +10,35 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What the deployment promises; seconds.
+    """Bounds that the deployment promises; times are seconds.
 
     Attributes:
-        revocation: From the taking away of a key until nothing runs with it.
-        weights: From the naming of weights until nothing starts on older ones.
-        configuration: From a configuration's acknowledgement until every node acts by it.
-        downgrade: A node that has shown a configuration acts by no older one this much later.
-        drain: From ``draining`` until an instance gets nothing new.
-        contact: Quiet before a time-bound promise holds for a node or the store.
-        lease: Time of the rollout lease.
-        thaw: Orders of a paused holder may arrive this much later than it was resumed.
-        retry_ratio: Repeats for each request.
-        retry_extra: Repeats that are always allowed in a window.
+        revocation: From the revocation of a key until no request runs with it.
+        weights: From a new target version until no run starts on older weights.
+        configuration: From a configuration's acknowledgement until every node applies it.
+        downgrade: Time after a response by a configuration from which the node answers by no older
+            one.
+        drain: From the announcement of ``draining`` until an instance gets no new requests.
+        settling: Time without faults before a promise with a time bound applies.
+        lease: Duration of the rollout lease.
+        resume_slack: Time after a paused lease holder resumes in which its orders may arrive.
+        retry_ratio: Retries allowed per request.
+        retry_extra: Retries that are always allowed in a window.
         retry_window: Length of that window.
-        leaving: After a caller has left, its runs end and nothing arrives for it any more.
-        loss_slack: A request that went nowhere and whose connection ended sooner crossed a close.
-        fatal_ends: Instances that may end under one request before the next bound holds.
-        on_the_way: Requests sent before a refusal was read may still arrive for so long.
-        within_rest: Requests of one node that may reach an instance later than that in its rest.
-        limit_window: Span over which the requests to an instance with a limit are counted.
-        limit_factor: Requests that it may get there, for each that its limit takes.
-        limit_extra: Requests beyond these.
-        limit_used: Part of a limit that is used while callers are refused.
-        limit_missed: Requests by which that may be missed, in one time without faults.
-        fatal_retries: Times that it may reach instances later than ``contact`` after that.
+        abandoned: From a caller's disconnection until its runs end and nothing arrives for it.
+        loss_slack: Longest time to failure of a request that didn't reach an instance because its
+            connection was being closed.
+        max_fatal_terminations: Crashes under one fatal request before ``fatal_retries`` applies.
+        fatal_retries: Times that such a request may reach instances later than ``settling`` after
+            the last of these crashes.
+        in_flight: Time in which requests sent before a refusal was read may still arrive.
+        within_backoff: Requests of one node that may reach an instance after ``in_flight`` and
+            before its backoff ends.
+        limit_window: Window over which requests to an instance with a limit are counted.
+        limit_factor: Requests allowed in a window, as a multiple of the limit.
+        limit_extra: Requests allowed in a window beyond these.
+        limit_used: Share of a limit that must be used while callers are refused.
+        limit_missed: Requests by which that may be missed in one period without faults.
     """
 
     revocation: float = 5.0
--- a/emulator/soak/proxies.py
+++ b/emulator/soak/proxies.py
@@ -1,4 +1,4 @@
-"""Loopback proxies that harm connections and datagrams from outside the processes at their ends."""
+"""Loopback proxies that inject network faults between processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class LinkState(enum.StrEnum):
-    """What a link does."""
+    """State of a link.
+
+    ``SILENT`` delivers nothing, ``ONE_WAY`` nothing from the target, ``RESET`` resets connections.
+    """
 
     OPEN = "open"
     SILENT = "silent"
@@ -26,23 +29,23 @@
 
 
 class _Connection:
-    """What a connection has stopped to pass on."""
+    """Directions in which a connection is blocked for good."""
 
     def __init__(self) -> None:
         self.blocked_to_target = False
         self.blocked_from_target = False
 
     def is_blocked(self, back: bool) -> bool:
-        """Return whether a direction passes nothing more."""
+        """Return whether a direction is blocked."""
         return self.blocked_from_target if back else self.blocked_to_target
 
 
 class TcpProxy:
-    """Forwards connections to one target; faults are fields that may change at any time.
+    """Forwards connections to one target; faults may be changed at any time.
 
-    A silent link holds what comes in both directions, a one-way link what comes back; what was held
-    is delivered late once the link passes again. A resetting link ends all connections. Apart from
-    the link, connections that are open may be silenced for good, while new ones work.
+    A silent link holds back data in both directions, a one-way link data from the target; it is
+    delivered once the link is open again. A resetting link ends all connections. Independently of
+    the link's state, open connections may be blocked for good, while new ones work.
     """
 
     def __init__(self, target: str) -> None:
@@ -61,20 +64,20 @@
 
     @property
     def state(self) -> LinkState:
-        """What the link does now."""
+        """Current state of the link."""
         return self._state
 
     def set_state(self, state: LinkState) -> None:
-        """Change what the link does, for open connections too."""
+        """Change the state of the link, for open connections too."""
         self._state = state
         self._changed.set()
         self._changed = trio.Event()
 
     def block_established(self, *, back_only: bool = False) -> int:
-        """Let the connections that are open now pass nothing more, and return how many they are.
+        """Block the currently open connections for good, and return their number.
 
         Args:
-            back_only: Only what comes back from the target is held.
+            back_only: Block only data from the target.
         """
         for connection in self._open:
             connection.blocked_from_target = True
@@ -89,15 +92,15 @@
         self.address = f"{LOOPBACK}:{listeners[0].socket.getsockname()[1]}"
         with self._scope:
             await trio.serve_listeners(
-                self._carry, listeners, task_status=_Started(task_status, self.address)
+                self._forward_connection, listeners, task_status=_Started(task_status, self.address)
             )
 
     def close(self) -> None:
-        """Close the port and end all connections, as at the end of the process behind it."""
+        """Close the port and end all connections, as if the target's process had ended."""
         self._scope.cancel()
 
-    async def _carry(self, client: trio.SocketStream) -> None:
-        """Carry one connection."""
+    async def _forward_connection(self, client: trio.SocketStream) -> None:
+        """Forward one connection until it ends."""
         host, _, port = self.target.rpartition(":")
         try:
             if self._state is LinkState.RESET:
@@ -130,13 +133,13 @@
             async for data in source:
                 if connection.is_blocked(back):
                     continue
-                await self._wait_open(back)
+                await self._wait_forwarding(back)
                 if self.delay_seconds:
                     await trio.sleep(self.delay_seconds)
                 await sink.send_all(data)
             if connection.is_blocked(back):
                 return
-            await self._wait_open(back)
+            await self._wait_forwarding(back)
             await sink.send_eof()
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             _reset(sink)
@@ -145,15 +148,15 @@
         if back:
             scope.cancel()
 
-    async def _wait_open(self, back: bool) -> None:
-        """Wait until the link passes bytes in a direction."""
+    async def _wait_forwarding(self, back: bool) -> None:
+        """Wait until the link forwards data in a direction."""
         while self._state is LinkState.SILENT or (back and self._state is LinkState.ONE_WAY):
             await self._changed.wait()
 
     async def _watch_reset(
         self, client: trio.SocketStream, server: trio.SocketStream, scope: trio.CancelScope
     ) -> None:
-        """End the connection once the link resets."""
+        """Reset the connection once the link is in the state ``RESET``."""
         while self._state is not LinkState.RESET:
             await self._changed.wait()
         _reset(client)
@@ -162,14 +165,14 @@
 
 
 class _Started:
-    """Passes the address on when the listeners are open."""
+    """Reports the address as the started value once the listeners are open."""
 
     def __init__(self, status: trio.TaskStatus[str], address: str) -> None:
         self._status = status
         self._address = address
 
     def started(self, _listeners: object = None) -> None:
-        """Note that the listeners are open."""
+        """Report the address; called once the listeners are open."""
         self._status.started(self._address)
 
 
@@ -183,7 +186,7 @@
 
 
 class UdpProxy:
-    """Forwards datagrams to one target; loses, delays and cuts them."""
+    """Forwards datagrams to one target; drops, delays or blocks them."""
 
     def __init__(self, target: str, generator: random.Random) -> None:
         """Forward to a target.
@@ -214,7 +217,7 @@
                     nursery.start_soon(self._forward, incoming, data)
 
     async def _forward(self, outgoing: trio.socket.SocketType, data: bytes) -> None:
-        """Deliver a datagram, late if so ordered."""
+        """Send a datagram to the target, after a random delay if one is set."""
         if self.delay_seconds:
             await trio.sleep(self.delay_seconds * self._generator.random())
         host, _, port = self.target.rpartition(":")
--- a/emulator/soak/regress_checks.py
+++ b/emulator/soak/regress_checks.py
@@ -1,4 +1,4 @@
-"""Checks that what a node has shown to know isn't taken back by it, whatever the store does."""
+"""Checks that nodes never return to an older configuration, whatever the store does."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def configurations_never_go_back(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield probes answered by an older configuration than one that the same process has shown."""
+    """Yield probes answered by an older configuration than the same process used before."""
     changes: dict[str, list[RouteChange]] = defaultdict(list)
     for change in history.route_changes:
         changes[change.path].append(change)
@@ -31,7 +31,7 @@
 
 
 def _shows_newest(changes: list[RouteChange], probe: SentRequest) -> bool:
-    """Return whether an answer can only be of the newest change of a route."""
+    """Return whether a probe's response agrees with the newest change of its route."""
     made = [change for change in changes if change.at <= (probe.ended_at or 0.0)]
     return bool(made) and made[-1].present == (probe.status == SERVED)
 
@@ -43,7 +43,7 @@
     probe: SentRequest,
     bounds: Bounds,
 ) -> bool:
-    """Return whether a probe was answered by less than an earlier one, with no change between."""
+    """Return whether a probe contradicts an earlier one although no change lies between them."""
     shown_until = shown.ended_at or 0.0
     ended_at = probe.ended_at or 0.0
     if probe.status == shown.status or probe.sent_at - shown_until <= bounds.downgrade:
--- a/tests/emulator/soak/test_foreign_entries.py
+++ b/tests/emulator/soak/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""No entry of the soak's other writer names an instance to use."""
+"""No invalid entry that the soak writes leads to an instance that is used."""
 
 import json
 import random
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from emulator.soak.foreign_entries import foreign_entry, whole_document
+from emulator.soak.foreign_entries import foreign_entry, valid_document
 from hopstep.domain.exchanges.instance_table import InstanceTable
 from hopstep.domain.store_place import UNTOLD_ERA, StorePlace
 from hopstep.platform.directory import read_change
@@ -24,7 +24,7 @@
             value = foreign_entry(generator, "plain", "z1", DECOY)
             change = read_change(StoredValue("servers/foreign-1", value, StorePlace(UNTOLD_ERA, 7)))
             if isinstance(change, InstanceListed):
-                # Beside instances that tell their start one that doesn't is left out (next test).
+                # Without a start it isn't used while other instances have one (see next test).
                 self.assertEqual(change.instance.born_ms, 0, value)
                 continue
             self.assertIsInstance(change, InstanceRejected, value)
@@ -32,11 +32,13 @@
         self.assertGreater(len(reasons), 10)
 
     def test_one_without_a_start_is_not_used_beside_others(self):
-        entry = json.dumps(whole_document("plain", "z1", DECOY)).encode()
-        telling = read_change(StoredValue("servers/i-1", entry, StorePlace(UNTOLD_ERA, 7))).instance
+        entry = json.dumps(valid_document("plain", "z1", DECOY)).encode()
+        with_start = read_change(
+            StoredValue("servers/i-1", entry, StorePlace(UNTOLD_ERA, 7))
+        ).instance
         table = InstanceTable()
-        table.put(telling)
-        table.put(msgspec.structs.replace(telling, instance_id="foreign-1", born_ms=0))
+        table.put(with_start)
+        table.put(msgspec.structs.replace(with_start, instance_id="foreign-1", born_ms=0))
         usable = [view.instance.instance_id for view in table.of_service("plain")]
         self.assertEqual(usable, ["i-1"])
 
