--- a/emulator/soak/callers.py
+++ b/emulator/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they send requests of every kind, leave some early, and record the rest."""
+"""Callers of a soak: they send requests of every kind, cancel some, and record all outcomes."""
 
 from __future__ import annotations
 
@@ -17,19 +17,25 @@
 from emulator.soak.operators import LASTING_KEY
 
 PATIENCE_SECONDS = 4.0
+"""Deadline of a request, counted from its sending."""
+
 LEAVING_SHARE = 0.03
+"""Share of the requests whose callers disconnect early."""
+
 LEAVING_EVENTS = 150
-"""A caller that leaves asked for a stream of three seconds, so that its end shows."""
+"""Events of a stream whose caller disconnects; it takes 3 s, so that an early end is visible."""
 
 LATEST_ANSWER_SECONDS = 6.0
-"""A caller waits for so long beyond its deadline, to see how late an answer comes."""
+"""Time for which a caller waits beyond its deadline, to measure how late a response is."""
 
 READINESS_SECONDS = 0.5
 MISSES = 2
+"""Failed readiness checks in a row after which a node gets no callers."""
+
 READINESS_TIMEOUT_SECONDS = 0.5
 SEGMENTS = 30
 UNUSED_TLS = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-"""All is plain HTTP here; loading the machine's certificates for each client takes a while."""
+"""Passed to each client, as loading the machine's certificates is slow; all is plain HTTP here."""
 
 KINDS = (
     RequestKind.SAFE,
@@ -47,30 +53,30 @@
 
 
 class Readiness(msgspec.Struct):
-    """Which nodes get callers, as a load balancer sees it.
+    """The nodes' readiness as a load balancer sees it.
 
     Attributes:
-        misses: Questions in a row without a good answer, by node.
+        misses: Failed readiness checks in a row, by node.
     """
 
     misses: dict[str, int] = {}
 
     def usable(self, nodes: list[NodeLinks]) -> list[NodeLinks]:
-        """Return the nodes that answer; all of them when fewer than half do."""
+        """Return the ready nodes; all nodes when fewer than half are ready."""
         ready = [node for node in nodes if self.misses.get(node.name, MISSES) < MISSES]
         return ready if 2 * len(ready) >= len(nodes) else nodes
 
 
 class Callers:
-    """Sends requests at a steady rate."""
+    """Sends requests at a given mean rate."""
 
     def __init__(self, deployment: Deployment, generator: random.Random, rate: float) -> None:
-        """Send nothing yet.
+        """Prepare without sending.
 
         Args:
             deployment: Nodes and history.
             generator: Draws requests.
-            rate: Requests a second.
+            rate: Requests per second.
         """
         self.recent: deque[str] = deque(maxlen=100)
         self._deployment = deployment
@@ -83,26 +89,26 @@
         """Send until cancelled."""
         async with trio.open_nursery() as nursery:
             for node in self._deployment.nodes:
-                nursery.start_soon(self._ask_readiness, node)
+                nursery.start_soon(self._check_readiness, node)
             while True:
                 await trio.sleep(self._generator.expovariate(self._rate))
                 nursery.start_soon(self._send_or_leave, self._draw())
 
     def _draw(self) -> SentRequest:
-        """Return a new request."""
+        """Return a new random request."""
         generator = self._generator
         kind = generator.choice(KINDS)
         nodes = self.readiness.usable(self._deployment.nodes)
         return draw_request(self._deployment, generator, kind, generator.choice(nodes))
 
     async def send(self, request: SentRequest) -> None:
-        """Send a request of a caller that stays, and record how it ends."""
+        """Send a request of a caller that doesn't disconnect, and record its outcome."""
         with trio.move_on_after(PATIENCE_SECONDS + LATEST_ANSWER_SECONDS):
             await self._exchange(request)
         request.ended_at = trio.current_time()
 
     async def _send_or_leave(self, request: SentRequest) -> None:
-        """Send a request and record how it ends; some callers leave."""
+        """Send a request and record its outcome; some callers disconnect early."""
         leaves = self._generator.random() < LEAVING_SHARE
         patience = self._generator.uniform(0.05, 0.6) if leaves else float("inf")
         if leaves:
@@ -114,7 +120,7 @@
         request.ended_at = trio.current_time()
 
     async def _exchange(self, request: SentRequest) -> None:
-        """Send, and read the answer as far as it comes."""
+        """Send a request, and read as much of the response as arrives."""
         client = self._client(request.node)
         try:
             async with client.stream(
@@ -132,7 +138,7 @@
             return
 
     def _client(self, node: str) -> httpx.AsyncClient:
-        """Return the connections to a node."""
+        """Return the HTTP client for a node."""
         client = self._clients.get(node)
         if client is None:
             links = next(links for links in self._deployment.nodes if links.name == node)
@@ -145,7 +151,7 @@
             )
         return client
 
-    async def _ask_readiness(self, node: NodeLinks) -> None:
+    async def _check_readiness(self, node: NodeLinks) -> None:
         """Ask a node whether it is ready, from time to time."""
         async with httpx.AsyncClient(
             timeout=READINESS_TIMEOUT_SECONDS, verify=UNUSED_TLS
@@ -153,8 +159,8 @@
             while True:
                 ready = False
                 try:
-                    answer = await client.get(f"http://{node.readiness}/readiness")
-                    ready = answer.status_code == httpx.codes.OK
+                    response = await client.get(f"http://{node.readiness}/readiness")
+                    ready = response.status_code == httpx.codes.OK
                 except httpx.TransportError:
                     pass
                 misses = self.readiness.misses
@@ -169,14 +175,14 @@
     node: NodeLinks,
     path: str = "",
 ) -> SentRequest:
-    """Return a new request, recorded.
+    """Return a new request that is recorded in the history.
 
     Args:
         deployment: Keys and history.
-        generator: Draws the rest.
-        kind: How often it may run.
-        node: Where it goes.
-        path: Path of a probe of the configuration; the kind's own if empty.
+        generator: Draws id, key and number of events.
+        kind: Kind of the request.
+        node: Node to which it is sent.
+        path: Path of a configuration probe; the path of the kind if empty.
     """
     history = deployment.history
     keys = [key for key in sorted(history.tenants) if not path or key.endswith(LASTING_KEY)]
@@ -220,7 +226,7 @@
 
 
 def body_of(request: SentRequest) -> bytes:
-    """Return a request's body, which says what the instance should do."""
+    """Return a request's body, which tells the instance what to do."""
     if request.fatal:
         return json.dumps({"fatal": request.fatal}).encode()
     if request.service == ENGINES:
--- a/emulator/soak/checks.py
+++ b/emulator/soak/checks.py
@@ -185,8 +185,8 @@
     for earlier, later in itertools.pairwise(history.orders):
         close = later.at - earlier.at < bounds.lease
         resumed = history.disturbed(earlier.holder, earlier.at - bounds.resume_slack, earlier.at)
-        lapsed = history.happened(LEASES_EXPIRED_EARLY, earlier.at - bounds.lease, later.at)
-        if close and later.holder != earlier.holder and not resumed and not lapsed:
+        expired_early = history.happened(LEASES_EXPIRED_EARLY, earlier.at - bounds.lease, later.at)
+        if close and later.holder != earlier.holder and not resumed and not expired_early:
             yield f"{later.holder} ordered {later.at - earlier.at:.2f} s after {earlier.holder}"
         if later.token < earlier.token and not resumed:
             yield f"token {later.token} was taken after {earlier.token}"
@@ -228,9 +228,9 @@
         disturbed = any(
             fault.since <= request.ended_at and fault.until >= request.sent_at for fault in others
         )
-        crossed = request.request_id not in arrived
-        crossed = crossed and request.ended_at - request.sent_at <= bounds.loss_slack
-        if meets and not answered and not disturbed and not crossed:
+        lost_on_close = request.request_id not in arrived
+        lost_on_close = lost_on_close and request.ended_at - request.sent_at <= bounds.loss_slack
+        if meets and not answered and not disturbed and not lost_on_close:
             yield f"{request.kind} {request.request_id} was cut off by the stop of {request.node}"
 
 
--- a/emulator/soak/deployment.py
+++ b/emulator/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The parts of a soak: store, instances and nodes, each behind proxies, and what they tell."""
+"""The parts of a soak: store, instances and nodes, behind proxies, and their recorded events."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 FIRST_BORN_MS = 1_700_000_000_000
 FATAL_SECONDS = (0.05, 0.15)
-"""From the beginning of a fatal request to the instance's end."""
+"""Time from the start of a fatal request to the instance's crash, shortest and longest."""
 
 RESTART_SECONDS = (0.5, 3.0)
 SAME_ID_SHARE = 0.6
-"""Of instances that ended and start again under the id that they had."""
+"""Share of crashed instances that start again under their former id."""
 
 
 class NodeLinks(msgspec.Struct):
@@ -53,15 +53,15 @@
     Attributes:
         name: Name of the node.
         zone: Its zone.
-        clients: Between callers and the node.
-        store: Between the node and the store.
-        peers: Before the node's datagrams.
-        readiness: Address that is asked whether the node is ready.
+        clients: Proxy between callers and the node.
+        store: Proxy between the node and the store.
+        peers: Proxy for datagrams to the node.
+        readiness: Address of the readiness endpoint.
         settings: Settings file.
-        suspended: File with the seconds for which its machine was suspended.
-        running: Whether the process should run.
-        started_at: When it was started last.
-        suspended_seconds: What the file says.
+        suspended: File with the total seconds for which its machine was suspended.
+        running: Whether the process should be running.
+        started_at: Time of the last start.
+        suspended_seconds: Number of seconds in that file.
         other_build: Whether it runs the deployment's other build.
     """
 
@@ -80,7 +80,7 @@
 
 
 class InstanceLinks(msgspec.Struct):
-    """An instance, the proxy before it, and when it was listed."""
+    """An instance, the proxy in front of it, and the time when it was listed."""
 
     instance: HttpInstance
     proxy: TcpProxy
@@ -89,16 +89,16 @@
 
 
 class Deployment:
-    """Starts the parts, and holds them for callers, operator and faults."""
+    """Starts the parts, and gives callers, operator and faults access to them."""
 
     def __init__(
         self, directory: Path, generator: random.Random, other_build: Path | None = None
     ) -> None:
-        """Start nothing yet.
+        """Prepare without starting anything.
 
         Args:
-            directory: Settings and logs of the nodes.
-            generator: Draws ids.
+            directory: Directory for settings and logs of the nodes.
+            generator: Draws start times, faults and restarts.
             other_build: Root of a checkout of another version, on which all nodes start; None to
                 run this one only.
         """
@@ -122,8 +122,8 @@
 
         Args:
             nursery: Runs the parts of this process.
-            processes: Takes the nodes.
-            nodes: How many.
+            processes: Runs the nodes' processes.
+            nodes: Number of nodes.
         """
         self._processes = processes
         self._nursery = nursery
@@ -179,7 +179,7 @@
         return links
 
     def terminate_instance(self, links: InstanceLinks, *, unlisted: bool) -> None:
-        """End an instance at once."""
+        """Terminate an instance at once; optionally remove its entry too."""
         instance_id = links.instance.traits.instance_id
         links.scope.cancel()
         links.proxy.close()
@@ -193,7 +193,7 @@
             self.store.remove(f"servers/{instance_id}")
 
     def record_listed(self) -> None:
-        """Record the instances that take requests now."""
+        """Record the instances that accept requests now."""
         self.history.listed = [
             ListedInstance(
                 links.instance.traits.instance_id,
@@ -206,11 +206,11 @@
         ]
 
     def _schedule_fatal_termination(self, instance: HttpInstance, request: str) -> None:
-        """Let an instance end soon under a request that has begun there, and start again."""
+        """Schedule the crash and restart of an instance that has begun a fatal request."""
         self._nursery.start_soon(self._terminate_and_restart, instance, request)
 
     async def _terminate_and_restart(self, instance: HttpInstance, request: str) -> None:
-        """End an instance under a request; it is back after some seconds, mostly under its id."""
+        """Crash an instance under a request; it restarts after a pause, mostly under its id."""
         traits = instance.traits
         await trio.sleep(self._generator.uniform(*FATAL_SECONDS))
         links = next((links for links in self.instances if links.instance is instance), None)
@@ -254,7 +254,7 @@
         )
 
     def disturb(self, what: str, subject: str, *, planned: bool = False) -> Disturbance:
-        """Record that a fault begins."""
+        """Record the start of a fault and return its record."""
         disturbance = Disturbance(what, subject, trio.current_time(), planned=planned)
         self.history.disturbances.append(disturbance)
         return disturbance
@@ -289,12 +289,12 @@
 
 
 def _create_decoy(history: History) -> quart_trio.QuartTrio:
-    """Return an application that only entries lead to which can't be trusted."""
+    """Return an application to whose address only untrusted entries point."""
     app = quart_trio.QuartTrio(__name__)
 
     @app.route("/<path:path>", methods=["GET", "POST"])
     async def serve(path: str) -> quart.Response:
-        """Record what comes; refuse it as an instance of another id does."""
+        """Record a request, and refuse it as an instance with another id does."""
         request_id = quart.request.headers.get("Attempt-Id", "")
         history.decoy_requests.append(f"/{path} {request_id}")
         return quart.Response(b"", status=MISDIRECTED, headers={"Instance-Id": "decoy"})
@@ -320,7 +320,7 @@
     *,
     task_status: trio.TaskStatus[trio.CancelScope] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until the scope, which is told once the listener is open, is cancelled."""
+    """Serve until the scope, which is the started value, is cancelled."""
     with trio.CancelScope() as scope:
         async with trio.open_nursery() as nursery:
             await nursery.start(_serve, app, address)
--- a/emulator/soak/faults.py
+++ b/emulator/soak/faults.py
@@ -70,8 +70,8 @@
             "store outage": self._store_outage,
             "store slow": self._store_slow,
             "store loses answers": self._store_loses_answers,
-            "store forgets history": self._store_forgets,
-            "leases lapse": self._leases_lapse,
+            "store forgets history": self._store_clears_history,
+            "leases lapse": self._leases_expire,
             RESTORE: self._store_restored,
             "node without store": self._node_without_store,
             "node without peers": self._node_without_peers,
@@ -138,7 +138,7 @@
         begin = FaultOrder(lost_answers=self._generator.randrange(1, 6))
         await self._store_fault("lost answers", begin, FaultOrder(lost_answers=0))
 
-    async def _store_forgets(self) -> None:
+    async def _store_clears_history(self) -> None:
         disturbance = self._deployment.disturb("history forgotten", STORE)
         self._deployment.shared.model.forget_history()
         await trio.lowlevel.checkpoint()
@@ -152,7 +152,7 @@
         disturbance.until = trio.current_time()
         await restores.rewrite_missing()
 
-    async def _leases_lapse(self) -> None:
+    async def _leases_expire(self) -> None:
         disturbance = self._deployment.disturb(LEASES_EXPIRED_EARLY, STORE)
         self._deployment.shared.order_faults(FaultOrder(lapse_leases=True))
         await trio.lowlevel.checkpoint()
--- a/emulator/soak/hostile_callers.py
+++ b/emulator/soak/hostile_callers.py
@@ -1,7 +1,7 @@
-"""Callers that don't give up, whatever they are told, and don't ask whether a node is ready.
+"""Callers that ignore refusals and the readiness of nodes.
 
-They send a request again and again which ends each instance that begins it, sometimes several times
-at once, or send requests with a key that was taken away.
+They repeat a request that crashes each instance that begins it, sometimes several times at once, or
+send requests with a revoked key.
 """
 
 from __future__ import annotations
@@ -15,22 +15,24 @@
 from emulator.soak.operators import LASTING_KEY
 
 SENDING_SECONDS = (8.0, 16.0)
-"""Long enough for what happens later than three seconds after the third end."""
+"""Duration of the repeats; long enough to check requests over 3 s after the third crash."""
 
 BETWEEN_SECONDS = (0.1, 0.6)
+"""Time between two repeats, shortest and longest."""
+
 AT_ONCE = (1, 1, 1, 2, 4)
-"""Drawn: how often it is sent at the same moment."""
+"""Number of copies that are sent at once; one of these is drawn for each repeat."""
 
 
 class HostileCallers:
-    """Sends such requests."""
+    """Sends fatal requests, and requests with revoked keys."""
 
     def __init__(self, deployment: Deployment, callers: Callers, generator: random.Random) -> None:
-        """Send nothing yet.
+        """Prepare without sending.
 
         Args:
             deployment: Nodes and history.
-            callers: Sends and records.
+            callers: Sends the requests and records their outcomes.
             generator: Draws requests.
         """
         self._deployment = deployment
@@ -38,7 +40,7 @@
         self._generator = generator
 
     async def repeat_fatal_request(self) -> None:
-        """Send one fatal request again and again for a while, at any node."""
+        """Repeat one fatal request for a while, at random nodes."""
         generator = self._generator
         name = generator.randbytes(4).hex()
         kind = generator.choice(KINDS)
@@ -57,7 +59,7 @@
                 await trio.sleep(generator.uniform(*BETWEEN_SECONDS))
 
     async def use_key(self, node: NodeLinks, key: str) -> None:
-        """Send a node one request of each kind with a key."""
+        """Send a node one request of each kind with the given key."""
         async with trio.open_nursery() as nursery:
             for kind in sorted(set(KINDS)):
                 request = draw_request(self._deployment, self._generator, kind, node)
--- a/emulator/soak/instance_checks.py
+++ b/emulator/soak/instance_checks.py
@@ -47,7 +47,7 @@
             yield f"{fatal} reached instances {len(late)} times more, {len(times)} crashed in all"
 
 
-def honest_requests_are_not_quarantined(history: History, bounds: Bounds) -> Iterable[str]:
+def ordinary_requests_are_not_quarantined(history: History, bounds: Bounds) -> Iterable[str]:
     """Yield ordinary requests that were quarantined although nodes could know them to be harmless.
 
     A request without a complete response known to any node can't be distinguished from a fatal one
@@ -109,15 +109,15 @@
         return
     newest = history.weights_changes[-1]
     for instance in history.listed:
-        behind = instance.version and instance.version < newest.version
+        outdated = instance.version and instance.version < newest.version
         settled = instance.since < newest.at + bounds.settling
-        if behind and settled:
+        if outdated and settled:
             yield f"{instance.instance_id} has version {instance.version} of {newest.version}"
 
 
 INSTANCE_CHECKS: dict[str, Check] = {
     "fatal requests": fatal_requests_end_few,
-    "honest requests": honest_requests_are_not_quarantined,
+    "honest requests": ordinary_requests_are_not_quarantined,
     "untrusted entries": untrusted_entries_lead_nowhere,
     "weights everywhere": weights_reach_all_engines,
 }
--- a/emulator/soak/machine.py
+++ b/emulator/soak/machine.py
@@ -1,4 +1,4 @@
-"""How long the machine itself stood still: promises that are bound in time aren't judged then."""
+"""Stalls of the machine that runs the soak; promises with time bounds aren't checked in them."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 
 PROCESSOR_TIMES = Path("/proc/stat")
 FIRST_GUEST_FIELD = 9
-"""Times of guests are counted in those before them."""
+"""First field of guest times, which are already counted in earlier fields."""
 
 STOLEN_FIELD = 7
 UNKNOWN_SHARE = -1.0
+"""Stolen share where the processor times can't be read."""
 
 CHECK_INTERVAL_SECONDS = 0.05
 STALL_SECONDS = 0.25
-"""A look that comes so late means that this machine gave no processor time to anyone."""
+"""Delay of a clock check from which on the machine counts as stalled."""
 
 
 class MachineStalls(msgspec.Struct):
     """Stalls of a run.
 
     Attributes:
-        count: How many.
-        total_seconds: All together.
-        longest_seconds: The longest one.
+        count: Number of stalls.
+        total_seconds: Duration of all stalls together.
+        longest_seconds: Duration of the longest stall.
     """
 
     count: int = 0
@@ -37,12 +38,12 @@
 
 
 class MachineLoad(msgspec.Struct, frozen=True):
-    """What else the machine did during a run.
+    """Load of the machine during a run.
 
     Attributes:
-        average: Processes that ran or waited for a processor, mean of the last minute.
+        average: Load average of the last minute: processes that run or wait for a processor.
         stolen_share: Share of the machine's processor time that other machines of the same host
-            took; negative where that can't be read.
+            took; negative where it can't be read.
     """
 
     average: float
@@ -67,7 +68,7 @@
 
 
 def machine_load(before: ProcessorTimes | None) -> MachineLoad:
-    """Return what else the machine did since processor times were read."""
+    """Return the machine's load since the given processor times were read."""
     now = read_processor_times()
     stolen = UNKNOWN_SHARE
     if before is not None and now is not None and now.total > before.total:
@@ -76,26 +77,26 @@
 
 
 class MachineWatch:
-    """Measures by how much its own timers are late."""
+    """Detects stalls of the machine by the delay of its own timers."""
 
     def __init__(self, history: History) -> None:
-        """Watch nothing yet.
+        """Start without any stalls.
 
         Args:
-            history: Where stalls are recorded as disturbances of the machine.
+            history: Receives stalls as disturbances of the machine.
         """
         self.stalls = MachineStalls()
         self._history = history
 
     async def run(self) -> None:
-        """Look at the clock until cancelled."""
+        """Check the clock at a fixed interval until cancelled."""
         while True:
             checked_at = trio.current_time()
             await trio.sleep(CHECK_INTERVAL_SECONDS)
             self.note(checked_at, trio.current_time())
 
     def note(self, checked_at: float, now: float) -> None:
-        """Take two looks that should be ``LOOK_SECONDS`` apart."""
+        """Record a stall if two checks are much more than ``CHECK_INTERVAL_SECONDS`` apart."""
         late = now - checked_at - CHECK_INTERVAL_SECONDS
         if late < STALL_SECONDS:
             return
--- a/emulator/soak/operators.py
+++ b/emulator/soak/operators.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: configurations, keys taken away, weights named."""
+"""The operator of a soak: publishes configurations, revokes keys and sets weights versions."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 TENANTS = ("t1", "t2", "t3")
 ISOLATED = ("t3",)
-KEYS_OF_A_TENANT = 6
+KEYS_PER_TENANT = 6
 LASTING_KEY = "-0"
-"""End of the key of each tenant that is never taken away."""
+"""Suffix of the one key of each tenant that is never revoked."""
 
 TIMEOUT_MS = 4_000
 MAX_ADDED_ROUTES = 12
-"""The oldest added route is removed when there are more."""
+"""Maximum number of added routes; at this number the oldest one is removed."""
 
 ROUTE_SERVICES = {RequestKind.SAFE: PLAIN, RequestKind.UNSAFE: PLAIN}
 
 
 class Operator:
-    """Writes what operators write; its writes are acknowledged unless the store is down for all."""
+    """Writes the operator's documents; its writes bypass the store's faults."""
 
     def __init__(self, deployment: Deployment, generator: random.Random) -> None:
-        """Write nothing yet.
+        """Prepare tenants and keys without writing.
 
         Args:
             deployment: Store and history.
@@ -41,29 +41,31 @@
         history = deployment.history
         history.isolated.update(ISOLATED)
         for tenant in TENANTS:
-            for number in range(KEYS_OF_A_TENANT):
+            for number in range(KEYS_PER_TENANT):
                 history.tenants[f"key-{tenant}-{number}"] = tenant
 
     def publish(self) -> None:
-        """Write the configuration as it is now."""
+        """Write the current configuration under a new version."""
         self._version += self._generator.randrange(1, 4)
         self._deployment.store.put(CONFIGURATION_KEY, self._document())
 
     def revoke(self) -> str:
-        """Take a key away and return it; each tenant keeps one. Empty when no other is left."""
+        """Revoke a key and return it; empty when each tenant has only its lasting key left."""
         history = self._deployment.history
-        gone = {revocation.key for revocation in history.revocations}
-        left = [key for key in history.tenants if key not in gone and not key.endswith(LASTING_KEY)]
-        if not left:
+        revoked = {revocation.key for revocation in history.revocations}
+        revocable = [
+            key for key in history.tenants if key not in revoked and not key.endswith(LASTING_KEY)
+        ]
+        if not revocable:
             return ""
-        key = self._generator.choice(left)
+        key = self._generator.choice(revocable)
         revoked_at = trio.current_time()
         history.revocations.append(Revocation(key, revoked_at))
         self.publish()
         return key
 
     async def change_routes(self, seconds: float) -> None:
-        """Add a route every so often, and remove the oldest, until cancelled."""
+        """Add or remove a route about every ``seconds``, until cancelled."""
         while True:
             await trio.sleep(seconds * self._generator.uniform(0.3, 1.7))
             if len(self._added) >= MAX_ADDED_ROUTES:
@@ -75,13 +77,13 @@
                 self._change_route(path, present=True)
 
     def _change_route(self, path: str, *, present: bool) -> None:
-        """Write a configuration after a route was added or removed."""
+        """Write the configuration after a route was added or removed, and record the change."""
         self.publish()
         change = RouteChange(path, present, trio.current_time())
         self._deployment.history.route_changes.append(change)
 
     def set_weights_version(self) -> None:
-        """Name new weights."""
+        """Set a new target version of the weights."""
         self._weights += 1
         document = {"model": MODEL, "version": self._weights}
         self._deployment.store.put(f"op/version/{MODEL}", document)
@@ -90,19 +92,19 @@
 
     @property
     def weights(self) -> int:
-        """The newest version of the weights."""
+        """The current target version of the weights."""
         return self._weights
 
     def _document(self) -> dict[str, object]:
         """Return the configuration's document."""
-        gone = {revocation.key for revocation in self._deployment.history.revocations}
+        revoked = {revocation.key for revocation in self._deployment.history.revocations}
         tenants = [
             {
                 "name": tenant,
                 "apiKeys": [
                     key
                     for key, holder in self._deployment.history.tenants.items()
-                    if holder == tenant and key not in gone
+                    if holder == tenant and key not in revoked
                 ],
                 "isolated": tenant in ISOLATED,
             }
@@ -124,7 +126,7 @@
         }
 
     def _added_routes(self) -> list[dict[str, object]]:
-        """Return the routes that were added and not removed."""
+        """Return the added routes of the configuration."""
         return [
             {**_route(RequestKind.SAFE), "name": path.strip("/"), "pathPrefix": path}
             for path in self._added
--- a/emulator/soak/persistent_callers.py
+++ b/emulator/soak/persistent_callers.py
@@ -1,6 +1,6 @@
-"""Callers that keep a connection and use it until it is closed, whatever the node is about to do.
+"""Callers that keep one connection and use it until it is closed, also while the node stops.
 
-Load balancers turn new connections away from a node that stops or fails; these don't notice.
+Load balancers direct new connections away from a node that stops or fails; open ones stay there.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from emulator.soak.history import SentRequest
 
 THINK_SECONDS = (0.0, 0.3)
-"""Between the end of an answer and the next request on its connection."""
+"""Time between the end of a response and the caller's next request, shortest and longest."""
 
 CONNECT_SECONDS = 1.0
 BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.ConnectionNotAvailable)
 
 
 class PersistentCallers:
-    """Some callers with a connection each."""
+    """A number of callers with one connection each."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         readiness: Readiness,
         count: int,
     ) -> None:
-        """Connect nowhere yet.
+        """Prepare callers without connections.
 
         Args:
             deployment: Nodes and history.
             generator: Draws requests.
-            readiness: Where a new connection may go.
-            count: How many callers.
+            readiness: Nodes to which new connections may go.
+            count: Number of callers.
         """
         self._deployment = deployment
         self._generator = generator
@@ -60,14 +60,14 @@
                 nursery.start_soon(self._keep_calling)
 
     async def _keep_calling(self) -> None:
-        """Connect anew whenever a connection has ended."""
+        """Open a new connection whenever the last one has ended."""
         while True:
             nodes = self._readiness.usable(self._deployment.nodes)
             await self._use(self._generator.choice(nodes))
             await trio.sleep(self._generator.uniform(*THINK_SECONDS))
 
     async def _use(self, node: NodeLinks) -> None:
-        """Send one request after the other on one connection until it is closed."""
+        """Send requests sequentially on one connection until it is closed."""
         host, _, port = node.clients.address.rpartition(":")
         origin = httpcore.Origin(b"http", host.encode(), int(port))
         connection = httpcore.AsyncHTTPConnection(origin)
@@ -87,7 +87,7 @@
         origin: httpcore.Origin,
         request: SentRequest,
     ) -> None:
-        """Send a request and record how it ends."""
+        """Send a request and record its outcome."""
         with trio.move_on_after(PATIENCE_SECONDS + LATEST_ANSWER_SECONDS):
             await self._exchange(connection, origin, request)
         request.ended_at = trio.current_time()
@@ -98,7 +98,7 @@
         origin: httpcore.Origin,
         request: SentRequest,
     ) -> None:
-        """Send, and read the answer as far as it comes."""
+        """Send a request, and read as much of the response as arrives."""
         body = body_of(request)
         call = httpcore.Request(
             b"POST",
--- a/emulator/soak/probes.py
+++ b/emulator/soak/probes.py
@@ -1,4 +1,4 @@
-"""Probes that ask each node directly which routes are in force."""
+"""Probes that check on each node which routes are in force."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from emulator.soak.history import RequestKind, SentRequest
 
 PROBES_PER_SECOND = 40.0
-"""Over all nodes together."""
+"""Probes per second to all nodes together."""
 
 RECENT_CHANGES = 8
-"""Probes ask for the routes that were changed last."""
+"""Number of the latest route changes from which probes choose."""
 
 CONNECT_SECONDS = 1.0
 
 
 class Probes:
-    """Asks each node in turn for a route that was added or removed lately."""
+    """Requests recently added or removed routes from each node."""
 
     def __init__(self, deployment: Deployment, generator: random.Random) -> None:
-        """Ask nothing yet.
+        """Prepare without sending.
 
         Args:
             deployment: Nodes and history.
@@ -41,14 +41,14 @@
         self._generator = generator
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send probes until cancelled."""
         interval = len(self._deployment.nodes) / PROBES_PER_SECOND
         async with trio.open_nursery() as nursery:
             for node in self._deployment.nodes:
-                nursery.start_soon(self._ask_node, node, interval)
+                nursery.start_soon(self._probe_node, node, interval)
 
-    async def _ask_node(self, node: NodeLinks, interval: float) -> None:
-        """Ask one node, one probe after the other."""
+    async def _probe_node(self, node: NodeLinks, interval: float) -> None:
+        """Send probes to one node, one after the other."""
         timeout = httpx.Timeout(PATIENCE_SECONDS, connect=CONNECT_SECONDS)
         url = f"http://{node.clients.address}"
         async with httpx.AsyncClient(base_url=url, timeout=timeout, verify=UNUSED_TLS) as client:
@@ -60,10 +60,10 @@
                     request = draw_request(
                         self._deployment, self._generator, RequestKind.SAFE, node, path
                     )
-                    await self._ask(client, request)
+                    await self._send(client, request)
 
-    async def _ask(self, client: httpx.AsyncClient, request: SentRequest) -> None:
-        """Send a probe and record its answer."""
+    async def _send(self, client: httpx.AsyncClient, request: SentRequest) -> None:
+        """Send a probe and record its response."""
         try:
             response = await client.post(
                 path_of(request), headers=headers_of(request), content=body_of(request)
--- a/emulator/soak/profiles.py
+++ b/emulator/soak/profiles.py
@@ -1,7 +1,8 @@
-"""Which faults a soak draws: days on which everything fails prove little of what is bound in time.
+"""Profiles of the faults that a soak draws.
 
-A promise with a bound holds for nodes and a store that are undisturbed for a while. While the store
-fails every few seconds no such promise is ever judged; so most profiles leave something calm.
+A promise with a time bound applies only to nodes and a store without faults for a while. If the
+store fails every few seconds, no such promise is ever checked; so most profiles leave some parts
+undisturbed.
 """
 
 from __future__ import annotations
@@ -47,11 +48,11 @@
     """Faults of a soak.
 
     Attributes:
-        name: Printed with the verdict.
-        kinds: Kinds that are drawn; one that stands twice is drawn twice as often.
-        pause_seconds: Between the begins of two faults, shortest and longest.
-        series_share: Share of drawn faults that come several times, one shortly after the other.
-        change_seconds: Between two changes of the configuration.
+        name: Name, printed with the result.
+        kinds: Kinds that are drawn; one that is listed twice is drawn twice as often.
+        pause_seconds: Time between the starts of two faults, shortest and longest.
+        series_share: Share of drawn faults that are repeated in short succession.
+        change_seconds: Mean time between two changes of the configuration.
     """
 
     name: str
@@ -150,7 +151,7 @@
     0.2,
     0.8,
 )
-"""What happens to instances, in one profile for soaks that are too short for all."""
+"""Faults of instances in one profile, for soaks that are too short for all profiles."""
 
 
 NOTICES = Profile(
@@ -175,9 +176,9 @@
     0.3,
     0.8,
 )
-"""What instances say of themselves in answers, while the store can't say it and beside later lives.
+"""Notices of instances in responses, combined with store outages and restarts of instances.
 
-By name only: the seeds of the others stay what they were.
+Chosen by name only, so that seeds keep their profiles.
 """
 
 
@@ -203,8 +204,8 @@
     0.3,
     0.8,
 )
-"""Limits at one, half and all instances of a service, beside rests, leavings, later lives, a store
-that is away, and nodes that are cut off, suspended and start anew; by name only."""
+"""Limits at one, half and all instances of a service, combined with backoff, shutdowns, restarts,
+store outages, and nodes that are cut off, suspended and restarted; chosen by name only."""
 
 
 RESTORES = Profile(
@@ -235,8 +236,11 @@
     0.25,
     0.5,
 )
-"""A store that comes back from copies, in series and within each other's rewriting, beside all that
-a restore may meet: holders that are paused or killed, nodes that start, changes right after it."""
+"""Restores of the store from backups, also in series and while documents are being rewritten.
+
+Combined with faults that may coincide with a restore: lease holders that are paused or killed,
+nodes that start, changes right after it. Chosen by name only.
+"""
 
 VERSIONS = Profile(
     "versions side by side",
@@ -259,16 +263,16 @@
     0.2,
     0.8,
 )
-"""Nodes of two builds; by name only, with another build. It has no words of instances: builds
-before they were heard don't keep them."""
+"""Nodes of two builds; chosen by name only, and needs another build. It has no notices of
+instances, as earlier builds don't obey them."""
 
 
 FIRST_SEED_WITH_RESTORES = 10_000
-"""Seeds from here on draw restores among everything; those before stay what they were."""
+"""First seed with restores in the profile "everything"; earlier seeds keep their profiles."""
 
 
 def _with_restores(profile: Profile) -> Profile:
-    """Return a profile of everything with restores, others as they are."""
+    """Return the profile "everything" with restores added, and other profiles unchanged."""
     if profile.name != "everything":
         return profile
     kinds = (*profile.kinds, RESTORE)
@@ -279,20 +283,20 @@
 
 
 def profile_of(seed: int, name: str = "") -> Profile:
-    """Return the profile of a seed: they take turns, so that a few seeds meet all of them.
+    """Return the profile of a seed; consecutive seeds have different profiles.
 
     Args:
-        seed: Chooses one.
-        name: Of the one to take in place of that.
+        seed: Seed of the soak.
+        name: Name of a profile to return instead of the seed's; empty for the seed's.
 
     Raises:
-        ValueError: When no profile has the name.
+        ValueError: If no profile has the name.
     """
     if not name:
         newer = seed >= FIRST_SEED_WITH_RESTORES
         return (PROFILES_WITH_RESTORES if newer else PROFILES)[seed % len(PROFILES)]
-    by_name = (*PROFILES, *PROFILES_WITH_RESTORES, SHORT, NOTICES, LIMITS, RESTORES, VERSIONS)
-    found = {profile.name: profile for profile in by_name}
+    named = (*PROFILES, *PROFILES_WITH_RESTORES, SHORT, NOTICES, LIMITS, RESTORES, VERSIONS)
+    found = {profile.name: profile for profile in named}
     if name not in found:
         raise ValueError(f"profile: expected one of {sorted(found)}, got {name!r}")
     return found[name]
--- a/emulator/soak/recorder.py
+++ b/emulator/soak/recorder.py
@@ -1,4 +1,4 @@
-"""What instances tell during a soak, and writes to the store that its faults don't touch."""
+"""Recorder of the instances' events, and writes to the store that bypass its faults."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from hopstep.adapters import key_value_store_wire as wire
 
 DIRECT_KEY_PREFIXES = ("op/", "servers/")
-"""Keys of operators and instances."""
+"""Prefixes of the keys that operators and instances write."""
 
 
 class DirectStore:
-    """Writes of the operator and of instances, which the store's faults don't touch.
+    """Writes of the operator and of instances, which bypass the store's faults.
 
-    They remember what they have written: a store that is restored from a copy may lack it.
+    Written documents are remembered, as a store that is restored from a backup may lack them.
     """
 
     def __init__(self, shared: SharedStore) -> None:
-        """Use a store.
+        """Use a store, without any documents written.
 
         Args:
             shared: The store.
@@ -33,21 +33,21 @@
         self._documents: dict[str, bytes] = {}
 
     def put(self, key: str, document: object) -> None:
-        """Write a document."""
+        """Write a document as JSON."""
         self.put_bytes(key, json.dumps(document).encode())
 
     def put_bytes(self, key: str, value: bytes) -> None:
-        """Write any bytes."""
+        """Write bytes under a key."""
         self._documents[key] = value
         self._write(key, value)
 
     def rewrite_missing(self, key: str) -> None:
-        """Write a document that the store may lack, unless it is gone by now."""
+        """Write a document again if the store lacks it and it hasn't been removed."""
         if key in self.missing_from_store():
             self._write(key, self._documents[key])
 
     def missing_from_store(self) -> list[str]:
-        """Return the documents that the store lacks, or has another version of."""
+        """Return the keys of documents that the store lacks or has with another value."""
         stored = self._shared.model.snapshot()
         return [
             key
@@ -56,7 +56,7 @@
         ]
 
     def stale_in_store(self) -> list[str]:
-        """Return the keys of operators and instances that the store has although they are gone."""
+        """Return the keys of operators and instances that the store has although removed."""
         stored = self._shared.model.snapshot()
         return [
             key
@@ -65,13 +65,13 @@
         ]
 
     def _write(self, key: str, value: bytes) -> None:
-        """Write bytes, whatever the key holds."""
+        """Write bytes, overwriting any value."""
         stored = self._shared.model.apply(wire.Get(key), trio.current_time())
         version = stored.version if isinstance(stored, wire.Item) else ABSENT_REVISION
         self._shared.write_directly(wire.CompareAndSwap(key, version, value))
 
     def remove(self, key: str) -> None:
-        """Remove a key that may exist."""
+        """Remove a key if it exists."""
         self._documents.pop(key, None)
         stored = self._shared.model.apply(wire.Get(key), trio.current_time())
         if isinstance(stored, wire.Item):
@@ -79,14 +79,14 @@
 
 
 class Recorder:
-    """Writes what instances do into the history."""
+    """Records events of instances in the history."""
 
     def __init__(self, history: History, store: DirectStore) -> None:
-        """Record.
+        """Prepare without any instances.
 
         Args:
-            history: Where to.
-            store: Where instances list themselves.
+            history: Receives the events.
+            store: Store in which instances list themselves.
         """
         self._history = history
         self._store = store
@@ -95,19 +95,19 @@
         self.on_fatal: Callable[[HttpInstance, str], None] = lambda _instance, _request: None
 
     def arrived(self, instance: HttpInstance, request_id: str) -> None:
-        """Record an arrival."""
+        """Record the arrival of a request."""
         traits = instance.traits
         arrival = Arrival(request_id, traits.service, trio.current_time(), traits.life)
         self._history.arrivals.append(arrival)
 
     def asked(self, instance: HttpInstance) -> None:
-        """Record a report or an order."""
+        """Record the arrival of a request for a report or of an order."""
         traits = instance.traits
         arrival = Arrival("", traits.service, trio.current_time(), traits.life)
         self._history.arrivals.append(arrival)
 
     def said(self, instance: HttpInstance, request_id: str, words: InstanceWords) -> None:
-        """Record what an instance said of itself in an answer."""
+        """Record the notices that an instance sent in a response."""
         incarnation = instance.traits.life
         now = trio.current_time()
         notice = SentNotice(
@@ -116,7 +116,7 @@
         self._history.notices.append(notice)
 
     def began(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
-        """Record a run."""
+        """Record the start of a run."""
         self._history.runs.append(
             Run(
                 request_id=headers.request_id,
@@ -139,17 +139,17 @@
             run.ended_at = trio.current_time()
 
     def ordered(self, instance: HttpInstance, holder: str, token: int) -> None:
-        """Record an order."""
+        """Record an executed order."""
         order = TakenOrder(instance.traits.instance_id, holder, token, trio.current_time())
         self._history.orders.append(order)
 
     def changed(self, instance: HttpInstance) -> None:
-        """Write an instance's entry, if it is the one that lives under its id."""
+        """Write an instance's entry, if it is the current incarnation under its id."""
         instance_id = instance.traits.instance_id
         address = self.addresses.get(instance_id)
         if address is not None and self.current_instances.get(instance_id) is instance:
             self._store.put(f"servers/{instance_id}", instance.entry(address))
 
     def met_fatal(self, instance: HttpInstance, request: str) -> None:
-        """Have an instance end under a request."""
+        """Report that an instance has begun a fatal request."""
         self.on_fatal(instance, request)
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: parts started, callers and faults side by side, everything healed, promises checked."""
+"""Runs one soak: starts the parts, sends requests under faults, and checks after recovery."""
 
 from __future__ import annotations
 
@@ -32,23 +32,26 @@
 START_SECONDS = 30.0
 RECOVERY_SECONDS = 12.0
 QUIET_SECONDS = 22.0
-"""After the faults, the time for recovery included."""
+"""Time after the faults; includes the time for recovery."""
 
 PERSISTENT_CALLERS_PER_NODE = 2
 WATCH_SECONDS = 0.2
+"""Time between two checks for exited processes."""
+
 SETTLED_SECONDS = 5.0
+"""Time with requests before the first fault."""
 
 
 class SoakPlan(msgspec.Struct, frozen=True):
-    """What a soak does.
+    """Parameters of a soak.
 
     Attributes:
-        seed: Draws everything.
+        seed: Seed of all random generators.
         seconds: Time with faults.
-        nodes: Processes.
-        rate: Requests a second.
-        directory: Settings and logs of the nodes.
-        quiet_seconds: After the faults, the time for recovery included.
+        nodes: Number of nodes, each a process.
+        rate: Requests per second.
+        directory: Directory for settings and logs of the nodes.
+        quiet_seconds: Time after the faults; includes the time for recovery.
         profile: Name of the profile of faults; the seed's if empty.
         other_build: Root of a checkout of another version on which all nodes start; None for none.
     """
@@ -64,18 +67,18 @@
 
 
 class SoakResult(msgspec.Struct):
-    """What came of a soak.
+    """Result of a soak.
 
     Attributes:
         violations: Broken promises.
-        requests: Requests sent.
-        statuses: How they ended, by status.
-        faults: Faults by kind.
+        requests: Number of requests sent.
+        statuses: Number of requests by status; ``left`` for those whose caller disconnected.
+        faults: Number of faults by kind.
         profile: Name of the profile of faults.
-        route_changes: Changes of configurations that probes asked for.
-        impact: How honest requests fared, with fatal ones under way and without.
-        stalls: How long the machine itself stood still.
-        load: What else the machine did.
+        route_changes: Number of routes added or removed.
+        impact: Outcomes of ordinary requests during fatal ones and otherwise.
+        stalls: Stalls of the machine.
+        load: Load of the machine.
     """
 
     violations: list[Violation]
@@ -93,7 +96,7 @@
     """Run a soak in real time.
 
     Args:
-        plan: What to do.
+        plan: Parameters of the soak.
     """
     processor_times = read_processor_times()
     generator = random.Random(plan.seed)
@@ -127,20 +130,20 @@
             nursery.start_soon(probes.run)
             await trio.sleep(SETTLED_SECONDS)
             await faults.run(plan.seconds)
-            healed_at = trio.current_time()
+            repaired_at = trio.current_time()
             operator.set_weights_version()
             await trio.sleep(plan.quiet_seconds)
             ended_at = trio.current_time()
             deployment.record_listed()
             nursery.cancel_scope.cancel()
     violations = check_all(deployment.history, Bounds())
-    violations += check_recovery(deployment.history, healed_at + RECOVERY_SECONDS, ended_at)
+    violations += check_recovery(deployment.history, repaired_at + RECOVERY_SECONDS, ended_at)
     load = machine_load(processor_times)
     return _result(deployment.history, violations, faults, profile.name, machine.stalls, load)
 
 
 async def _watch_exits(deployment: Deployment) -> None:
-    """Record processes that end by themselves."""
+    """Record nodes whose process exits by itself."""
     seen: set[str] = set()
     while True:
         await trio.sleep(WATCH_SECONDS)
@@ -160,7 +163,7 @@
     stalls: MachineStalls,
     load: MachineLoad,
 ) -> SoakResult:
-    """Return what a history and the faults come to."""
+    """Return the result of a soak from its history and faults."""
     statuses: dict[str, int] = {}
     for request in history.requests.values():
         name = "left" if request.left else str(request.status)
