--- a/emulator/soak/callers.py
+++ b/emulator/soak/callers.py
@@ -159,8 +159,8 @@
             while True:
                 ready = False
                 try:
-                    response = await client.get(f"http://{node.readiness}/readiness")
-                    ready = response.status_code == httpx.codes.OK
+                    probe_response = await client.get(f"http://{node.readiness}/readiness")
+                    ready = probe_response.status_code == httpx.codes.OK
                 except httpx.TransportError:
                     pass
                 misses = self.readiness.misses
