--- a/tests/emulator/soak/test_beside_fatal.py
+++ b/tests/emulator/soak/test_beside_fatal.py
@@ -1,4 +1,4 @@
-"""How honest requests fare beside fatal ones is counted from what callers saw."""
+"""Outcomes of ordinary requests during fatal ones are computed from the callers' observations."""
 
 import unittest
 
--- a/tests/emulator/soak/test_checks.py
+++ b/tests/emulator/soak/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check of the soak: a clean history passes, and one that breaks the promise is caught."""
+"""Each check of the soak accepts a clean history and reports one that breaks its promise."""
 
 import unittest
 
@@ -313,7 +313,7 @@
             self.assertEqual("retry budget" in self.broken(seen), caught, count)
 
     def fatal_history(self, ends=3, late=4, at=104.0, **changes):
-        """Return a request's ends of instances around 100 s and its later arrivals at them."""
+        """Return crashes of instances by a fatal request around 100 s, and its later arrivals."""
         sent = [request(f"r{n}", at=at + n / 10, fatal="f", status=502) for n in range(late)]
         seen = history(*sent, runs=[])
         seen.fatal_terminations = [
@@ -359,7 +359,7 @@
         self.assertNotIn("honest requests", self.broken(seen))
 
     def quarantined(self, answers=(), ends=3, faults=(), at=100.0):
-        """Return whether an ordinary request's refusal is caught."""
+        """Return whether the quarantine of an ordinary request is reported."""
         refused = request(
             "refused", at=at, status=503, stamp="", body=b"request_quarantined", whole=True
         )
--- a/tests/emulator/soak/test_limit_checks.py
+++ b/tests/emulator/soak/test_limit_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what follows from limits of instances: each catches what breaks the promise."""
+"""Checks of announced limits: each reports a history that breaks its promise."""
 
 import unittest
 
@@ -16,15 +16,15 @@
 
 BOUNDS = Bounds()
 INCARNATION = "i1@1"
-NAMED_AT = 100.0
+FIRST_ANNOUNCED_AT = 100.0
 ALLOWED = 14
-"""Within 4 s at 1.5 a second."""
+"""Requests allowed within 4 s at a limit of 1.5 per second."""
 
 
 class LimitChecksTest(unittest.TestCase):
     def seen(self, count, at=104.0, step=0.01, limit=1.5, node="n0"):
-        """Return a history: a limit named at 100 s and passed on, then requests of one node."""
-        announced = request("told", at=NAMED_AT, head_at=NAMED_AT + 0.1)
+        """Return a history: a limit announced at 100 s and passed on, then requests of one node."""
+        announced = request("told", at=FIRST_ANNOUNCED_AT, head_at=FIRST_ANNOUNCED_AT + 0.1)
         announced.node = node
         followers = [request(f"r{number}", at=at + step * number) for number in range(count)]
         for follower in followers:
@@ -33,8 +33,8 @@
         found.arrivals = [
             Arrival(r.request_id, r.service, r.sent_at, INCARNATION) for r in followers
         ]
-        found.notices = [SentNotice("told", INCARNATION, NAMED_AT, False, 0.0, limit)]
-        found.limits = [LimitChange(INCARNATION, NAMED_AT, limit)]
+        found.notices = [SentNotice("told", INCARNATION, FIRST_ANNOUNCED_AT, False, 0.0, limit)]
+        found.limits = [LimitChange(INCARNATION, FIRST_ANNOUNCED_AT, limit)]
         found.instances = [IncarnationPeriod(INCARNATION, announced.service, 90.0, is_plain=True)]
         return found
 
@@ -46,19 +46,19 @@
         self.assertEqual(self.broken(self.seen(ALLOWED + 1)), 1)
 
     def test_what_a_node_sent_before_it_knew_is_not_counted(self):
-        self.assertEqual(self.broken(self.seen(99, at=NAMED_AT + 0.05, step=0.001)), 0)
+        self.assertEqual(self.broken(self.seen(99, at=FIRST_ANNOUNCED_AT + 0.05, step=0.001)), 0)
 
     def test_nodes_are_counted_together(self):
         found = self.seen(ALLOWED)
-        more = request("more", at=104.2)
-        more.node = "n1"
-        found.requests["more"] = more
-        found.arrivals.append(Arrival("more", more.service, 104.2, INCARNATION))
-        self.assertEqual(self.broken(found), 0, "n1 hasn't been told")
-        announced = request("told1", at=NAMED_AT, head_at=NAMED_AT + 0.1)
+        another = request("more", at=104.2)
+        another.node = "n1"
+        found.requests["more"] = another
+        found.arrivals.append(Arrival("more", another.service, 104.2, INCARNATION))
+        self.assertEqual(self.broken(found), 0, "n1 hasn't received the limit")
+        announced = request("told1", at=FIRST_ANNOUNCED_AT, head_at=FIRST_ANNOUNCED_AT + 0.1)
         announced.node = "n1"
         found.requests["told1"] = announced
-        found.notices.append(SentNotice("told1", INCARNATION, NAMED_AT, False, 0.0, 1.5))
+        found.notices.append(SentNotice("told1", INCARNATION, FIRST_ANNOUNCED_AT, False, 0.0, 1.5))
         self.assertEqual(self.broken(found), 1)
 
     def test_reports_and_orders_count(self):
@@ -99,7 +99,7 @@
         self.assertEqual(list(limits_are_used(self.ended(5), BOUNDS)), [])
 
     def ended(self, count):
-        """Return a history in which the limit is lifted after 10 s: it takes 10.5 from 3 s on."""
+        """Return a history with a limit lifted after 10 s: it allows 10.5 requests from 3 s on."""
         found = self.seen(count, step=0.2)
         found.limits.append(LimitChange(INCARNATION, 110.0, None))
         return found
--- a/tests/emulator/soak/test_machine.py
+++ b/tests/emulator/soak/test_machine.py
@@ -1,4 +1,4 @@
-"""Stalls of the machine: what counts as one, and what is recorded of it."""
+"""Stalls of the machine: which delays count as stalls, and how they are recorded."""
 
 import tempfile
 import unittest
--- a/tests/emulator/soak/test_profiles.py
+++ b/tests/emulator/soak/test_profiles.py
@@ -1,4 +1,4 @@
-"""Profiles of faults: all kinds are drawn somewhere, and most profiles leave the store calm."""
+"""Profiles of faults: together they draw each kind, and several leave the store undisturbed."""
 
 import random
 import tempfile
@@ -48,14 +48,14 @@
         self.assertLessEqual(set(SHORT.kinds), self.known_kinds(SHORT))
 
     def test_some_profiles_leave_the_store_calm(self):
-        calm = [p for p in PROFILES if not set(p.kinds) & set(STORE_KINDS)]
-        self.assertGreaterEqual(len(calm), 3)
+        undisturbed = [p for p in PROFILES if not set(p.kinds) & set(STORE_KINDS)]
+        self.assertGreaterEqual(len(undisturbed), 3)
 
     def test_newer_seeds_draw_restores_among_everything(self):
-        drawing = {profile_of(seed).name for seed in range(10_000, 10_007)}
-        self.assertIn("everything, restores too", drawing)
+        names = {profile_of(seed).name for seed in range(10_000, 10_007)}
+        self.assertIn("everything, restores too", names)
         self.assertNotIn(RESTORE, {k for seed in range(7) for k in profile_of(seed).kinds})
 
     def test_seeds_in_a_row_meet_all_profiles(self):
-        met = {profile_of(seed).name for seed in range(7, 7 + len(PROFILES))}
-        self.assertEqual(met, {profile.name for profile in PROFILES})
+        found = {profile_of(seed).name for seed in range(7, 7 + len(PROFILES))}
+        self.assertEqual(found, {profile.name for profile in PROFILES})
--- a/tests/emulator/soak/test_proxies.py
+++ b/tests/emulator/soak/test_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies: what an open, silent, one-way and resetting link lets through."""
+"""Proxies: which data open, silent, one-way and resetting links forward."""
 
 import contextlib
 import random
@@ -13,7 +13,7 @@
 
 class TcpProxyTest(unittest.TestCase):
     def run_link(self, script):
-        """Run ``script(proxy, open stream)`` before a server that sends back what it gets."""
+        """Run ``script(proxy, open stream)`` with a proxied server that echoes its input."""
 
         async def echo(stream):
             with contextlib.suppress(trio.BrokenResourceError):
@@ -36,7 +36,7 @@
         trio.run(main)
 
     async def received(self, stream):
-        """Return what comes within a moment."""
+        """Return the data that arrives within ``WAIT_SECONDS``."""
         with trio.move_on_after(WAIT_SECONDS):
             return bytes(await stream.receive_some())
         return b""
@@ -136,10 +136,10 @@
                 ):
                     proxy.cut, proxy.loss = cut, loss
                     await sender.sendto(b"a", (host, int(port)))
-                    heard = b""
+                    arrived = b""
                     with trio.move_on_after(WAIT_SECONDS):
-                        heard, _ = await target.recvfrom(100)
-                    self.assertEqual(heard, expected)
+                        arrived, _ = await target.recvfrom(100)
+                    self.assertEqual(arrived, expected)
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
--- a/tests/emulator/soak/test_restores.py
+++ b/tests/emulator/soak/test_restores.py
@@ -1,4 +1,4 @@
-"""A soak's store comes back from a copy, others write again, and what goes back is caught."""
+"""A soak's store is restored from a backup, documents are rewritten, and regressions reported."""
 
 import random
 import unittest
--- a/tests/emulator/soak/test_suspendable_node.py
+++ b/tests/emulator/soak/test_suspendable_node.py
@@ -1,4 +1,4 @@
-"""While its machine is suspended a node's ordinary steady clocks stand still, and no others."""
+"""While its machine is suspended, only a node's ordinary monotonic clocks stand still."""
 
 import tempfile
 import time
@@ -10,10 +10,10 @@
 
 SUSPENDED_SECONDS = 100.0
 SLACK_SECONDS = 20.0
-"""For the machine to be slow."""
+"""Tolerance for a slow machine."""
 
-STILL = (time.CLOCK_MONOTONIC, time.CLOCK_MONOTONIC_RAW)
-GOING_ON = (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
+STOPPED_CLOCKS = (time.CLOCK_MONOTONIC, time.CLOCK_MONOTONIC_RAW)
+RUNNING_CLOCKS = (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
 
 
 class SuspendableClocksTest(unittest.TestCase):
@@ -27,7 +27,7 @@
         return [
             time.monotonic(),
             time.perf_counter(),
-            *(time.clock_gettime(number) for number in (*STILL, *GOING_ON)),
+            *(time.clock_gettime(number) for number in (*STOPPED_CLOCKS, *RUNNING_CLOCKS)),
             time.time(),
         ]
 
--- a/tests/emulator/soak/test_word_checks.py
+++ b/tests/emulator/soak/test_word_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what follows from the words of instances: each catches what breaks the promise."""
+"""Checks of instances' notices: each reports a history that breaks its promise."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 class WordChecksTest(unittest.TestCase):
     def seen(self, backoff_seconds=0.0, **later):
-        """Return a history: one answer with a word at 100 s, and requests by id and time."""
+        """Return a history: one response with a notice at 100 s, and requests by id and time."""
         first = request("told", at=100.0, head_at=ANNOUNCED_AT)
         followers = [request(name, at=at) for name, at in later.items()]
         found = history(first, *followers)
@@ -37,9 +37,11 @@
         self.assertEqual(list(leaving_notices_are_obeyed(soon, BOUNDS)), [])
 
     def test_another_life_and_another_node_are_not_bound(self):
-        later_life = self.seen(a=110.0)
-        later_life.arrivals = [msgspec.structs.replace(later_life.arrivals[0], incarnation="i1@2")]
-        self.assertEqual(list(leaving_notices_are_obeyed(later_life, BOUNDS)), [])
+        later_incarnation = self.seen(a=110.0)
+        later_incarnation.arrivals = [
+            msgspec.structs.replace(later_incarnation.arrivals[0], incarnation="i1@2")
+        ]
+        self.assertEqual(list(leaving_notices_are_obeyed(later_incarnation, BOUNDS)), [])
         elsewhere = self.seen(a=110.0)
         elsewhere.requests["a"].node = "n1"
         self.assertEqual(list(leaving_notices_are_obeyed(elsewhere, BOUNDS)), [])
@@ -50,9 +52,9 @@
         self.assertEqual(list(leaving_notices_are_obeyed(lost, BOUNDS)), [])
 
     def test_a_node_that_was_interrupted_is_excused(self):
-        excused = self.seen(a=110.0)
-        excused.disturbances = [Disturbance("killed", "n0", 105.0, 106.0)]
-        self.assertEqual(list(leaving_notices_are_obeyed(excused, BOUNDS)), [])
+        disregarded = self.seen(a=110.0)
+        disregarded.disturbances = [Disturbance("killed", "n0", 105.0, 106.0)]
+        self.assertEqual(list(leaving_notices_are_obeyed(disregarded, BOUNDS)), [])
         held = self.seen(a=110.0)
         held.disturbances = [Disturbance("outage", "store", 105.0, 106.0)]
         self.assertEqual(len(list(leaving_notices_are_obeyed(held, BOUNDS))), 1)
@@ -74,6 +76,6 @@
         self.assertEqual(list(backoffs_are_kept(other, BOUNDS)), [])
 
     def test_a_cut_of_the_node_excuses_it(self):
-        excused = self.seen(3.0, a=100.6, b=101.0, c=102.0)
-        excused.disturbances = [Disturbance("callers' link", "n0", 101.0, 101.5)]
-        self.assertEqual(list(backoffs_are_kept(excused, BOUNDS)), [])
+        disregarded = self.seen(3.0, a=100.6, b=101.0, c=102.0)
+        disregarded.disturbances = [Disturbance("callers' link", "n0", 101.0, 101.5)]
+        self.assertEqual(list(backoffs_are_kept(disregarded, BOUNDS)), [])
