--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines and the platform, load, experiments."""
+"""Emulated engines and platform services, load generators and experiments."""
--- a/emulator/demo.py
+++ b/emulator/demo.py
@@ -1,6 +1,7 @@
-"""Both deployments end to end, as real processes on loopback: ``python -m emulator.demo``.
+"""Runs both example deployments end to end, as real processes on loopback.
 
-Exit code 0 only when every request came back complete and right, inside its tenant's places.
+Usage: ``python -m emulator.demo``. The exit code is 0 only when every response is complete and
+correct, and came from engines where the tenant's requests may be placed.
 """
 
 from __future__ import annotations
@@ -46,11 +47,11 @@
 ROUNDS = 2
 CONCURRENCY = 8
 LOAD_REQUESTS = 32
-LOADED_ANSWERS = 4
-"""Answers under load after which the fault or the edit comes."""
+RESPONSES_BEFORE_FAULT = 4
+"""Number of responses under load after which the fault is injected."""
 
 IN_FORCE_SECONDS = 14.0
-"""Time within which an accepted configuration must be in force everywhere."""
+"""Time within which an accepted configuration must be in force on all routers."""
 
 MILLISECONDS = 1_000.0
 OUTSIDE = "OUTSIDE"
@@ -59,18 +60,18 @@
 
 
 class Demo:
-    """One deployment's part of the demo."""
+    """Runs the demo on one deployment."""
 
     def __init__(self, fleet: Fleet, client: RouterClient) -> None:
-        """Prepare.
+        """Create the demo without starting anything.
 
         Args:
-            fleet: Its processes.
+            fleet: Processes of the deployment.
             client: Sends the requests.
         """
         self._fleet = fleet
         self._client = client
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._admissible: list[Configuration] = [fleet.configuration]
         self.results: list[LoadResult] = []
         self.misplaced = 0
@@ -80,7 +81,7 @@
         await self._fleet.start()
 
     async def run(self) -> None:
-        """Run every part."""
+        """Apply the configuration and run every step."""
         revision = await self._fleet.apply(self._fleet.configuration, "demo")
         print(f"{self._fleet.name}: configuration accepted as revision {revision}")
         self._admissible = [self._fleet.configuration]
@@ -101,8 +102,8 @@
         ]
 
     async def _kill_engine_under_load(self) -> None:
-        """Kill an engine that answers a tenant, while that tenant's requests stream."""
-        tenant, request_class = self._busy_tenant()
+        """Kill an engine that serves a tenant, while that tenant's responses stream."""
+        tenant, request_class = self._restricted_tenant()
         requests = [
             self._request(tenant, request_class, LONG_OUTPUT_TOKENS) for _ in range(LOAD_REQUESTS)
         ]
@@ -115,8 +116,8 @@
         await self._send_and_then(requests, kill)
 
     async def _edit_label_under_load(self) -> None:
-        """Move an engine to another place by its label, while requests stream."""
-        tenant, request_class = self._busy_tenant()
+        """Move an engine to another zone by its label, while responses stream."""
+        tenant, request_class = self._restricted_tenant()
         before = self._fleet.configuration
         engine = self._used_engine(before, tenant, request_class)
         other_zone = next(
@@ -125,7 +126,7 @@
             if not tenant.selector.matches(each.labels)
         )
         after = relabel(before, engine, other_zone)
-        # While the edit spreads, either document may place a request.
+        # Until the edit has reached all routers, requests may be placed by either configuration.
         self._admissible = [before, after]
         async with trio.open_nursery() as nursery:
             requests = [
@@ -140,8 +141,8 @@
         self._admissible = [after]
         await self._send([self._request(tenant, request_class, OUTPUT_TOKENS) for _ in range(8)])
 
-    def _busy_tenant(self) -> tuple[Tenant, RequestClass]:
-        """Return the first tenant that is bound to places, and a repeatable class of it."""
+    def _restricted_tenant(self) -> tuple[Tenant, RequestClass]:
+        """Return the first tenant with placement requirements and a repeatable class of it."""
         configuration = self._fleet.configuration
         tenant = next(each for each in configuration.tenants if each.selector.requirements())
         request_class = next(
@@ -154,7 +155,7 @@
     def _used_engine(
         self, configuration: Configuration, tenant: Tenant, request_class: RequestClass
     ) -> BackEnd:
-        """Return the engine that last answered a tenant's class."""
+        """Return the engine that served the last response to a tenant's class."""
         engine = next(
             result.engines[-1]
             for result in reversed(self.results)
@@ -166,8 +167,8 @@
     def _request(
         self, tenant: Tenant, request_class: RequestClass, output_tokens: int
     ) -> LoadRequest:
-        """Return a request with the tenant's shared prefix and a tail of its own."""
-        number = next(self._numbers)
+        """Return a request with the tenant's shared prefix and a unique tail."""
+        number = next(self._request_numbers)
         return LoadRequest(
             tenant=tenant.name,
             key=f"{self._fleet.name}-{tenant.name}-example-key",
@@ -183,32 +184,32 @@
     async def _send_and_then(
         self, requests: list[LoadRequest], act: Callable[[Sequence[LoadResult]], None]
     ) -> None:
-        """Send requests, and act once some are answered while others stream."""
+        """Send requests, and call ``act`` once after ``RESPONSES_BEFORE_FAULT`` responses."""
         answered: list[LoadResult] = []
 
-        def note(result: LoadResult) -> None:
+        def record(result: LoadResult) -> None:
             answered.append(result)
-            if len(answered) == LOADED_ANSWERS:
+            if len(answered) == RESPONSES_BEFORE_FAULT:
                 act(answered)
 
-        await self._send(requests, note)
+        await self._send(requests, record)
 
     async def _send(
         self,
         requests: list[LoadRequest],
-        note: Callable[[LoadResult], None] = lambda result: None,
+        on_result: Callable[[LoadResult], None] = lambda result: None,
     ) -> None:
         """Send requests to all routers in turn, and print a line for each."""
 
         def report(result: LoadResult) -> None:
             self._report(result)
-            note(result)
+            on_result(result)
 
         addresses = [each.address for each in self._fleet.back_ends(BackEndKind.ROUTER)]
         await run_closed_loop(self._client, addresses, requests, CONCURRENCY, report=report)
 
     def _report(self, result: LoadResult) -> None:
-        """Print one line, and check the place."""
+        """Print one line and check the placement."""
         self.results.append(result)
         request = result.request
         if result.outcome is not Outcome.COMPLETE:
@@ -217,7 +218,7 @@
                 f"{result.outcome.value}: {result.code} ({result.execution})"
             )
             return
-        place = self._place(result)
+        place = self._check_placement(result)
         engines = ", then ".join(result.engines)
         print(
             f"{self._fleet.name:9}  {request.tenant:20}  {request.request_class:14}  "
@@ -226,15 +227,15 @@
             f"first token {result.first_token_seconds * MILLISECONDS:6.1f} ms"
         )
 
-    def _place(self, result: LoadResult) -> str:
-        """Return the zones of the engines that answered; count those outside the places."""
-        places = [self._zone_inside(result.request, engine) for engine in result.engines]
+    def _check_placement(self, result: LoadResult) -> str:
+        """Return the zones of the engines that answered; count results placed wrongly."""
+        places = [self._admissible_zone(result.request, engine) for engine in result.engines]
         if not places or OUTSIDE in places:
             self.misplaced += 1
         return ", then ".join(dict.fromkeys(places))
 
-    def _zone_inside(self, request: LoadRequest, engine_name: str) -> str:
-        """Return the zone of an engine, or ``OUTSIDE`` if the request may not be there."""
+    def _admissible_zone(self, request: LoadRequest, engine_name: str) -> str:
+        """Return the zone of an engine, or ``OUTSIDE`` if the request may not run there."""
         for configuration in self._admissible:
             placement = place_engines(
                 configuration,
@@ -249,12 +250,12 @@
 
 
 def _named(items: Sequence[Item], name: str) -> Item:
-    """Return the item of a name."""
+    """Return the item with a name."""
     return next(item for item in items if item.name == name)
 
 
 def model_for(configuration: Configuration, tenant: Tenant, request_class: RequestClass) -> str:
-    """Return the first model that the tenant's class can reach."""
+    """Return the first model that the tenant's class can be placed for."""
     return next(
         model.name
         for model in configuration.models
@@ -263,7 +264,7 @@
 
 
 def relabel(configuration: Configuration, engine: BackEnd, zone: str) -> Configuration:
-    """Return the configuration with another zone for one engine."""
+    """Return the configuration with one engine's zone label changed."""
     edited = msgspec.structs.replace(engine, labels=engine.labels | {"zone": zone})
     return msgspec.structs.replace(
         configuration,
@@ -295,7 +296,7 @@
 
 
 def main() -> int:
-    """Run the demo and leave nothing running."""
+    """Run the demo and stop all its processes at the end."""
     with (
         tempfile.TemporaryDirectory(prefix="hopstep-demo-") as directory,
         ProcessGroup(Path(directory)) as group,
--- a/emulator/hollow_cluster.py
+++ b/emulator/hollow_cluster.py
@@ -1,7 +1,7 @@
-"""Many members' protocols in one process, driven by an event queue in virtual time.
+"""Simulates the membership protocol of many nodes in one process, in virtual time.
 
-Hollow nodes have a membership and nothing else: no HTTP, no engines, no tasks. So hundreds of
-them run for hours of virtual time, and each run with one seed is the same.
+Hollow nodes have a membership and nothing else: no HTTP, no engines, no tasks. Hundreds of
+them can therefore run for hours of virtual time, and runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -42,27 +42,28 @@
 
 
 class HollowNode:
-    """One node: its protocol, and whether its process runs.
+    """A simulated node: its membership protocol and the state of its process.
 
     Attributes:
         name: Member name.
         address: UDP address.
         zone: Zone.
-        membership: Protocol of the present incarnation.
-        life: Raised on every start, end and resumption; earlier ticks are void.
+        membership: Protocol state of the current incarnation.
+        wakeup_generation: Incremented by every restart, kill and resume; wakeups scheduled
+            under an earlier value are ignored.
         running: False while the process is down.
         paused: True while it is stopped by a signal.
-        sent_bytes: Bytes sent over all incarnations.
-        codec: Signs and checks datagrams; None passes messages on as they are.
+        sent_bytes: Bytes sent by all incarnations together.
+        codec: Signs and verifies datagrams; None leaves messages unsigned.
     """
 
     def __init__(self, name: str, address: str, zone: str, membership: Membership) -> None:
-        """Hold a started node."""
+        """Create a running node."""
         self.name = name
         self.address = address
         self.zone = zone
         self.membership = membership
-        self.life = 0
+        self.wakeup_generation = 0
         self.running = True
         self.paused = False
         self.sent_bytes = 0
@@ -71,14 +72,14 @@
 
 
 class _Delivery(msgspec.Struct, frozen=True):
-    """A message on its way; signed datagrams are bytes."""
+    """A message in transit; signed datagrams are bytes."""
 
     message: PeerMessage | bytes
     source: str
 
 
 class HollowCluster:
-    """Nodes, links and the event queue."""
+    """Simulated nodes, the links between them and the event queue."""
 
     def __init__(
         self,
@@ -88,13 +89,13 @@
         observe: ActionObserver,
         keys: PeerKeys | None = None,
     ) -> None:
-        """Start empty at time 0.
+        """Create a cluster without nodes at virtual time 0.
 
         Args:
-            seed: Seed of all chance in the nodes.
-            faults: Links.
+            seed: Seed of the nodes' random generators.
+            faults: Faults of the links between nodes.
             config: Protocol configuration of every node.
-            observe: Called with every action but sends.
+            observe: Called with every action except sends.
             keys: Keys that sign datagrams; None for messages without signatures.
         """
         self._generator = random.Random(seed)
@@ -102,7 +103,7 @@
         self._observe = observe
         self._keys = keys
         self._events: list[tuple[float, int, str, int, _Delivery | None]] = []
-        self._numbers = itertools.count()
+        self._event_numbers = itertools.count()
         self._incarnation = 1_000
         self.faults = faults
         self.nodes: dict[str, HollowNode] = {}
@@ -116,62 +117,64 @@
         node = HollowNode(name, name, zone, membership)
         node.codec = self._codec(node)
         self.nodes[name] = node
-        self._wake(node, self.now)
+        self._schedule_wakeup(node, self.now)
         return node
 
     def restart(self, name: str, seeds: tuple[str, ...]) -> None:
-        """Start a node anew, under a new incarnation and without any memory."""
+        """Restart a node under a new incarnation and without any state."""
         node = self.nodes[name]
-        node.life += 1
+        node.wakeup_generation += 1
         node.running, node.paused = True, False
         node.inbox = []
         node.membership = self._membership(name, seeds, node.zone)
         node.codec = self._codec(node)
-        self._wake(node, self.now)
+        self._schedule_wakeup(node, self.now)
 
     def kill(self, name: str) -> None:
-        """End a node's process without a word."""
+        """Terminate a node's process without any announcement."""
         node = self.nodes[name]
         node.running = False
-        node.life += 1
+        node.wakeup_generation += 1
 
     def leave(self, name: str) -> None:
-        """End a node's process on a plan: it says so first."""
+        """Shut a node down as planned: it announces that it leaves first."""
         node = self.nodes[name]
         self.act(node, node.membership.leave(self.now))
         self.act(node, node.membership.stop(self.now))
         self.kill(name)
 
     def pause(self, name: str) -> None:
-        """Stop a node's process by a signal."""
+        """Pause a node's process, as SIGSTOP does."""
         self.nodes[name].paused = True
 
     def resume(self, name: str) -> None:
-        """Let a paused node run on; what arrived meanwhile comes first, if it still fits."""
+        """Resume a paused node; it first receives the last 100 messages that have arrived."""
         node = self.nodes[name]
         node.paused = False
-        node.life += 1
+        node.wakeup_generation += 1
         inbox, node.inbox = node.inbox[-100:], []
         for delivery in inbox:
             self._receive(node, delivery)
-        self._wake(node, self.now)
+        self._schedule_wakeup(node, self.now)
 
     def run_until(self, end: float) -> None:
-        """Advance virtual time."""
+        """Process all events until ``end``, in seconds of virtual time."""
         while self._events and self._events[0][0] <= end:
-            self.now, _, address, life, delivery = heapq.heappop(self._events)
+            self.now, _, address, generation, delivery = heapq.heappop(self._events)
             node = self.nodes[address]
             if not node.running:
                 continue
             if delivery is not None:
                 self._receive(node, delivery)
-            elif life == node.life and not node.paused:
+            elif generation == node.wakeup_generation and not node.paused:
                 self.act(node, node.membership.tick(self.now))
-                self._wake(node, max(node.membership.next_wakeup(), self._soon()))
+                self._schedule_wakeup(
+                    node, max(node.membership.next_wakeup(), self._earliest_wakeup())
+                )
         self.now = end
 
     def act(self, node: HollowNode, actions: list[Action]) -> None:
-        """Carry out the actions of a node's protocol."""
+        """Execute the actions that a node's protocol returned."""
         for action in actions:
             if isinstance(action, Send):
                 self.send(node, action)
@@ -179,11 +182,11 @@
                 self._observe(node, action, self.now)
 
     def inject(self, target: str, datagram: bytes, source: str) -> None:
-        """Deliver a datagram at once."""
+        """Deliver a datagram immediately."""
         self.receive(self.nodes[target], datagram, source)
 
     def introduce_everyone(self) -> None:
-        """Let every node know every other, as after a long time without faults."""
+        """Make every node known to every other, as in a cluster that has converged."""
         records = [node.membership.own for node in self.nodes.values()]
         gossip = Gossip(members=tuple(records))
         for node in self.nodes.values():
@@ -196,7 +199,7 @@
         return [node for node in self.nodes.values() if node.running]
 
     def agrees(self) -> bool:
-        """Return whether every running node holds exactly the running ones alive."""
+        """Return whether every running node's view has exactly the running nodes as alive."""
         expected = sorted((node.name, node.membership.own.incarnation) for node in self.running())
         return all(
             [(record.name, record.incarnation) for record in node.membership.alive()] == expected
@@ -204,12 +207,12 @@
         )
 
     def next_incarnation(self) -> int:
-        """Return the incarnation of the next start."""
+        """Return a new incarnation number."""
         self._incarnation += 1
         return self._incarnation
 
     def own_record(self, name: str, zone: str) -> MemberRecord:
-        """Return the first record of a start."""
+        """Return a node's initial record under a new incarnation."""
         return MemberRecord(
             name, self.next_incarnation(), 0, MemberState.ALIVE, f"{name}:80", name, zone
         )
@@ -220,20 +223,20 @@
         return Membership(own, self._config, seeds, generator, encoded_size, self.now)
 
     def send(self, node: HollowNode, action: Send) -> None:
-        """Put a message on its way through the faults."""
+        """Send a message over a link with its faults."""
         node.sent_bytes += encoded_size(action.body) + ENVELOPE_BYTES
         self.messages += 1
         if action.address not in self.nodes:
             return
-        delivery = _Delivery(_wrap(node, action.body), node.address)
+        delivery = _Delivery(_encode(node, action.body), node.address)
         for delay in self.faults.deliveries(node.address, action.address):
             self._push(self.now + delay, action.address, 0, delivery)
 
     def receive(self, node: HollowNode, message: PeerMessage | bytes, source: str) -> bool:
-        """Hand a message to a node; return whether it was authentic."""
+        """Deliver a message to a node; return False if the node rejected it."""
         if isinstance(message, bytes):
             try:
-                message = _unwrap(node, message)
+                message = _decode(node, message)
             except PeerMessageError:
                 self.rejected += 1
                 return False
@@ -256,17 +259,17 @@
             return
         self.receive(node, delivery.message, delivery.source)
 
-    def _wake(self, node: HollowNode, at: float) -> None:
-        self._push(at, node.address, node.life, None)
+    def _schedule_wakeup(self, node: HollowNode, at: float) -> None:
+        self._push(at, node.address, node.wakeup_generation, None)
 
-    def _push(self, at: float, address: str, life: int, delivery: _Delivery | None) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), address, life, delivery))
+    def _push(self, at: float, address: str, generation: int, delivery: _Delivery | None) -> None:
+        heapq.heappush(self._events, (at, next(self._event_numbers), address, generation, delivery))
 
-    def _soon(self) -> float:
+    def _earliest_wakeup(self) -> float:
         return self.now + MIN_WAKEUP_SECONDS
 
 
-def _wrap(node: HollowNode, body: Body) -> PeerMessage | bytes:
+def _encode(node: HollowNode, body: Body) -> PeerMessage | bytes:
     own = node.membership.own
     if node.codec is None:
         return PeerMessage(own.name, own.incarnation, body)
@@ -274,7 +277,7 @@
     return node.codec.encode(body)
 
 
-def _unwrap(node: HollowNode, datagram: bytes) -> PeerMessage:
+def _decode(node: HollowNode, datagram: bytes) -> PeerMessage:
     if node.codec is None:
         raise PeerMessageError(ErrorCode.PEER_MESSAGE_REJECTED, "this cluster has no keys")
     return node.codec.decode(datagram)
--- a/emulator/http_responses.py
+++ b/emulator/http_responses.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the HTTP stand-ins."""
+"""Helpers for requests and responses of the emulated HTTP services."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 async def read_message(message_type: type[Message]) -> Message:
-    """Return the body of the present request.
+    """Decode the body of the current request.
 
     Raises:
-        msgspec.DecodeError: When it isn't a ``message_type``; the error names the field.
+        msgspec.DecodeError: When the body isn't a ``message_type``; the error names the field.
     """
     return msgspec.json.decode(await quart.request.get_data(), type=message_type)
 
@@ -29,7 +29,7 @@
 
 
 def lost_response() -> quart.Response:
-    """Return a response whose connection breaks before its body is whole."""
+    """Return a response whose connection breaks before its body is complete."""
 
     async def broken_body() -> AsyncIterator[bytes]:
         yield b" "
--- a/emulator/limit_scale.py
+++ b/emulator/limit_scale.py
@@ -1,8 +1,8 @@
-"""What the sharing of tenants' limits costs between routers, and how well parts follow demand.
+"""Measures the cost of sharing tenants' limits between routers, and how well parts follow demand.
 
-Hollow nodes at the planned load of a node share limits as routers do, within the byte budget.
-Each tenant may be served by the routers of one region; one more tenant's demand moves from
-router to router.
+Hollow nodes share limits as routers do, at a node's planned load and within the byte budget.
+Each tenant may be served by the routers of one region, except for one tenant that any router
+may serve and whose demand moves from router to router.
 
 Run ``python -m emulator.limit_scale --help``.
 """
@@ -28,17 +28,17 @@
 
 REGIONS = FleetSize().regions
 LIMIT_RATIO = 4.0
-"""A tenant's limit over what it sends on average."""
+"""Ratio of a tenant's limit to its average request rate."""
 
 MOVING_REQUESTS = 20
-"""Requests a second of the moving tenant, and its limit."""
+"""Request rate and limit of the moving tenant, in requests per second."""
 
 MOVING_TENANT = "moving"
 MOVE_SECONDS = 60.0
-"""Time for which the moving tenant's demand stays at one router."""
+"""Time that the moving tenant's demand stays at one router."""
 
-ENOUGH_RATIO = 0.5
-"""Part of its limits from which on the moving tenant counts as having followed."""
+CAUGHT_UP_RATIO = 0.5
+"""Part of the moving tenant's limits that a router must hold to count as having caught up."""
 
 WARM_UP_SECONDS = 90.0
 
@@ -48,14 +48,15 @@
 
     Attributes:
         nodes: Routers.
-        limit_bytes: Bytes a second of reports and answers that a node sends, headers included.
-        max_limit_bytes: Of the busiest node.
-        all_bytes: All bytes a second that a node sends.
-        leased_ratio: Part of the tenants in demand at a router for which it holds a lease.
-        covered_ratio: Part of those whose part covers the demand.
-        refused_ratio: Part of the requests of all but the moving tenant that were refused.
-        follow_seconds: Median time until a router that the moving tenant came to has half of
-            its limits; ``MOVE_SECONDS`` where it never had.
+        limit_bytes: Average bytes per second of limit reports and grants that a node sends,
+            headers included.
+        max_limit_bytes: The same for the busiest node.
+        all_bytes: Average bytes per second of all messages that a node sends.
+        leased_ratio: Fraction of the tenants in demand at a router for which it holds a lease.
+        covered_ratio: Fraction of the tenants in demand whose part covers the demand.
+        refused_ratio: Fraction of requests refused, the moving tenant's left out.
+        follow_seconds: Median time until a router that the moving tenant moved to holds
+            half of the tenant's limits; ``MOVE_SECONDS`` if no router ever did.
         part_sum: Largest sum of the routers' parts of any observed tenant's limits.
     """
 
@@ -71,7 +72,7 @@
 
 
 class _Router:
-    """A node's part in sharing limits."""
+    """State of one node's limit sharing."""
 
     def __init__(self, node: HollowNode, region: int) -> None:
         self.node = node
@@ -87,19 +88,19 @@
 
     Args:
         nodes: Number of nodes.
-        seed: Seed of all chance.
+        seed: Seed of all random draws.
     """
 
     def __init__(self, nodes: int, seed: int) -> None:
         faults = LinkFaults(random.Random(seed), LinkQuality(loss=0.001))
-        super().__init__(seed, faults, MembershipConfig(), self._take)
+        super().__init__(seed, faults, MembershipConfig(), self._handle_limit_message)
         self.routers: dict[str, _Router] = {}
         self.offered = self.refused = 0
         self._admitted: dict[str, frozenset[str]] = {}
         self.follow_times: list[float] = []
         self._moved_at = 0.0
-        self._moving_at = ""
-        self._chance = random.Random(seed)
+        self._moving_router = ""
+        self._demand_generator = random.Random(seed)
         size = FleetSize()
         average = size.per_node(size.requests_per_second) * nodes / size.tenants
         self._limits = TenantLimits(requests_per_second=LIMIT_RATIO * average)
@@ -112,27 +113,27 @@
         self._configure()
 
     def send(self, node: HollowNode, action: Send) -> None:
-        """Count the bytes of messages about limits, and put a message on its way."""
+        """Count the bytes of limit messages, and send a message."""
         if isinstance(action.body, LimitReport | LimitGrant):
             body = msgspec.structs.replace(action.body, gossip=Gossip())
             self.routers[node.name].limit_bytes += encoded_size(body) + ENVELOPE_BYTES
         super().send(node, action)
 
     def pass_second(self, requests: float) -> None:
-        """Offer one second of requests at every node, each node at its own time.
+        """Simulate one second of requests at every node, the nodes spread evenly over it.
 
         Args:
-            requests: Requests a second at each node.
+            requests: Requests per second at each node.
         """
-        if self.now - self._moved_at >= MOVE_SECONDS or not self._moving_at:
+        if self.now - self._moved_at >= MOVE_SECONDS or not self._moving_router:
             self._move()
         for router in self.routers.values():
-            self._offer(router, requests)
+            self._offer_requests(router, requests)
             self._report(router)
             self.run_until(self.now + REPORT_SECONDS / len(self.routers))
-        moving = self.routers[self._moving_at].sharing.part(MOVING_TENANT, self.now)
+        moving = self.routers[self._moving_router].sharing.part(MOVING_TENANT, self.now)
         if (
-            moving >= ENOUGH_RATIO * WHOLE
+            moving >= CAUGHT_UP_RATIO * WHOLE
             and len(self.follow_times) * MOVE_SECONDS <= self._moved_at
         ):
             self.follow_times.append(self.now - self._moved_at)
@@ -147,7 +148,7 @@
         return sum(parts) / WHOLE
 
     def _configure(self) -> None:
-        """Bind each tenant to a region."""
+        """Restrict each tenant to the routers of one region."""
         regions = [
             frozenset(name for name, router in self.routers.items() if router.region == region)
             for region in range(REGIONS)
@@ -161,19 +162,19 @@
 
     def _move(self) -> None:
         self._moved_at = self.now
-        self._moving_at = self._chance.choice(list(self.routers))
+        self._moving_router = self._demand_generator.choice(list(self.routers))
 
-    def _offer(self, router: _Router, requests: float) -> None:
+    def _offer_requests(self, router: _Router, requests: float) -> None:
         for _ in range(round(requests)):
-            index = self._chance.randrange(len(self._tenants) // REGIONS) * REGIONS
-            admitted = self._enter(router, self._tenants[index + router.region])
+            index = self._demand_generator.randrange(len(self._tenants) // REGIONS) * REGIONS
+            admitted = self._request_admission(router, self._tenants[index + router.region])
             self.offered += 1
             self.refused += not admitted
-        if router.node.name == self._moving_at:
+        if router.node.name == self._moving_router:
             for _ in range(MOVING_REQUESTS):
-                self._enter(router, MOVING_TENANT)
+                self._request_admission(router, MOVING_TENANT)
 
-    def _enter(self, router: _Router, tenant: str) -> bool:
+    def _request_admission(self, router: _Router, tenant: str) -> bool:
         limiter = router.limiters.get(tenant)
         if limiter is None:
             limiter = router.limiters[tenant] = TenantLimiter(self.now)
@@ -206,7 +207,7 @@
         self.act(router.node, actions)
         return sent
 
-    def _take(self, node: HollowNode, action: Action, now: float) -> None:
+    def _handle_limit_message(self, node: HollowNode, action: Action, now: float) -> None:
         if not isinstance(action, LimitMessage):
             return
         router = self.routers[node.name]
@@ -223,8 +224,8 @@
 
     Args:
         nodes: Routers.
-        seed: Seed of all chance.
-        seconds: Virtual time that is measured, after a warm-up.
+        seed: Seed of all random draws.
+        seconds: Measured virtual time after the warm-up.
     """
     cluster = SharingCluster(nodes, seed)
     requests = FleetSize().per_node(FleetSize().requests_per_second)
@@ -266,8 +267,8 @@
 
 
 _NODES = flags.DEFINE_integer("nodes", 24, "routers")
-_SEED = flags.DEFINE_integer("seed", 1, "seed of all chance")
-_SECONDS = flags.DEFINE_float("seconds", 60.0, "virtual time that is measured")
+_SEED = flags.DEFINE_integer("seed", 1, "seed of all random draws")
+_SECONDS = flags.DEFINE_float("seconds", 60.0, "measured virtual time in seconds")
 
 
 def main(arguments: list[str]) -> None:
--- a/emulator/memory.py
+++ b/emulator/memory.py
@@ -1,4 +1,4 @@
-"""Memory that one object holds, counted by walking what it refers to."""
+"""Measures the memory that an object holds, by walking its references."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def reachable_bytes(root: object, shared: tuple[object, ...] = ()) -> int:
-    """Return the bytes of all objects that ``root`` alone would hold in its own process.
+    """Return the total size of all objects reachable from ``root``, in bytes.
 
     Args:
-        root: Object to start at.
-        shared: Objects that aren't counted or entered.
+        root: Object to start from.
+        shared: Objects that are neither counted nor followed.
     """
     seen = {id(item) for item in shared}
     waiting = [root]
--- a/emulator/network.py
+++ b/emulator/network.py
@@ -1,4 +1,4 @@
-"""A faulty datagram network in memory, on trio's clock."""
+"""An in-memory datagram network with faults, on trio's clock."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from hopstep.ports.peer_transport import ReceivedMessage
 
 QUEUED_DATAGRAMS = 10_000
-"""Datagrams that wait for a receiver; further ones are lost."""
+"""Capacity of a receiver's queue in datagrams; further ones are dropped."""
 
 Datagram = tuple[bytes, str]
 
 
 class FaultyNetwork:
-    """Carries datagrams between the transports that it makes."""
+    """Carries datagrams between the transports created by ``connect``."""
 
     def __init__(self, faults: LinkFaults) -> None:
-        """Start without anybody connected.
+        """Create a network without any transport.
 
         Args:
-            faults: Decides what arrives.
+            faults: Decides which datagrams arrive, and when.
         """
         self.faults = faults
         self._receivers: dict[str, trio.MemorySendChannel[Datagram]] = {}
         self._paused: dict[str, trio.Event] = {}
         self._waiting: list[tuple[float, int, str, Datagram]] = []
-        self._numbers = itertools.count()
+        self._datagram_numbers = itertools.count()
         self._added = trio.Event()
 
     async def run(self) -> None:
@@ -45,21 +45,21 @@
                 await self._added.wait()
 
     def connect(self, address: str, codec: PeerCodec) -> FaultyPeerTransport:
-        """Return the transport of an address; an earlier one of it hears nothing more."""
+        """Return a new transport for an address; an earlier one receives nothing more."""
         sender, receiver = trio.open_memory_channel[Datagram](QUEUED_DATAGRAMS)
         self._receivers[address] = sender
         return FaultyPeerTransport(self, address, codec, receiver)
 
     def disconnect(self, address: str) -> None:
-        """Lose everything sent to an address from now on."""
+        """Drop all datagrams sent to an address from now on."""
         self._receivers.pop(address, None)
 
     def pause(self, address: str) -> None:
-        """Let a node neither send nor receive until ``resume``, as if stopped by a signal."""
+        """Block a node's sends and receives until ``resume``, as if paused by SIGSTOP."""
         self._paused[address] = trio.Event()
 
     def resume(self, address: str) -> None:
-        """End a pause; what was sent to the node meanwhile is waiting for it."""
+        """End a pause; datagrams sent to the node during the pause are still queued for it."""
         self._paused.pop(address).set()
 
     async def wait_running(self, address: str) -> None:
@@ -68,10 +68,10 @@
             await self._paused[address].wait()
 
     def carry(self, source: str, target: str, data: bytes) -> None:
-        """Send a datagram through the faults."""
+        """Queue a datagram for delivery, subject to the link faults."""
         for delay in self.faults.deliveries(source, target):
             due_at = trio.current_time() + delay
-            item = (due_at, next(self._numbers), target, (data, source))
+            item = (due_at, next(self._datagram_numbers), target, (data, source))
             heapq.heappush(self._waiting, item)
         self._added.set()
         self._added = trio.Event()
@@ -87,7 +87,7 @@
 
 
 class FaultyPeerTransport(SignedPeerTransport):
-    """The end of a ``FaultyNetwork`` at one address."""
+    """Transport of one address in a ``FaultyNetwork``."""
 
     def __init__(
         self,
@@ -96,13 +96,13 @@
         codec: PeerCodec,
         receiver: trio.MemoryReceiveChannel[Datagram],
     ) -> None:
-        """Made by ``FaultyNetwork.connect``.
+        """Create a transport; use ``FaultyNetwork.connect`` instead of calling this.
 
         Args:
-            network: The network.
+            network: Network that the transport belongs to.
             address: Own address.
-            codec: Signs and checks datagrams.
-            receiver: Arriving datagrams.
+            codec: Signs and verifies datagrams.
+            receiver: Queue of arriving datagrams.
         """
         super().__init__(address, codec)
         self._network = network
@@ -123,5 +123,5 @@
         return ReceivedMessage(self._codec.decode(datagram), source)
 
     def close(self) -> None:
-        """Close this end."""
+        """Close the receiving queue."""
         self._receiver.close()
--- a/emulator/scale.py
+++ b/emulator/scale.py
@@ -1,8 +1,8 @@
 """Scale run: membership of up to 390 hollow nodes in one process, in virtual time.
 
-Each size is measured in a warm cluster under ordinary churn: time for a configuration
-revision, a leaving back end, a restart and a failure to be known everywhere; bytes, processor
-time and memory for a node. One region is cut off for an hour and comes back.
+Each cluster size is measured with members that know one another, under churn: the time until
+a configuration revision, a leaving back end, a restart and a failure are known on all nodes;
+bytes, processor time and memory per node. One region is partitioned off for an hour.
 """
 
 from __future__ import annotations
@@ -41,18 +41,18 @@
 
     Attributes:
         nodes: Number of nodes.
-        revision_seconds: Until a configuration revision is in force everywhere.
-        leaving_seconds: Until a leaving back end is known everywhere.
-        restart_seconds: Until a node that was killed and restarted is known everywhere.
-        failure_seconds: Until a killed node is held dead everywhere.
-        planned_stop_seconds: Until a node that left on a plan is known to have left.
-        churn_events: Further restarts and failures in the window, at ten times the
-            ordinary rate.
-        bytes_per_second: Sent by a node on average over the window, headers included.
-        max_bytes_per_second: Of the busiest node.
-        cpu_percent: Share of one core for a node, signatures and the event queue included.
-        memory_bytes: Of one node's membership.
-        wall_seconds: Real time that the size took.
+        revision_seconds: Until a configuration revision is in force on all nodes.
+        leaving_seconds: Until a leaving back end is known to all nodes.
+        restart_seconds: Until all nodes know the new incarnation of a killed and restarted node.
+        failure_seconds: Until all nodes hold a killed node dead.
+        planned_stop_seconds: Until all nodes know that a node has shut down as planned.
+        churn_events: Restarts and failures during the window, at ten times the
+            fleet's ordinary rate.
+        bytes_per_second: Average sent by a node over the window, headers included.
+        max_bytes_per_second: The same for the busiest node.
+        cpu_percent: Percentage of one core per node, signatures and the event queue included.
+        memory_bytes: Memory of one node's membership state.
+        wall_seconds: Wall-clock time of the whole measurement.
     """
 
     nodes: int
@@ -70,17 +70,17 @@
 
 
 class CutMeasures(msgspec.Struct, frozen=True):
-    """Measures of a region's cut and return.
+    """Measures of a region's partition and its healing.
 
     Attributes:
         nodes: Number of nodes.
         cut_nodes: Nodes of the region.
-        cut_seconds: Virtual time of the cut.
-        isolated_seconds: Until all nodes of the region know that they are isolated.
-        wrongly_isolated: Other nodes that were isolated at the end of the cut.
-        heal_seconds: From the return until all agree.
-        bytes_per_second: Sent by a node on average during the cut.
-        heal_bytes_per_second: The same during the return.
+        cut_seconds: Duration of the partition in virtual time.
+        isolated_seconds: Until all nodes of the region find themselves isolated.
+        wrongly_isolated: Nodes outside the region that found themselves isolated at the end.
+        heal_seconds: From the healing until all nodes agree on the membership.
+        bytes_per_second: Average sent by a node during the partition.
+        heal_bytes_per_second: The same while the cluster reconverges.
     """
 
     nodes: int
@@ -94,13 +94,13 @@
 
 
 class HerdMeasures(msgspec.Struct, frozen=True):
-    """Measures of a start of all nodes at once, without any memory.
+    """Measures of a simultaneous start of all nodes, without any known members.
 
     Attributes:
         nodes: Number of nodes.
-        most_seconds: Until every node knows nine tenths of the others.
-        all_seconds: Until all agree.
-        bytes_per_second: Sent by a node on average until then.
+        most_seconds: Until every node knows nine tenths of the nodes.
+        all_seconds: Until all nodes agree on the membership.
+        bytes_per_second: Average sent by a node until then.
     """
 
     nodes: int
@@ -119,15 +119,15 @@
 
 
 class ScaleCluster:
-    """A hollow cluster whose nodes take over every revision that they hear of."""
+    """A hollow cluster whose nodes adopt every newer configuration revision announced to them."""
 
     def __init__(self, nodes: int, seed: int, *, warm: bool = True) -> None:
         """Start the nodes.
 
         Args:
             nodes: Number of nodes.
-            seed: Seed of all chance.
-            warm: Whether they know one another from the start.
+            seed: Seed of all random draws.
+            warm: Whether the nodes know one another from the start.
         """
         faults = LinkFaults(random.Random(seed), LinkQuality(loss=0.001))
         config = MembershipConfig()
@@ -142,7 +142,7 @@
             self.cluster.introduce_everyone()
 
     def advance(self, seconds: float) -> None:
-        """Advance virtual time, fetching revisions that were heard of."""
+        """Advance virtual time; nodes fetch the revisions announced to them."""
         end = self.cluster.now + seconds
         while self.cluster.now < end - 1e-9:
             step_end = min(end, self.cluster.now + FETCH_SECONDS)
@@ -158,7 +158,7 @@
             self.cluster.act(node, node.membership.set_revision(revision, self.cluster.now))
 
     def seconds_until(self, reached: Callable[[], bool], limit: float = LIMIT_SECONDS) -> float:
-        """Advance until ``reached``; return how long it took, or -1 after ``limit``."""
+        """Advance until ``reached``; return the virtual seconds it took, or -1 after ``limit``."""
         began = self.cluster.now
         while not reached():
             if self.cluster.now - began >= limit:
@@ -167,11 +167,11 @@
         return round(self.cluster.now - began, 2)
 
     def all_running(self, holds: Callable[[HollowNode], bool]) -> bool:
-        """Return whether something holds at every running node."""
+        """Return whether a condition holds at every running node."""
         return all(holds(node) for node in self.cluster.running())
 
     def sent_bytes(self) -> dict[str, int]:
-        """Return the bytes sent so far by node."""
+        """Return the bytes sent so far, by node name."""
         return {name: node.sent_bytes for name, node in self.cluster.nodes.items()}
 
     def _observe(self, node: HollowNode, action: Action, now: float) -> None:
@@ -193,10 +193,10 @@
 
     Args:
         nodes: Cluster sizes.
-        seed: Seed of all chance; equal seeds give equal virtual times.
-        cut_nodes: Size of the cluster whose region is cut; 0 for none.
-        herd_nodes: Sizes of the clusters that start all at once.
-        cut_seconds: Virtual time of the cut.
+        seed: Seed of all random draws; equal seeds give equal virtual times.
+        cut_nodes: Size of the cluster whose region is partitioned off; 0 to skip this part.
+        herd_nodes: Sizes of the clusters whose nodes all start at once.
+        cut_seconds: Duration of the partition in virtual time.
         progress: Called with a line before each part.
     """
     sizes = []
@@ -248,32 +248,32 @@
 
 
 def measure_herd(count: int, seed: int) -> HerdMeasures:
-    """Measure a start of all nodes at once."""
+    """Measure a simultaneous start of all nodes."""
     scale = ScaleCluster(count, seed, warm=False)
 
     def knows_most(node: HollowNode) -> bool:
         return len(node.membership.alive()) >= 0.9 * count
 
     most = scale.seconds_until(lambda: scale.all_running(knows_most))
-    rest = scale.seconds_until(scale.cluster.agrees)
+    remaining = scale.seconds_until(scale.cluster.agrees)
     elapsed = scale.cluster.now
     rates = _rates(scale, dict.fromkeys(scale.names, 0), elapsed)
-    everyone = -1.0 if min(most, rest) < 0 else round(most + rest, 2)
+    everyone = -1.0 if min(most, remaining) < 0 else round(most + remaining, 2)
     return HerdMeasures(count, most, everyone, round(sum(rates) / count, 1))
 
 
 def measure_cut(count: int, seed: int, cut_seconds: float) -> CutMeasures:
-    """Measure the cut of one region and its return."""
+    """Measure the partition of one region and its healing."""
     scale = ScaleCluster(count, seed)
     scale.advance(SETTLE_SECONDS)
     region = scale.names[: count // REGIONS]
-    rest = scale.names[count // REGIONS :]
+    others = scale.names[count // REGIONS :]
     scale.cluster.faults.partition(region)
     cut_began, sent_before = scale.cluster.now, scale.sent_bytes()
     isolated = scale.seconds_until(lambda: all(_isolated(scale, name) for name in region))
     scale.advance(cut_began + cut_seconds - scale.cluster.now)
     rates = _rates(scale, sent_before, cut_seconds)
-    wrongly = sum(_isolated(scale, name) for name in rest)
+    wrongly = sum(_isolated(scale, name) for name in others)
     scale.cluster.faults.heal()
     heal_began, sent_before = scale.cluster.now, scale.sent_bytes()
     heal = scale.seconds_until(scale.cluster.agrees)
--- a/emulator/scale_churn.py
+++ b/emulator/scale_churn.py
@@ -1,4 +1,4 @@
-"""Ordinary churn of a fleet: planned restarts and failures at ten times the daily rate."""
+"""Churn of a fleet: planned restarts and failures at ten times the ordinary rate."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 FAILURES_PER_DAY = 120
 DAY_SECONDS = 86_400
 CHURN_FACTOR = 10
-"""Churn above the ordinary rate, so that a window of a minute sees some of it."""
+"""Multiple of the ordinary rate, so that some events fall into a window of one minute."""
 
 DOWN_SECONDS = 5.0
 FAILURE_DOWN_SECONDS = 30.0
 
 
 class Churn:
-    """Restarts and kills nodes by chance, at ten times the fleet's rate, scaled to the cluster."""
+    """Restarts and kills random nodes, at ``CHURN_FACTOR`` times the fleet's rate per node."""
 
     def __init__(
         self, cluster: HollowCluster, seeds: Sequence[str], generator: random.Random
@@ -27,25 +27,25 @@
         """Start with all nodes running.
 
         Args:
-            cluster: Cluster to churn.
-            seeds: Seeds of restarted nodes.
-            generator: Source of chance.
+            cluster: Cluster whose nodes are restarted and killed.
+            seeds: Seed addresses of restarted nodes.
+            generator: Random generator.
         """
         self._cluster = cluster
         self._seeds = tuple(seeds)
         self._generator = generator
         self._down: list[tuple[float, str]] = []
-        share = CHURN_FACTOR * len(cluster.nodes) / FLEET_NODES
-        self._restart_chance = share * RESTARTS_PER_DAY / DAY_SECONDS
-        self._failure_chance = share * FAILURES_PER_DAY / DAY_SECONDS
+        factor = CHURN_FACTOR * len(cluster.nodes) / FLEET_NODES
+        self._restart_chance = factor * RESTARTS_PER_DAY / DAY_SECONDS
+        self._failure_chance = factor * FAILURES_PER_DAY / DAY_SECONDS
         self.events = 0
 
     def step(self) -> None:
-        """Do one second's churn."""
+        """Apply the churn of one second."""
         now = self._cluster.now
-        back = [name for due_at, name in self._down if due_at <= now]
+        due = [name for due_at, name in self._down if due_at <= now]
         self._down = [item for item in self._down if item[0] > now]
-        for name in back:
+        for name in due:
             self._cluster.restart(name, self._seeds)
         if self._generator.random() < self._restart_chance:
             self._take_down(planned=True)
--- a/emulator/scale_report.py
+++ b/emulator/scale_report.py
@@ -1,4 +1,4 @@
-"""Table and JSON of a scale run."""
+"""Renders the report of a scale run as text tables and JSON."""
 
 from __future__ import annotations
 
--- a/emulator/sliding_window.py
+++ b/emulator/sliding_window.py
@@ -1,4 +1,4 @@
-"""The most events within any span of a given length."""
+"""Counts the most events within any time window of a given length."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def most_within(times: Iterable[float], seconds: float) -> int:
-    """Return the most of some times, in any order, that lie within a span of ``seconds``."""
+    """Return the largest number of ``times``, in any order, within a window of ``seconds``."""
     most = 0
-    span: deque[float] = deque()
+    window: deque[float] = deque()
     for at in sorted(times):
-        span.append(at)
-        while span[0] <= at - seconds:
-            span.popleft()
-        most = max(most, len(span))
+        window.append(at)
+        while window[0] <= at - seconds:
+            window.popleft()
+        most = max(most, len(window))
     return most
--- a/emulator/virtual_time.py
+++ b/emulator/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs of trio on a virtual clock whose tasks run in an order that follows from a seed."""
+"""Runs trio on a virtual clock, with a task order that is determined by a seed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def virtual_clock() -> trio.testing.MockClock:
-    """Return a clock that jumps to the next deadline as soon as all tasks wait."""
+    """Return a clock that jumps to the next deadline when all tasks are blocked."""
     return trio.testing.MockClock(autojump_threshold=0)
 
 
@@ -24,22 +24,22 @@
     seed: int = 0,
     clock: trio.testing.MockClock | None = None,
 ) -> Result:
-    """Run ``main`` like ``trio.run``, on a virtual clock and with the order of tasks drawn.
+    """Run ``main`` like ``trio.run``, on a virtual clock and with a seeded task order.
 
-    Without the seed each run of a test would draw another order, and with it another course.
+    Without the seed, each run of a test would use another task order and take another course.
 
     Args:
-        main: What is run.
-        arguments: Given to ``main``.
-        seed: Draws the order in which tasks that are ready run.
-        clock: The clock; None for one that jumps.
+        main: Async function to run.
+        arguments: Arguments of ``main``.
+        seed: Seed of the order in which ready tasks run.
+        clock: Clock to use; None for one that jumps, as ``virtual_clock`` makes it.
     """
     _seed_scheduler(seed)
     return trio.run(main, *arguments, clock=clock or virtual_clock())
 
 
 def _seed_scheduler(seed: int) -> None:
-    """Let trio run its tasks in an order that follows from the seed, as its test plugins do."""
+    """Make trio's task order follow from the seed, as trio's test plugins do."""
     scheduler = sys.modules["trio._core._run"]
     vars(scheduler)["_ALLOW_DETERMINISTIC_SCHEDULING"] = True
     vars(scheduler)["_r"].seed(seed)
