--- a/emulator/benchmarks/__init__.py
+++ b/emulator/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Speed of the router by real processes on loopback."""
+"""Benchmarks of the router's speed, with real processes on loopback."""
--- a/emulator/benchmarks/setting.py
+++ b/emulator/benchmarks/setting.py
@@ -1,4 +1,4 @@
-"""The fleet and the load processes that every benchmark uses."""
+"""Starts the fleet and the load processes that benchmarks use."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 REQUEST_CLASS = "benchmark"
 MODEL = "benchmark"
 ROUTER = "router"
-UNUSED = "127.0.0.1:1"
+PLACEHOLDER_ADDRESS = "127.0.0.1:1"
 ENGINE_BATCH = 64
 SETTLE_SECONDS = 8.0
-"""Time after which a new router takes its whole share of tenants' limits."""
+"""Time after which a newly started router has its whole part of tenants' limits."""
 
 ENGINE_ARGUMENTS = (
     f"--max_batch_size={ENGINE_BATCH}",
@@ -46,8 +46,8 @@
 
     Attributes:
         requests: Requests to send.
-        concurrency: Requests at once.
-        output_tokens: Tokens of each answer.
+        concurrency: Concurrent requests.
+        output_tokens: Tokens of each response.
         seed: Seed of the prompts.
         mode: ``router`` or ``direct``.
     """
@@ -60,11 +60,11 @@
 
 
 def configuration(engines: int) -> Configuration:
-    """Return the configuration of one router over a number of engines."""
+    """Return a configuration with one router and a number of engines."""
     engine_back_ends = tuple(
         BackEnd(
             f"engine-{number}",
-            UNUSED,
+            PLACEHOLDER_ADDRESS,
             labels={"zone": "local"},
             models=(MODEL,),
             max_concurrent_requests=ENGINE_BATCH,
@@ -74,7 +74,7 @@
     return Configuration(
         back_ends=(
             *engine_back_ends,
-            BackEnd(ROUTER, UNUSED, BackEndKind.ROUTER, {"zone": "local"}),
+            BackEnd(ROUTER, PLACEHOLDER_ADDRESS, BackEndKind.ROUTER, {"zone": "local"}),
         ),
         tenants=(Tenant(TENANT, (hash_key(KEY.encode()),), default_class=REQUEST_CLASS),),
         classes=(RequestClass(REQUEST_CLASS, max_queue_seconds=60.0),),
@@ -86,28 +86,28 @@
     """A started fleet with one router."""
 
     def __init__(self, fleet: Fleet, group: ProcessGroup) -> None:
-        """Hold a started fleet.
+        """Wrap a started fleet.
 
         Args:
             fleet: The fleet.
-            group: Its processes.
+            group: Processes of the fleet.
         """
         self.router = fleet.back_end(ROUTER).address
         self.engines = [each.address for each in fleet.back_ends(BackEndKind.ENGINE)]
         self._process_id = group.process(fleet.process_name(ROUTER)).pid
 
     def resident_bytes(self) -> int:
-        """Return the router's resident memory."""
+        """Return the router's resident memory in bytes."""
         for line in Path(f"/proc/{self._process_id}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) * 1024
-        raise RuntimeError("the system doesn't tell the resident memory")
+        raise RuntimeError("/proc/PID/status has no VmRSS line")
 
     async def load(self, address: str, plan: LoadPlan) -> LoadSummary:
         """Run one load process and return its figures.
 
         Raises:
-            RuntimeError: When an answer was wrong or didn't come whole.
+            RuntimeError: When a response was wrong or incomplete.
         """
         completed = await trio.run_process(
             [
@@ -137,7 +137,7 @@
         return msgspec.json.decode(completed.stdout, type=LoadSummary)
 
     async def loads(self, plans: Sequence[LoadPlan]) -> list[LoadSummary]:
-        """Run load processes against the router side by side."""
+        """Run load processes against the router concurrently."""
         summaries: list[LoadSummary] = []
 
         async def run(plan: LoadPlan) -> None:
@@ -151,7 +151,7 @@
 
 @contextlib.asynccontextmanager
 async def open_setting(engines: int) -> AsyncIterator[Setting]:
-    """Start one router over a number of engines, and leave nothing running."""
+    """Start one router and a number of engines, and stop them at the end."""
     with (
         tempfile.TemporaryDirectory(prefix="hopstep-bench-") as directory,
         ProcessGroup(Path(directory)) as group,
--- a/emulator/benchmarks/speed.py
+++ b/emulator/benchmarks/speed.py
@@ -1,4 +1,4 @@
-"""Measures: added time to first token, streamed tokens and requests a second, memory."""
+"""Measures the router's added time to first token, throughput and memory."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
     Attributes:
         engines: Engines behind the router.
-        load_processes: Client processes of the heavy loads.
-        latency_requests: Requests of each measure of the time to first token.
-        stream_requests: Streams of each load process.
-        stream_concurrency: Streams at once of each load process.
-        short_requests: Short requests over all load processes, for rate and memory.
+        load_processes: Load processes that run concurrently in the throughput measures.
+        latency_requests: Requests per measurement of the time to first token.
+        stream_requests: Streamed responses requested by each load process.
+        stream_concurrency: Concurrent streams of each load process.
+        short_requests: Short requests of all load processes together, for rate and memory.
     """
 
     engines: int = 6
@@ -35,18 +35,18 @@
 
 
 class SpeedReport(msgspec.Struct, frozen=True):
-    """Figures of one run.
+    """Results of one run.
 
     Attributes:
-        idle_direct_ms: Median and p99 of the time to first token of a direct call.
+        idle_direct_ms: Median and p99 of the time to first token of direct calls to an engine.
         idle_router_ms: The same through the router.
-        half_load_direct_ms: The same of a direct call, with the router at half load.
+        half_load_direct_ms: The same for direct calls, with the router at half load.
         half_load_router_ms: The same through the router at half load.
-        tokens_per_second: Streamed tokens a second through the router.
-        requests_per_second: Short answers a second through the router.
-        resident_start_bytes: Router's resident memory before any request.
+        tokens_per_second: Streamed tokens per second through the router.
+        requests_per_second: Short responses per second through the router.
+        resident_start_bytes: Resident memory of the router before any request.
         resident_end_bytes: The same after ``requests_served`` requests.
-        requests_served: Requests that the router answered in between.
+        requests_served: Requests that the router served between both readings.
     """
 
     idle_direct_ms: tuple[float, float]
@@ -60,10 +60,10 @@
     requests_served: int
 
     def lines(self) -> list[str]:
-        """Return the report for a terminal."""
+        """Return the report's lines for a terminal."""
         return [
-            _added("idle", self.idle_direct_ms, self.idle_router_ms),
-            _added("half load", self.half_load_direct_ms, self.half_load_router_ms),
+            _added_latency_line("idle", self.idle_direct_ms, self.idle_router_ms),
+            _added_latency_line("half load", self.half_load_direct_ms, self.half_load_router_ms),
             f"streamed tokens a second through one router process: {self.tokens_per_second:.0f}",
             f"short answers a second through one router process: {self.requests_per_second:.0f}",
             f"resident memory of the router: {self.resident_start_bytes / MEBIBYTE:.1f} MiB at "
@@ -73,7 +73,7 @@
 
 
 async def measure_speed(options: BenchmarkOptions) -> SpeedReport:
-    """Run every measure on one fleet.
+    """Run all measurements on one fleet.
 
     Args:
         options: Size of the benchmark.
@@ -83,7 +83,7 @@
         idle_direct, idle_router = await _first_tokens(setting, options, seed=1)
         streams = await _streams(setting, options, options.stream_concurrency)
         half_direct, half_router = await _half_loaded(setting, options)
-        shorts = await _shorts(setting, options)
+        shorts = await _short_requests(setting, options)
         return SpeedReport(
             idle_direct_ms=idle_direct,
             idle_router_ms=idle_router,
@@ -103,7 +103,7 @@
 ) -> tuple[tuple[float, float], tuple[float, float]]:
     """Return the time to first token of direct calls and through the router, one at a time.
 
-    Each kind is run once beforehand, so that prefixes are cached for both.
+    Each mode first runs once unmeasured, so that prefixes are cached for both.
     """
     engine = setting.engines[0]
     figures: dict[str, tuple[float, float]] = {}
@@ -117,7 +117,7 @@
 async def _half_loaded(
     setting: Setting, options: BenchmarkOptions
 ) -> tuple[tuple[float, float], tuple[float, float]]:
-    """Return the times to first token beside half of the streams."""
+    """Return the times to first token while half of the streams run."""
     figures: list[tuple[tuple[float, float], tuple[float, float]]] = []
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_streams, setting, options, options.stream_concurrency // 2)
@@ -129,7 +129,7 @@
 async def _streams(
     setting: Setting, options: BenchmarkOptions, concurrency: int
 ) -> list[LoadSummary]:
-    """Stream long answers from every load process."""
+    """Stream long responses to every load process."""
     return await setting.loads(
         [
             LoadPlan(options.stream_requests, concurrency, LONG_OUTPUT_TOKENS, 100 + number)
@@ -138,7 +138,7 @@
     )
 
 
-async def _shorts(setting: Setting, options: BenchmarkOptions) -> list[LoadSummary]:
+async def _short_requests(setting: Setting, options: BenchmarkOptions) -> list[LoadSummary]:
     """Send short requests from every load process."""
     each = options.short_requests // options.load_processes
     return await setting.loads(
@@ -149,8 +149,8 @@
     )
 
 
-def _added(when: str, direct: tuple[float, float], router: tuple[float, float]) -> str:
-    """Return the line of an added time to first token."""
+def _added_latency_line(when: str, direct: tuple[float, float], router: tuple[float, float]) -> str:
+    """Return the report line of the router's added time to first token."""
     return (
         f"added time to first token, {when}: median {router[0] - direct[0]:.1f} ms "
         f"({router[0]:.1f} over {direct[0]:.1f}), p99 {router[1] - direct[1]:.1f} ms "
--- a/emulator/capacity/budget.py
+++ b/emulator/capacity/budget.py
@@ -1,4 +1,4 @@
-"""What the measured slopes add up to for one router at the planned size."""
+"""Computes one router's resource use at the planned fleet size from measured slopes."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from hopstep.services.cluster import ENGINE_REPLICAS
 from hopstep.services.engine_watch import probe_interval, publish_interval
 
-SECONDS_A_DAY = 86_400.0
-BLOCKS_AN_EVENT = 1.0
-"""Block keys of one cache event, as the planned events are counted by blocks."""
+SECONDS_PER_DAY = 86_400.0
+BLOCKS_PER_EVENT = 1.0
+"""Block keys per cache event; the planned event rate counts one event per block."""
 
 
 class Measured(msgspec.Struct, frozen=True):
-    """Every slope and cost that the budget is worked out from.
+    """Measured slopes and costs that the budget is computed from.
 
     Attributes:
         slopes: Slopes by name.
-        probe: Cost of reading one engine's facts.
+        probe: Cost of one probe of an engine's facts.
         change_bytes: Encoded bytes of one configuration change.
         engine_entry_bytes: Encoded bytes of one engine's shared facts.
-        process_bytes: Resident memory of a process with all modules and nothing else.
+        process_bytes: Resident memory of a process that has only loaded the modules.
     """
 
     slopes: Mapping[str, Slope]
@@ -40,12 +40,12 @@
 
 
 class BudgetRow(msgspec.Struct, frozen=True):
-    """One mechanism's part of a node's budget.
+    """Resource use of one mechanism at a node.
 
     Attributes:
-        mechanism: What spends it.
-        amount: How much, in the table's unit.
-        basis: How it was worked out.
+        mechanism: Mechanism that uses the resource.
+        amount: Use in the table's unit.
+        basis: What the amount was computed from.
     """
 
     mechanism: str
@@ -54,13 +54,13 @@
 
 
 class BudgetTable(msgspec.Struct, frozen=True):
-    """One resource of a node.
+    """Use of one resource at a node, by mechanism.
 
     Attributes:
-        resource: Name.
+        resource: Name of the resource.
         unit: Unit of all amounts.
-        limit: Budget.
-        rows: Parts.
+        limit: Budget of the resource, in ``unit``.
+        rows: Use by mechanism.
     """
 
     resource: str
@@ -70,12 +70,12 @@
 
     @property
     def total(self) -> float:
-        """Sum of the parts."""
+        """Sum of all rows' amounts."""
         return sum(row.amount for row in self.rows)
 
 
 def measure() -> Measured:
-    """Measure everything; takes about a minute."""
+    """Run all measurements; takes about a minute."""
     configuration, routing, peers = configuration_probes, routing_probes, peer_probes
     process_bytes = router_process_bytes()
     slopes = {
@@ -90,7 +90,7 @@
         "indexed_placement": configuration.indexed_placement(),
         "prompt_hashing": routing.prompt_hashing(),
         "decision": routing.decision(),
-        "picture_memory": routing.picture_memory(),
+        "picture_memory": routing.prefix_index_memory(),
         "event_application": routing.event_application(),
         "event_bytes": routing.event_bytes(),
         "view_memory": routing.facts_memory(),
@@ -111,7 +111,7 @@
 
 
 def memory_table(measured: Measured, size: FleetSize, budget: NodeBudget) -> BudgetTable:
-    """Return the memory of one node."""
+    """Return one node's memory use."""
     slopes = measured.slopes
     heads = min(
         RoutingPolicy().max_prefix_heads,
@@ -144,16 +144,18 @@
 
 
 def processor_table(measured: Measured, size: FleetSize, budget: NodeBudget) -> BudgetTable:
-    """Return the processor time that control takes at one node; membership is run apart."""
+    """Return one node's processor time for control traffic; membership isn't included."""
     slopes = measured.slopes
     watched = ENGINE_REPLICAS * size.per_node(size.engines)
     probes = watched / probe_interval(round(watched))
-    changes = size.configuration_changes_per_day / SECONDS_A_DAY
+    changes = size.configuration_changes_per_day / SECONDS_PER_DAY
     items = size.engines
-    applying = slopes["change_application"].at(items) + slopes["index_building"].at(items)
-    events = ENGINE_REPLICAS * size.per_node(size.cache_events_per_second) * BLOCKS_AN_EVENT
-    moves = (size.machine_restarts_per_day + size.machine_failures_per_day) / SECONDS_A_DAY
-    owners = slopes["ownership_change"].at(size.engines)
+    change_seconds = slopes["change_application"].at(items) + slopes["index_building"].at(items)
+    events = ENGINE_REPLICAS * size.per_node(size.cache_events_per_second) * BLOCKS_PER_EVENT
+    membership_changes = (
+        size.machine_restarts_per_day + size.machine_failures_per_day
+    ) / SECONDS_PER_DAY
+    ownership_seconds = slopes["ownership_change"].at(size.engines)
     parts = (
         (
             "reading engines' facts",
@@ -165,11 +167,11 @@
             events * slopes["event_application"].per_unit,
             f"{events:,.0f} keys a second",
         ),
-        ("configuration changes", changes * applying, f"{changes:.3f} changes a second"),
+        ("configuration changes", changes * change_seconds, f"{changes:.3f} changes a second"),
         (
             "ownership after changes of membership",
-            moves * owners,
-            f"{moves:.3f} changes a second, if every machine were a router",
+            membership_changes * ownership_seconds,
+            f"{membership_changes:.3f} changes a second, if every machine were a router",
         ),
     )
     rows = tuple(BudgetRow(name, 100.0 * amount, basis) for name, amount, basis in parts)
@@ -177,17 +179,17 @@
 
 
 def network_table(measured: Measured, size: FleetSize, budget: NodeBudget) -> BudgetTable:
-    """Return the bytes a second of control at one node; membership is run apart."""
+    """Return one node's bytes per second of control traffic; membership isn't included."""
     watched = ENGINE_REPLICAS * size.per_node(size.engines)
     probes = watched / probe_interval(round(watched))
     probe_bytes = measured.probe.sent_bytes + measured.probe.received_bytes
-    events = ENGINE_REPLICAS * size.per_node(size.cache_events_per_second) * BLOCKS_AN_EVENT
-    changes = size.configuration_changes_per_day / SECONDS_A_DAY
+    events = ENGINE_REPLICAS * size.per_node(size.cache_events_per_second) * BLOCKS_PER_EVENT
+    changes = size.configuration_changes_per_day / SECONDS_PER_DAY
     facts = ENGINE_REPLICAS * size.engines / publish_interval(size.engines)
     config = MembershipConfig()
     snapshot = measured.slopes["tenant_bytes"].at(size.tenants)
     snapshot += measured.slopes["engine_bytes"].at(size.engines)
-    restarts = size.machine_restarts_per_day / SECONDS_A_DAY / size.nodes
+    restarts = size.machine_restarts_per_day / SECONDS_PER_DAY / size.nodes
     rows = (
         BudgetRow("reading engines' facts", probes * probe_bytes, f"{probe_bytes} bytes a probe"),
         BudgetRow(
--- a/emulator/capacity/configuration_probes.py
+++ b/emulator/capacity/configuration_probes.py
@@ -1,4 +1,4 @@
-"""Slopes of holding, sending and changing the configuration."""
+"""Measures the cost of storing, encoding and changing the configuration by its size."""
 
 from __future__ import annotations
 
@@ -16,62 +16,62 @@
 
 
 def tenant_memory() -> Slope:
-    """Measure the memory of a held configuration by tenants."""
-    return fit("held configuration", "tenant", "byte", SIZES, lambda size: _held(size, 0))
+    """Measure the memory of a configuration by number of tenants."""
+    return fit("held configuration", "tenant", "byte", SIZES, lambda size: _memory_bytes(size, 0))
 
 
 def engine_memory() -> Slope:
-    """Measure the memory of a held configuration by engines."""
-    return fit("held configuration", "engine", "byte", SIZES, lambda size: _held(0, size))
+    """Measure the memory of a configuration by number of engines."""
+    return fit("held configuration", "engine", "byte", SIZES, lambda size: _memory_bytes(0, size))
 
 
 def tenant_bytes() -> Slope:
-    """Measure the bytes of a snapshot by tenants."""
-    return fit("snapshot", "tenant", "byte", SIZES, lambda size: _encoded(size, 0))
+    """Measure the bytes of a snapshot by number of tenants."""
+    return fit("snapshot", "tenant", "byte", SIZES, lambda size: _snapshot_bytes(size, 0))
 
 
 def engine_bytes() -> Slope:
-    """Measure the bytes of a snapshot by engines."""
-    return fit("snapshot", "engine", "byte", SIZES, lambda size: _encoded(0, size))
+    """Measure the bytes of a snapshot by number of engines."""
+    return fit("snapshot", "engine", "byte", SIZES, lambda size: _snapshot_bytes(0, size))
 
 
 def snapshot_decoding() -> Slope:
-    """Measure the time to decode a snapshot by engines (with a quarter as many tenants)."""
+    """Measure the time to decode a snapshot by number of engines (a quarter as many tenants)."""
     return fit("snapshot decoding", "engine", "second", SIZES, _decoding_seconds)
 
 
 def change_application() -> Slope:
-    """Measure the time to apply one change by engines (with a quarter as many tenants)."""
+    """Measure the time to apply one change by number of engines (a quarter as many tenants)."""
     return fit("change application", "engine", "second", SIZES, _application_seconds)
 
 
 def change_bytes() -> float:
-    """Return the encoded bytes of a change of one tenant."""
+    """Return the encoded bytes of a change to one tenant."""
     return float(len(encode(_change(1))))
 
 
 def placement() -> Slope:
-    """Measure the time to place a request by engines in the configuration."""
+    """Measure the time to place a request by number of engines in the configuration."""
     return fit("placement by the plain rules", "engine", "second", SIZES, _placement_seconds)
 
 
 def index_building() -> Slope:
-    """Measure the time to index a configuration by engines (with a quarter as many tenants)."""
+    """Measure the time to index a configuration by engines (a quarter as many tenants)."""
     return fit("configuration index", "engine", "second", SIZES, _index_seconds)
 
 
 def indexed_placement() -> Slope:
-    """Measure the time of a remembered placement by engines in the configuration."""
+    """Measure the time of a cached placement by number of engines in the configuration."""
     return fit("placement by the index", "engine", "second", SIZES, _indexed_seconds)
 
 
-def _held(tenants: int, engines: int) -> float:
-    """Return the bytes of a configuration decoded as a router decodes it."""
+def _memory_bytes(tenants: int, engines: int) -> float:
+    """Return the memory in bytes of a configuration as a router decodes it."""
     data = encode(samples.accepted(tenants, engines))
     return bytes_held(lambda: decode_snapshot(data))
 
 
-def _encoded(tenants: int, engines: int) -> float:
+def _snapshot_bytes(tenants: int, engines: int) -> float:
     return float(len(encode(samples.accepted(tenants, engines))))
 
 
--- a/emulator/capacity/fleet_size.py
+++ b/emulator/capacity/fleet_size.py
@@ -1,4 +1,4 @@
-"""The size that hopstep is designed for, and a node's even share of it."""
+"""The fleet size that hopstep is designed for, and the resource budget of a node."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
     """Planned totals of the whole fleet.
 
     Attributes:
-        nodes: Routers.
-        engines: Engines behind them.
-        requests_per_second: Peak of requests.
-        tokens_per_second: Peak of generated tokens.
-        cached_blocks: Blocks cached over all engines.
-        cache_events_per_second: Block events over all engines.
-        tenants: Tenants in steady use.
-        models: Models in steady use.
-        regions: Regions.
-        zones: Zones of all regions.
-        configuration_changes_per_day: Accepted changes.
-        convergence_seconds: Longest time from acceptance to being in force everywhere.
-        machine_restarts_per_day: Machines restarted or replaced.
-        machine_failures_per_day: Machines that fail.
+        nodes: Number of routers.
+        engines: Number of engines behind the routers.
+        requests_per_second: Peak request rate.
+        tokens_per_second: Peak rate of generated tokens.
+        cached_blocks: Blocks cached on all engines together.
+        cache_events_per_second: Rate of block events on all engines together.
+        tenants: Number of active tenants.
+        models: Number of active models.
+        regions: Number of regions.
+        zones: Number of zones in all regions together.
+        configuration_changes_per_day: Configuration changes accepted per day.
+        convergence_seconds: Longest time until an accepted change is in force on all routers.
+        machine_restarts_per_day: Machines restarted or replaced per day.
+        machine_failures_per_day: Machines that fail per day.
     """
 
     nodes: int = 390
@@ -45,17 +45,17 @@
         return total / self.nodes
 
     def engines_per_zone(self) -> float:
-        """Return the engines of a zone, if zones are alike."""
+        """Return the number of engines per zone, if all zones are equal."""
         return self.engines / self.zones
 
 
 class NodeBudget(msgspec.Struct, frozen=True):
-    """What a node may spend on control, requests and their answers not counted.
+    """Limits on a node's resources for control; requests and responses aren't counted.
 
     Attributes:
-        core_ratio: Part of one core.
-        memory_bytes: Memory.
-        bytes_per_second: Bytes sent.
+        core_ratio: Fraction of one core.
+        memory_bytes: Resident memory.
+        bytes_per_second: Bytes sent per second.
     """
 
     core_ratio: float = 0.026
--- a/emulator/capacity/peer_probes.py
+++ b/emulator/capacity/peer_probes.py
@@ -1,4 +1,4 @@
-"""Slopes of what routers share: members, entries, signed datagrams; and the cost of a probe."""
+"""Measures the cost of members, shared entries and signed datagrams, and of an engine probe."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 from hopstep.domain.rumours import EntryTable
 
 ENTRY_COUNTS = (250, 500, 1_000, 2_000)
-ENTRIES_A_DATAGRAM = (0, 4, 8, 16)
+ENTRIES_PER_DATAGRAM = (0, 4, 8, 16)
 PROBES = 400
 FACTS_PATH = "/v1/facts"
 WEIGHTS = {"model-00": "2026-11-01"}
 
 
 class ProbeCost(msgspec.Struct, frozen=True):
-    """Cost of reading one engine's facts.
+    """Cost of one probe of an engine's facts.
 
     Attributes:
         seconds: Processor time at the router.
         sent_bytes: HTTP bytes of the request.
-        received_bytes: HTTP bytes of the answer.
+        received_bytes: HTTP bytes of the response.
     """
 
     seconds: float
@@ -51,12 +51,12 @@
 
 
 def member_memory() -> Slope:
-    """Measure the memory of the table of members."""
+    """Measure the memory of the member table by number of members."""
     return fit("members", "member", "byte", ENTRY_COUNTS, lambda n: bytes_held(lambda: _members(n)))
 
 
 def entry_memory() -> Slope:
-    """Measure the memory of shared entries."""
+    """Measure the memory of shared entries by their number."""
     return fit(
         "shared entries", "entry", "byte", ENTRY_COUNTS, lambda n: bytes_held(lambda: _entries(n))
     )
@@ -68,24 +68,24 @@
 
 
 def datagram_encoding() -> Slope:
-    """Measure the time to encode and sign a datagram by the entries that it carries."""
+    """Measure the time to encode and sign a datagram by the number of its entries."""
     codec = _codec("router-001")
     return fit(
         "datagram encoding",
         "entry",
         "second",
-        ENTRIES_A_DATAGRAM,
+        ENTRIES_PER_DATAGRAM,
         lambda entries: seconds_per_call(lambda: codec.encode(_ping(entries))),
     )
 
 
 def datagram_decoding() -> Slope:
-    """Measure the time to verify and decode a datagram by the entries that it carries."""
-    return fit("datagram decoding", "entry", "second", ENTRIES_A_DATAGRAM, _decoding_seconds)
+    """Measure the time to verify and decode a datagram by the number of its entries."""
+    return fit("datagram decoding", "entry", "second", ENTRIES_PER_DATAGRAM, _decoding_seconds)
 
 
 def probe_cost() -> ProbeCost:
-    """Measure one read of an engine's facts over HTTP, the engine in another thread."""
+    """Measure one read of an engine's facts over HTTP, with the engine in another thread."""
     bound: list[str] = []
     ready = threading.Event()
     stop = threading.Event()
@@ -113,7 +113,7 @@
 
 
 async def _probe(address: str) -> ProbeCost:
-    """Read the facts many times over one kept connection."""
+    """Read the facts ``PROBES`` times over one persistent connection."""
     async with contextlib.aclosing(HttpEngine()) as engines:
         await engines.probe(address)
         started = time.thread_time()
@@ -121,18 +121,18 @@
             await engines.probe(address)
         seconds = (time.thread_time() - started) / PROBES
     async with httpx.AsyncClient() as client:
-        answer = await client.get(f"http://{address}{FACTS_PATH}")
-    request = answer.request
-    line = len(f"{request.method} {FACTS_PATH} HTTP/1.1\r\n\r\n")
+        response = await client.get(f"http://{address}{FACTS_PATH}")
+    request = response.request
+    request_line_bytes = len(f"{request.method} {FACTS_PATH} HTTP/1.1\r\n\r\n")
     return ProbeCost(
         seconds,
-        line + _header_bytes(request.headers),
-        len("HTTP/1.1 200 \r\n\r\n") + _header_bytes(answer.headers) + len(answer.content),
+        request_line_bytes + _header_bytes(request.headers),
+        len("HTTP/1.1 200 \r\n\r\n") + _header_bytes(response.headers) + len(response.content),
     )
 
 
 def _header_bytes(headers: httpx.Headers) -> int:
-    """Return the bytes of headers as HTTP/1.1 writes them."""
+    """Return the size of headers in HTTP/1.1 encoding."""
     return sum(len(name) + len(value) + len(": \r\n") for name, value in headers.raw)
 
 
@@ -183,8 +183,8 @@
 
 
 def _decoding_seconds(entries: int) -> float:
-    """Return the time to decode one datagram; each is new, as replays are cut short."""
+    """Return the time to decode one datagram; each is new, as replays are rejected early."""
     sender, receiver = _codec("router-001"), _codec("router-002")
     ping = _ping(entries)
-    both = seconds_per_call(lambda: receiver.decode(sender.encode(ping)))
-    return both - seconds_per_call(lambda: sender.encode(ping))
+    round_trip_seconds = seconds_per_call(lambda: receiver.decode(sender.encode(ping)))
+    return round_trip_seconds - seconds_per_call(lambda: sender.encode(ping))
--- a/emulator/capacity/report.py
+++ b/emulator/capacity/report.py
@@ -1,4 +1,4 @@
-"""Text and JSON of the measured slopes and the budgets."""
+"""Renders the measured slopes and the budgets as Markdown and JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CapacityReport(msgspec.Struct, frozen=True):
-    """Everything that ``hopstep-emulator capacity`` prints."""
+    """Report of ``hopstep-emulator capacity``."""
 
     size: FleetSize
     budget: NodeBudget
@@ -24,7 +24,7 @@
 
 
 def make_report(measured: Measured, size: FleetSize, budget: NodeBudget) -> CapacityReport:
-    """Return the budgets of one node at a size."""
+    """Return a report with one node's budgets at a fleet size."""
     tables = (
         memory_table(measured, size, budget),
         processor_table(measured, size, budget),
@@ -61,7 +61,7 @@
 
 
 def _quantity(value: float, unit: str) -> str:
-    """Return a value with a unit of a readable size."""
+    """Return a value with its unit, seconds as microseconds."""
     if unit == "second":
         return f"{value * 1e6:,.2f} µs"
     return f"{value:,.1f} bytes"
--- a/emulator/capacity/routing_probes.py
+++ b/emulator/capacity/routing_probes.py
@@ -1,4 +1,4 @@
-"""Slopes of routing: prompt hashing, decisions, the prefix picture, facts, ownership."""
+"""Measures routing: prompt hashing, decisions, the prefix index, facts and ownership."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 BLOCK_COUNTS = (50, 150, 450, 900)
 EVENT_KEYS = (32, 128, 512)
 MEMBER_COUNTS = (24, 97, 195, 390)
-ENGINES_A_NODE = 26
+ENGINES_PER_NODE = 26
 OWNED_COUNTS = (1_000, 2_000, 4_000, 8_000)
-OWNERS_AN_ENGINE = 2
+OWNERS_PER_ENGINE = 2
 
 
 def prompt_hashing() -> Slope:
-    """Measure the time to hash a prompt by its blocks."""
+    """Measure the time to hash a prompt by number of blocks."""
     return fit(
         "prompt hashing",
         "block",
@@ -46,28 +46,28 @@
 
 
 def decision() -> Slope:
-    """Measure the time of one choice by admissible engines, hashing included."""
+    """Measure the time of one routing decision by number of admissible engines, with hashing."""
     return fit("routing decision", "engine", "second", ENGINE_COUNTS, _decision_seconds)
 
 
-def picture_memory() -> Slope:
-    """Measure the memory of the prefix picture by heads, each held by one engine of 26."""
+def prefix_index_memory() -> Slope:
+    """Measure the memory of the prefix index by number of heads, each held by one of 26 engines."""
     return fit(
         "prefix picture",
         "head",
         "byte",
         HEAD_COUNTS,
-        lambda heads: bytes_held(lambda: _picture(heads)),
+        lambda heads: bytes_held(lambda: _prefix_index(heads)),
     )
 
 
 def event_application() -> Slope:
-    """Measure the time to take a batch of cache events by keys."""
+    """Measure the time to apply a batch of cache events by number of keys."""
     return fit("cache events taken", "key", "second", EVENT_KEYS, _event_seconds)
 
 
 def event_bytes() -> Slope:
-    """Measure the bytes of a batch of cache events, as engines send it, by keys."""
+    """Measure the encoded bytes of a batch of cache events by number of keys."""
     return fit(
         "cache events sent",
         "key",
@@ -78,7 +78,7 @@
 
 
 def facts_memory() -> Slope:
-    """Measure the memory of a router's view of engines."""
+    """Measure the memory of a router's engine views by number of engines."""
     return fit(
         "engine views",
         "engine",
@@ -89,17 +89,17 @@
 
 
 def facts_bytes() -> float:
-    """Return the bytes of one probe's answer without HTTP headers."""
+    """Return the bytes of one probe response, HTTP headers left out."""
     return float(len(msgspec.json.encode(_facts(0))))
 
 
 def ownership() -> Slope:
-    """Measure the time to find one engine's owners for the first time by members."""
+    """Measure the time to compute one engine's owners, uncached, by number of members."""
     return fit("ownership, first time", "member", "second", MEMBER_COUNTS, _ownership_seconds)
 
 
 def ownership_change() -> Slope:
-    """Measure the time to follow the loss of one of 390 members by engines."""
+    """Measure the time to recompute owners after losing one of 390 members, by engines."""
     return fit(
         "ownership, a member lost", "engine", "second", OWNED_COUNTS, _ownership_change_seconds
     )
@@ -118,7 +118,7 @@
 
 
 def _table(engines: tuple[BackEnd, ...]) -> RoutingTable:
-    """Return a table that knows every engine's facts."""
+    """Return a routing table that has every engine's facts."""
     table = RoutingTable(random.Random(1))
     for index, back_end in enumerate(engines):
         table.update_facts(back_end.address, _facts(index), 0.0)
@@ -133,16 +133,18 @@
     return seconds_per_call(lambda: table.choose(request, engines, frozenset(), 0.0))
 
 
-def _picture(heads: int) -> PrefixPicture:
-    """Return a picture of ``heads`` heads."""
+def _prefix_index(heads: int) -> PrefixPicture:
+    """Return a prefix index with ``heads`` heads."""
     generator = random.Random(2)
-    picture = PrefixPicture(heads, stride=1)
-    for index in range(ENGINES_A_NODE):
-        picture.begin_incarnation(f"engine-{index}", "1")
-    while len(picture) < heads:
+    prefix_index = PrefixPicture(heads, stride=1)
+    for index in range(ENGINES_PER_NODE):
+        prefix_index.begin_incarnation(f"engine-{index}", "1")
+    while len(prefix_index) < heads:
         prompt = [generator.getrandbits(64) for _ in range(32)]
-        picture.learn(f"engine-{generator.randrange(ENGINES_A_NODE)}", "1", prompt, len(prompt))
-    return picture
+        prefix_index.learn(
+            f"engine-{generator.randrange(ENGINES_PER_NODE)}", "1", prompt, len(prompt)
+        )
+    return prefix_index
 
 
 def _batch(keys: int) -> CacheEventBatch:
@@ -159,24 +161,24 @@
 
 
 def _ownership_seconds(members: int) -> float:
-    """Return the time for one key, over keys that no cache holds."""
+    """Return the time for one key, each one uncached."""
     rendezvous = Rendezvous.unweighted(f"router-{index}" for index in range(members))
     counter = iter(range(1 << 62))
-    return seconds_per_call(lambda: rendezvous.owners(f"engine-{next(counter)}", OWNERS_AN_ENGINE))
+    return seconds_per_call(lambda: rendezvous.owners(f"engine-{next(counter)}", OWNERS_PER_ENGINE))
 
 
 def _ownership_change_seconds(engines: int) -> float:
-    """Return the time to drop one member and ask for every engine's owners again."""
+    """Return the time to remove one member and recompute every engine's owners."""
     names = [f"router-{index}" for index in range(MEMBER_COUNTS[-1])]
     keys = [f"engine-{index}" for index in range(engines)]
     before = Rendezvous.unweighted(names)
     for key in keys:
-        before.owners(key, OWNERS_AN_ENGINE)
-    fewer = dict.fromkeys(names[1:], 1.0)
+        before.owners(key, OWNERS_PER_ENGINE)
+    remaining = dict.fromkeys(names[1:], 1.0)
 
     def change() -> None:
-        after = before.updated(fewer)
+        after = before.updated(remaining)
         for key in keys:
-            after.owners(key, OWNERS_AN_ENGINE)
+            after.owners(key, OWNERS_PER_ENGINE)
 
     return seconds_per_call(change)
--- a/emulator/capacity/samples.py
+++ b/emulator/capacity/samples.py
@@ -1,4 +1,4 @@
-"""Documents of any size that probes measure."""
+"""Sample configurations and requests of any size for measurements."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 REGIONS = 6
 ZONES = 20
 MODELS = 17
-KEYS_A_TENANT = 2
+KEYS_PER_TENANT = 2
 BLOCK_TEXT = "abcd" * BLOCK_TOKENS
 """Text of one block of the fixed-width tokenizer."""
 
@@ -31,7 +31,7 @@
 
 
 def engine(index: int) -> BackEnd:
-    """Return an engine with the labels that operators would give it."""
+    """Return an engine with labels for region, zone and tier."""
     zone = index % ZONES
     return BackEnd(
         name=f"engine-{index:05}",
@@ -43,7 +43,7 @@
 
 def tenant(index: int) -> Tenant:
     """Return a tenant that is bound to one region, with two keys and limits."""
-    keys = (f"{index}:{key}" for key in range(KEYS_A_TENANT))
+    keys = (f"{index}:{key}" for key in range(KEYS_PER_TENANT))
     return Tenant(
         name=f"tenant-{index:05}",
         key_hashes=tuple(hashlib.sha256(key.encode()).hexdigest() for key in keys),
--- a/emulator/capacity/slopes.py
+++ b/emulator/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measurements at several sizes."""
+"""Fits straight lines to measurements at several sizes."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 import numpy
 
 MINIMUM_SECONDS = 0.05
-"""Shortest time over which a call is repeated for one reading."""
+"""Shortest processor time of the repeated calls of one reading."""
 
 READINGS = 5
-"""Readings of a time; the median counts, since machines are noisy."""
+"""Readings per measurement of a time; the median reduces noise."""
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A measured quantity as a line over a size.
+    """A measured quantity as a linear function of a size.
 
     Attributes:
-        mechanism: What was measured.
+        mechanism: Name of the measured mechanism.
         size_unit: Unit of the size, such as ``tenant``.
         value_unit: Unit of the value, such as ``byte`` or ``second``.
-        sizes: Measured sizes.
-        values: Value at each size.
-        per_unit: Slope by least squares.
-        fixed: Value at size 0 by the same line; may be slightly negative.
+        sizes: Sizes at which it was measured.
+        values: Measured value at each size.
+        per_unit: Slope of the least-squares line.
+        fixed: Value of the line at size 0; may be slightly negative.
     """
 
     mechanism: str
@@ -39,7 +39,7 @@
     fixed: float
 
     def at(self, size: float) -> float:
-        """Return the value that the line gives at ``size``."""
+        """Return the line's value at ``size``."""
         return self.fixed + self.per_unit * size
 
 
@@ -53,7 +53,7 @@
     """Measure at each size and fit a line.
 
     Args:
-        mechanism: What is measured.
+        mechanism: Name of the measured mechanism.
         size_unit: Unit of the size.
         value_unit: Unit of the value.
         sizes: At least two sizes.
@@ -89,7 +89,7 @@
 
 
 def _repeats(call: Callable[[], object]) -> int:
-    """Return how many calls fill ``MINIMUM_SECONDS``."""
+    """Return a number of calls that takes at least ``MINIMUM_SECONDS``."""
     repeats = 1
     while (spent := _process_seconds(call, repeats)) < MINIMUM_SECONDS:
         growth = MINIMUM_SECONDS / max(spent, 1e-6)
@@ -98,7 +98,7 @@
 
 
 def _process_seconds(call: Callable[[], object], repeats: int) -> float:
-    """Return the processor time of ``repeats`` calls."""
+    """Return the processor time of ``repeats`` calls in seconds."""
     started = time.process_time()
     for _ in range(repeats):
         call()
