--- a/emulator/cli/bench.py
+++ b/emulator/cli/bench.py
@@ -1,4 +1,4 @@
-"""``hopstep-emulator bench``: speed by real processes, then the routing experiments."""
+"""``hopstep-emulator bench``: speed benchmarks with real processes, and routing experiments."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 _ENGINES = flags.DEFINE_integer("engines", 6, "Engines behind the router.", lower_bound=1)
 _LOADS = flags.DEFINE_integer("load_processes", 6, "Client processes.", lower_bound=1)
 _SHORT_REQUESTS = flags.DEFINE_integer(
-    "short_requests", 6_000, "Short requests, for rate and memory; 100000 for the whole check."
+    "short_requests", 6_000, "Short requests, for rate and memory; 100000 for the full check."
 )
-_DIRECTORY = flags.DEFINE_string("directory", "build/reports", "Where reports go.")
+_DIRECTORY = flags.DEFINE_string("directory", "build/reports", "Directory of the reports.")
 
 
 def run() -> int:
-    """Run the benchmarks and print their figures."""
+    """Run the benchmarks and print their results."""
     import msgspec
 
     from emulator.benchmarks.speed import BenchmarkOptions, measure_speed
--- a/emulator/cli/capacity.py
+++ b/emulator/cli/capacity.py
@@ -1,4 +1,4 @@
-"""``hopstep-emulator capacity``: slopes measured here, and a node's budgets at full size."""
+"""``hopstep-emulator capacity``: measures slopes, and computes a node's budgets at full size."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from absl import flags
 
-_JSON = flags.DEFINE_string("json", "", "File for the figures as JSON; empty for none.")
+_JSON = flags.DEFINE_string("json", "", "File for the results as JSON; empty for none.")
 
 
 def run() -> int:
-    """Measure, print the tables, and write the JSON."""
+    """Run the measurements, print the tables and write the JSON file."""
     from emulator.capacity.budget import measure
     from emulator.capacity.fleet_size import FleetSize, NodeBudget
     from emulator.capacity.report import encode, make_report, render
--- a/emulator/cli/engine.py
+++ b/emulator/cli/engine.py
@@ -1,4 +1,4 @@
-"""``hopstep-emulator engine``: one inference engine."""
+"""``hopstep-emulator engine``: one emulated inference engine."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _WAITING = flags.DEFINE_integer("max_waiting_requests", 64, "Length of the queue.")
 _PREFILL = flags.DEFINE_float("prefill_tokens_per_second", 8_000.0, "Speed of prefill.")
 _DECODE_BASE = flags.DEFINE_float("decode_base_seconds", 0.015, "Time of an empty decode step.")
-_DECODE_EACH = flags.DEFINE_float(
+_DECODE_PER_REQUEST = flags.DEFINE_float(
     "decode_seconds_per_request", 0.000_5, "Time that each request adds to a decode step."
 )
 _WEIGHT_LOAD = flags.DEFINE_float(
@@ -33,7 +33,7 @@
 
 
 def run() -> int:
-    """Serve until a signal."""
+    """Serve until SIGTERM or SIGINT."""
     from emulator.engine.config import EngineConfig
     from emulator.engine.service import serve_engine
     from hopstep.settings import TlsSettings
@@ -44,7 +44,7 @@
         max_waiting_requests=_WAITING.value,
         prefill_tokens_per_second=_PREFILL.value,
         decode_base_seconds=_DECODE_BASE.value,
-        decode_seconds_per_request=_DECODE_EACH.value,
+        decode_seconds_per_request=_DECODE_PER_REQUEST.value,
         weight_load_seconds=_WEIGHT_LOAD.value,
     )
     serve = functools.partial(
--- a/emulator/cli/experiment.py
+++ b/emulator/cli/experiment.py
@@ -20,8 +20,10 @@
 _SCENARIOS = flags.DEFINE_list("scenarios", list(SCENARIOS), "Scenarios to run.")
 _STRATEGIES = flags.DEFINE_list("strategies", list(STRATEGY_NAMES), "Strategies to compare.")
 _SEEDS = flags.DEFINE_list("seeds", [str(seed) for seed in DEFAULT_SEEDS], "Seeds of traces.")
-_WORKERS = flags.DEFINE_integer("workers", DEFAULT_WORKERS, "Scenarios at once.", lower_bound=1)
-_DIRECTORY = flags.DEFINE_string("directory", str(DEFAULT_DIRECTORY), "Where reports go.")
+_WORKERS = flags.DEFINE_integer(
+    "workers", DEFAULT_WORKERS, "Scenarios that run concurrently.", lower_bound=1
+)
+_DIRECTORY = flags.DEFINE_string("directory", str(DEFAULT_DIRECTORY), "Directory of the reports.")
 
 
 def run() -> int:
--- a/emulator/cli/load.py
+++ b/emulator/cli/load.py
@@ -11,26 +11,28 @@
 _TARGETS = flags.DEFINE_list("targets", [], "Routers or engines, ip:port on loopback.")
 _MODE = flags.DEFINE_enum("mode", "router", ["router", "direct"], "What the targets are.")
 _REQUESTS = flags.DEFINE_integer("requests", 100, "Requests to send.", lower_bound=1)
-_CONCURRENCY = flags.DEFINE_integer("concurrency", 4, "Requests at once.", lower_bound=1)
-_MAX_SECONDS = flags.DEFINE_float("max_seconds", 60.0, "Bound on the run.")
+_CONCURRENCY = flags.DEFINE_integer("concurrency", 4, "Concurrent requests.", lower_bound=1)
+_MAX_SECONDS = flags.DEFINE_float("max_seconds", 60.0, "Longest duration of the run.")
 _TENANT = flags.DEFINE_string("tenant", "", "Tenant's name; salts direct calls.")
 _KEY = flags.DEFINE_string("key", "", "Tenant's bearer key.")
 _CLASS = flags.DEFINE_string("class", "", "Request class; empty for the tenant's own.")
 _MODEL = flags.DEFINE_string("model", "", "Model.")
-_PREFIX_TOKENS = flags.DEFINE_integer("prefix_tokens", 512, "Prompt tokens that all share.")
-_TAIL_TOKENS = flags.DEFINE_integer("tail_tokens", 32, "Prompt tokens of each request alone.")
-_OUTPUT_TOKENS = flags.DEFINE_integer("output_tokens", 32, "Tokens of each answer.")
+_PREFIX_TOKENS = flags.DEFINE_integer(
+    "prefix_tokens", 512, "Prompt tokens that all requests share."
+)
+_TAIL_TOKENS = flags.DEFINE_integer("tail_tokens", 32, "Prompt tokens unique to each request.")
+_OUTPUT_TOKENS = flags.DEFINE_integer("output_tokens", 32, "Tokens of each response.")
 _SEED = flags.DEFINE_integer("seed", 0, "Seed of the prompts.")
 _FORMAT = flags.DEFINE_enum("format", "text", ["text", "json"], "Output format.")
 
 
 def run() -> int:
-    """Send the load; 1 unless every answer came whole and right."""
+    """Send the load; return 1 unless every response is complete and correct."""
     return trio.run(_run)
 
 
 async def _run() -> int:
-    """Send the load and print its figures."""
+    """Send the load, print its summary and return the exit code."""
     import msgspec
 
     from emulator.load.direct_client import DirectClient
--- a/emulator/cli/main.py
+++ b/emulator/cli/main.py
@@ -1,4 +1,4 @@
-"""The stand-ins and the experiment tool: ``hopstep-emulator ROLE [--flag=value ...]``.
+"""Emulated services and measurement tools: ``hopstep-emulator ROLE [--flag=value ...]``.
 
 Roles: ``engine``, ``platform``, ``load``, ``experiment``, ``bench``, ``scale``,
 ``capacity``, ``recovery``, ``soak``.
@@ -31,22 +31,22 @@
 
 
 def main() -> None:
-    """Enter the command."""
+    """Run the role that the command line names."""
     role = sys.argv[1] if len(sys.argv) > 1 else ""
     if role not in ROLES:
         print(__doc__, file=sys.stderr)
         sys.exit(0 if role in ("--help", "--helpfull") else EXIT_BAD_USAGE)
-    # Only the chosen role's module is imported: its flags, and what it needs.
+    # Import only the chosen role's module, which defines its flags and loads its dependencies.
     module = importlib.import_module(f"emulator.cli.{role}")
     arguments = [f"{sys.argv[0]} {role}", *sys.argv[2:]]
     documentation = module.__doc__ or ""
-    run_command(lambda rest: _run(module, rest), documentation, EXIT_BAD_USAGE, arguments)
+    run_command(lambda arguments: _run(module, arguments), documentation, EXIT_BAD_USAGE, arguments)
 
 
-def _run(module: object, rest: Sequence[str]) -> int:
+def _run(module: object, arguments: Sequence[str]) -> int:
     """Run a role and return the exit code."""
-    if len(rest) > 1:
-        print(f"unexpected argument {rest[1]!r}", file=sys.stderr)
+    if len(arguments) > 1:
+        print(f"unexpected argument {arguments[1]!r}", file=sys.stderr)
         return EXIT_BAD_USAGE
     logging.getLogger().setLevel(logging.WARNING)
     run = getattr(module, "run")  # noqa: B009 - the type of a role's module
--- a/emulator/cli/platform.py
+++ b/emulator/cli/platform.py
@@ -1,4 +1,4 @@
-"""``hopstep-emulator platform``: one of the platform's services."""
+"""``hopstep-emulator platform``: one of the emulated platform services."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def run() -> int:
-    """Serve until a signal."""
+    """Serve until SIGTERM or SIGINT."""
     services = {
         "store": _store,
         "weight_store": _weight_store,
@@ -41,7 +41,7 @@
 
 
 def _store() -> Serve:
-    """Return the key-value service and the machine list."""
+    """Return the server of the key-value service and the machine list."""
     from emulator.platform.server import serve_platform
     from hopstep.ports.machine_list import Machine, MachineState
 
@@ -58,7 +58,7 @@
 
 
 def _weight_store() -> Serve:
-    """Return the weight store."""
+    """Return the server of the weight store."""
     from emulator.weight_store.model import WeightStoreModel
     from emulator.weight_store.server import serve_weight_store
 
@@ -67,7 +67,7 @@
 
 
 def _kv_cache_store() -> Serve:
-    """Return the KV cache store."""
+    """Return the server of the KV cache store."""
     from emulator.kv_cache_store.server import serve_kv_cache_store
 
     return functools.partial(serve_kv_cache_store, _ADDRESS.value, capacity_blocks=_CAPACITY.value)
--- a/emulator/cli/process.py
+++ b/emulator/cli/process.py
@@ -1,4 +1,4 @@
-"""What the roles' processes share: flags' checks, signals, the line that says ready."""
+"""Helpers for the roles' processes: signals, the readiness line and flag parsing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Serve(Protocol):
-    """Serves until a shutdown; ``started`` takes the bound addresses."""
+    """Serves until shutdown; reports the bound addresses through ``task_status``."""
 
     def __call__(
         self,
@@ -29,10 +29,10 @@
 
 
 async def serve_until_signal(serve: Serve) -> None:
-    """Serve until a signal comes; print the bound addresses once open.
+    """Serve until a signal arrives; print the bound addresses once listening.
 
     Args:
-        serve: Server of the role.
+        serve: Server to run.
     """
     async with trio.open_nursery() as nursery:
         bound = await nursery.start(serve, wait_for_signal)
@@ -40,11 +40,11 @@
 
 
 def parse_pairs(pairs: list[str], flag: str) -> dict[str, str]:
-    """Return ``name=value`` pairs of a list flag.
+    """Parse the ``name=value`` pairs of a list flag.
 
     Args:
-        pairs: Values of the flag.
-        flag: Name of the flag, for errors.
+        pairs: Items of the flag's value.
+        flag: Name of the flag, for error messages.
 
     Raises:
         ValueError: When a pair has no ``=``.
--- a/emulator/cli/recovery.py
+++ b/emulator/cli/recovery.py
@@ -1,8 +1,8 @@
-"""``hopstep-emulator recovery``: overload, and the time back to steady after losses.
+"""``hopstep-emulator recovery``: behaviour under overload, and recovery times after failures.
 
 Runs the routers' real services over emulated engines in virtual time: twice the capacity for
-five minutes, a restart of all routers, the loss of a third of the engines, a restart while the
-store is down. Prints a table and writes ``recovery.json``.
+five minutes, a restart of all routers, the loss of a third of the engines, and a restart
+while the store is down. Prints a table and writes ``recovery.json``.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 _OVERLOAD_SECONDS = flags.DEFINE_float(
     "overload_seconds", Plan().overload_seconds, "Virtual time at twice the capacity.", 1.0
 )
-_DIRECTORY = flags.DEFINE_string("directory", str(DEFAULT_DIRECTORY), "Where the report goes.")
+_DIRECTORY = flags.DEFINE_string("directory", str(DEFAULT_DIRECTORY), "Directory of the report.")
 
 
 def run() -> int:
--- a/emulator/cli/scale.py
+++ b/emulator/cli/scale.py
@@ -1,4 +1,4 @@
-"""``hopstep-emulator scale``: hollow nodes in one process, and the slopes they show."""
+"""``hopstep-emulator scale``: measures the membership of many hollow nodes in one process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from absl import flags
 
 _NODES = flags.DEFINE_list("nodes", [], "Cluster sizes, with commas; empty for the default ones.")
-_SEED = flags.DEFINE_integer("seed", 1, "Seed of all chance.")
+_SEED = flags.DEFINE_integer("seed", 1, "Seed of all random draws.")
 
 
 def run() -> int:
--- a/emulator/cli/soak.py
+++ b/emulator/cli/soak.py
@@ -1,7 +1,7 @@
-"""``hopstep-emulator soak``: real nodes as processes under drawn faults, promises checked.
+"""``hopstep-emulator soak``: runs real nodes as processes under random faults.
 
-Starts a few nodes, a store and instances on loopback, each behind proxies. Faults of all kinds are
-drawn by the seed; callers record what they see. Exit code 1 when a promise was broken.
+Starts some nodes, a store and instances on loopback, each behind proxies. The seed determines
+the faults; callers record what they observe. Exit code 1 when a guarantee was violated.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from emulator.soak.run import SoakPlan, SoakResult, run_soak
 
 MAX_NODES = 64
-"""Some 35 MB and, with traffic, a twentieth of a core each."""
+"""Limit on ``--nodes``; a node takes some 35 MB and, with traffic, a twentieth of a core."""
 
 _SEED = flags.DEFINE_integer("seed", 1, "Seed of the first soak.", 0)
 _RUNS = flags.DEFINE_integer("runs", 1, "Soaks, one after the other, with rising seeds.", 1)
@@ -35,8 +35,8 @@
 
 
 def run() -> int:
-    """Run the soaks; 1 when a promise was broken."""
-    broken = 0
+    """Run the soaks; return 1 when a guarantee was violated."""
+    violations = 0
     for seed in range(_SEED.value, _SEED.value + _RUNS.value):
         with tempfile.TemporaryDirectory() as temporary:
             directory = Path(_DIRECTORY.value or temporary) / f"soak-{seed}"
@@ -50,12 +50,12 @@
                 profile=_PROFILE.value,
                 other_build=Path(_OTHER_BUILD.value) if _OTHER_BUILD.value else None,
             )
-            broken += _report(seed, trio.run(run_soak, plan))
-    return 1 if broken else 0
+            violations += _report(seed, trio.run(run_soak, plan))
+    return 1 if violations else 0
 
 
 def _report(seed: int, result: SoakResult) -> int:
-    """Print what came of a soak and return the number of broken promises."""
+    """Print the result of a soak and return the number of violations."""
     stalls = result.stalls
     print(f"soak: seed {seed}, {result.profile}, {result.requests} requests, {result.statuses}")
     print(f"soak: {result.route_changes} changes of routes, faults {result.faults}")
