--- a/emulator/experiments/__init__.py
+++ b/emulator/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Routing experiments in virtual time over the pure engine model."""
+"""Routing experiments in virtual time, with engine models without I/O."""
--- a/emulator/experiments/command.py
+++ b/emulator/experiments/command.py
@@ -1,4 +1,4 @@
-"""The experiment command: runs, prints, writes reports."""
+"""Runs experiments, prints their tables and writes the reports."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class ScenarioPlan(msgspec.Struct, frozen=True):
-    """One scenario to run, by names, as it goes to a worker.
+    """One scenario to run, in the form that is sent to a worker process.
 
     Attributes:
         deployment: Name of the deployment.
         scenario: Name of the scenario.
         strategies: Names of the strategies.
-        seeds: One trace for each.
+        seeds: Seeds of the traces, one trace each.
     """
 
     deployment: str
@@ -65,20 +65,20 @@
         deployments: Names of deployments.
         scenarios: Names of scenarios.
         strategies: Names of strategies.
-        seeds: One trace for each, in every scenario.
-        directory: Where ``experiments.json`` and ``experiments.html`` go.
-        workers: Scenarios run at once, each in a process; 1 runs all in this one. The figures
-            don't depend on it.
+        seeds: Seeds of the traces, one trace each in every scenario.
+        directory: Directory of ``experiments.json`` and ``experiments.html``.
+        workers: Worker processes, each running one scenario at a time; 1 runs all scenarios in
+            this process. The results don't depend on it.
 
     Raises:
-        ValueError: An unknown name; the message lists the known ones.
+        ValueError: When a name is unknown; the message lists the known ones.
     """
     plans = [
         ScenarioPlan(deployment, scenario, tuple(strategies), tuple(seeds))
         for deployment in deployments
         for scenario in scenarios
     ]
-    _check(plans)
+    _check_names(plans)
     started = time.monotonic()
     results = _run_plans(plans, workers)
     directory.mkdir(parents=True, exist_ok=True)
@@ -91,8 +91,8 @@
     return results
 
 
-def _check(plans: Sequence[ScenarioPlan]) -> None:
-    """Raise ``ValueError`` for a name that nobody knows, before anything runs."""
+def _check_names(plans: Sequence[ScenarioPlan]) -> None:
+    """Raise ``ValueError`` for an unknown name, before any scenario runs."""
     for plan in plans:
         _find(DEPLOYMENTS, plan.deployment, "deployment")
         _find(SCENARIOS, plan.scenario, "scenario")
@@ -103,7 +103,7 @@
 
 
 def _run_plans(plans: Sequence[ScenarioPlan], workers: int) -> list[Result]:
-    """Run plans, several at once, and return their results in order."""
+    """Run plans in parallel, and return their results in the order of the plans."""
     results: list[Result] = []
     if workers <= 1:
         for plan in plans:
@@ -124,13 +124,13 @@
 
 
 def _show_progress(line: str) -> None:
-    """Show which run is under way; on a terminal the line replaces the one before."""
+    """Print the current run; on a terminal, the line replaces the previous one."""
     end = "\r" if sys.stderr.isatty() else "\n"
     print(line.ljust(78), end=end, file=sys.stderr, flush=True)
 
 
 def _find(known: dict[str, Item], name: str, kind: str) -> Item:
-    """Return a named item, or say which names there are."""
+    """Return the item with a name; raise ``ValueError`` with the known names otherwise."""
     if name not in known:
         raise ValueError(f"unknown {kind} {name!r}; expected one of {sorted(known)}")
     return known[name]
--- a/emulator/experiments/deployments.py
+++ b/emulator/experiments/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments that experiments run: the example configurations and their traffic."""
+"""The two deployments of the experiments: example configurations with their traffic."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from hopstep.domain.configuration.document import BackEnd, BackEndKind, Configuration
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
-"""Directory of the example configurations, whose routing weights the experiments measure."""
+"""Directory of the example configurations, whose routing weights the experiments use."""
 
 NEXT_WEIGHTS = "next"
-"""Weights version that the rolling-weights scenario brings in."""
+"""Weights version that the ``rolling_weights`` scenario rolls out."""
 
 
 class TrafficShape(msgspec.Struct, frozen=True):
@@ -22,15 +22,15 @@
 
     Attributes:
         request_class: Name of the class.
-        model: Model that it asks for.
-        share: Share of the requests.
-        outer_tokens: Length of the tenant's outer prefix; 0 for none.
-        middle_tokens: Length of the middle prefix below it; 0 for none.
+        model: Name of the requested model.
+        share: Fraction of all requests.
+        outer_tokens: Length of the outer prefix, shared by the tenant's requests; 0 for none.
+        middle_tokens: Length of the middle prefix, which follows the outer one; 0 for none.
         inner_tokens: Length of an inner prefix that several requests share; 0 for none.
         requests_per_inner: Mean number of requests that share one inner prefix.
         inner_spread_seconds: Mean time between two requests of one inner prefix.
-        tail_tokens: Mean length of the part that no other request shares.
-        output_tokens: Mean length of the answer.
+        tail_tokens: Mean length of the part that is unique to a request.
+        output_tokens: Mean length of the response.
         target_seconds: Longest wait for a first token that counts as good.
     """
 
@@ -48,22 +48,22 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """Everything that experiments need to know of one deployment.
+    """Configuration, sizes and traffic of one deployment.
 
     Attributes:
-        name: Its name, also that of its example directory.
-        main_measure: Measure that its users weigh most.
+        name: Name of the deployment and of its example directory.
+        main_measure: Measure that matters most to its users.
         zone_latency_seconds: One-way latency between zones.
         client_latency_seconds: One-way latency between clients and routers.
         configuration: The operators' configuration.
-        engine: Sizes and speeds of an engine.
-        concurrent_fast_loads: Weight loads at once that don't slow each other down.
-        kv_cache_store_blocks: Room of the KV cache store.
-        outer_prefixes: Outer prefixes of a tenant.
-        middle_prefixes: Middle prefixes below each outer one.
+        engine: Sizes and speeds of every engine.
+        concurrent_fast_loads: Concurrent weight loads that don't slow each other down.
+        kv_cache_store_blocks: Capacity of the KV cache store in blocks.
+        outer_prefixes: Number of outer prefixes of a tenant.
+        middle_prefixes: Number of middle prefixes per outer one.
         traffic: Classes of traffic.
         requests_per_second: Steady arrival rate.
-        capacity_per_second: Highest arrival rate that omniscient routing carries within target.
+        capacity_per_second: Highest arrival rate at which omniscient routing meets the targets.
     """
 
     name: str
@@ -85,7 +85,7 @@
         return [item for item in self.configuration.back_ends if item.kind is kind]
 
     def weights(self) -> dict[str, str]:
-        """Return the first weights version by model."""
+        """Return the initial weights version of each model."""
         return {model.name: model.weights_version for model in self.configuration.models}
 
 
@@ -97,7 +97,7 @@
 
 
 def catalogue() -> Deployment:
-    """Return the union catalogue: long record batches beside quick desk questions."""
+    """Return the library catalogue: long batches of records and short interactive questions."""
     return Deployment(
         name="catalogue",
         main_measure="hit_rate",
@@ -141,7 +141,7 @@
 
 
 def burdekin() -> Deployment:
-    """Return the label printer: artwork checks, barcode lookups, tickets that arrive once."""
+    """Return the label printer: artwork checks, barcode lookups and unique job tickets."""
     return Deployment(
         name="burdekin",
         main_measure="ttft_p99/all",
@@ -185,4 +185,4 @@
 
 
 DEPLOYMENTS = {"catalogue": catalogue, "burdekin": burdekin}
-"""Deployments by name."""
+"""Functions that return a deployment, by its name."""
--- a/emulator/experiments/measures.py
+++ b/emulator/experiments/measures.py
@@ -1,4 +1,4 @@
-"""What became of each request of a run, and the measures over all of them."""
+"""Outcomes of a run's requests, and the measures over all of them."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 
 
 class Outcome(msgspec.Struct):
-    """What became of one request.
+    """Outcome of one request; times are virtual, in seconds.
 
     Attributes:
-        request_class: Its class.
-        tenant: Its tenant.
-        sent_at: When the client sent it.
+        request_class: Name of the request class.
+        tenant: Name of the tenant.
+        sent_at: Time at which the client sent the request.
         target_seconds: Longest wait for a first token that counts as good.
-        prompt_tokens: Length of its prompt.
-        cached_tokens: Of these, taken from the engine's cache, by the attempt that answered.
-        imported_tokens: Of these, imported from the KV cache store.
-        wasted_tokens: Prefilled although a valid copy was admissible, over all attempts.
-        prefilled_tokens: Prefilled over all attempts.
-        first_token_at: When the client got the first token.
-        finished_at: When the client got the last token.
-        refused_at: When the client got a refusal.
-        attempts: Attempts sent to engines.
+        prompt_tokens: Length of the prompt.
+        cached_tokens: Prompt tokens that the attempt started last took from the engine's cache.
+        imported_tokens: Prompt tokens that it imported from the KV cache store.
+        wasted_tokens: Tokens prefilled although an admissible engine or the KV cache store had a
+            valid copy, over all attempts.
+        prefilled_tokens: Tokens prefilled over all attempts.
+        first_token_at: Time at which the client received the first token.
+        finished_at: Time at which the client received the last token.
+        refused_at: Time at which the client received a refusal.
+        attempts: Number of attempts sent to engines.
     """
 
     request_class: str
@@ -45,12 +46,12 @@
 
     @property
     def first_token_seconds(self) -> float:
-        """Time to the first token, as the client sees it."""
+        """Time to the first token at the client, in seconds."""
         return self.first_token_at - self.sent_at
 
 
 class Percentiles(msgspec.Struct, frozen=True):
-    """Time to first token of one class, in seconds."""
+    """Percentiles of the time to first token, in seconds."""
 
     p50: float
     p95: float
@@ -61,16 +62,15 @@
     """Measures of one run.
 
     Attributes:
-        requests: Requests sent.
-        hit_rate: Prompt tokens served from engines' caches over prompt tokens.
-        import_rate: Prompt tokens imported over prompt tokens.
-        wasted_rate: Prompt tokens prefilled although a valid copy was admissible, over
-            prompt tokens.
-        first_token: Percentiles by class, and over all classes under ``all``.
-        goodput: Share of the requests whose first token came within its class's target and
-            whose answer came whole.
-        refused_rate: Share of the requests that were refused or not answered.
-        attempts_per_request: Attempts sent to engines over requests.
+        requests: Number of requests sent.
+        hit_rate: Fraction of the prompt tokens served from engines' caches.
+        import_rate: Fraction of the prompt tokens that were imported.
+        wasted_rate: Tokens prefilled although a valid copy was admissible, over prompt tokens.
+        first_token: Percentiles by class; those over all classes under ``all``.
+        goodput: Fraction of the requests with a first token within their class's target and a
+            complete response.
+        refused_rate: Fraction of the requests that were refused or not completed.
+        attempts_per_request: Mean number of attempts sent to engines per request.
     """
 
     requests: int
@@ -103,7 +103,7 @@
 
 
 def percentiles(values: Iterable[float]) -> Percentiles:
-    """Return the percentiles of some times; zeros when there are none."""
+    """Return the percentiles of ``values``; zeros when there are none."""
     ordered = sorted(values)
     if not ordered:
         return Percentiles(0.0, 0.0, 0.0)
@@ -114,13 +114,13 @@
 
 
 def _is_good(outcome: Outcome) -> bool:
-    """Return whether a request was answered whole and in time."""
+    """Return whether the response is complete and the first token came in time."""
     in_time = outcome.first_token_seconds <= outcome.target_seconds
     return in_time and outcome.finished_at < NEVER
 
 
 def _by_class(answered: Sequence[Outcome]) -> dict[str, Percentiles]:
-    """Return the percentiles of the time to first token, by class and over all."""
+    """Return the percentiles of the time to first token, by class and over all classes."""
     classes = sorted({item.request_class for item in answered})
     result = {
         name: percentiles(
--- a/emulator/experiments/omniscient.py
+++ b/emulator/experiments/omniscient.py
@@ -1,7 +1,7 @@
-"""The omniscient strategy: sees true caches, loads and the KV cache store; an upper bound.
+"""The omniscient strategy, an upper bound that sees the engines' actual state.
 
-It is greedy: it takes the least expected time to first token for the request at hand, and
-doesn't plan for later ones.
+It knows all caches, loads and the KV cache store. It is greedy: it minimizes the expected time
+to first token of the current request, without planning for later ones.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 
 class OmniscientStrategy(Strategy):
-    """Greedy choice by the truth."""
+    """Greedy choice by the engines' actual state."""
 
     def __init__(
         self, world: World, configuration: Configuration, random_source: random.Random
     ) -> None:
-        """Look into a world.
+        """Create the strategy of one router.
 
         Args:
-            world: True engines and store.
-            configuration: Costs and speeds.
-            random_source: Breaks ties.
+            world: Simulated engines and KV cache store.
+            configuration: Configuration with the routing policy's costs and speeds.
+            random_source: Generator that breaks ties.
         """
         self._world = world
         self._index = ConfigurationIndex(configuration)
@@ -58,7 +58,7 @@
         return plain_choice(best, item, cached_tokens=cached * BLOCK_TOKENS, kv_cache_store=store)
 
     def _serves(self, back_end: BackEnd, item: TraceRequest, now: float) -> bool:
-        """Return whether an engine has the weights."""
+        """Return whether an engine has loaded the request's weights."""
         model = item.request.model
         facts = self._world.engines[back_end.address].model.facts(now)
         return facts.weights.get(model.name) == model.weights_version
@@ -75,7 +75,10 @@
         computed = item.prepared.token_count - cached - imported
         load = model.load(now)
         wait = load.waiting_prefill_tokens / policy.prefill_tokens_per_second
-        own = computed / policy.prefill_tokens_per_second
+        prefill_seconds = computed / policy.prefill_tokens_per_second
         if imported:
-            own += imported / policy.import_tokens_per_second
-        return policy.recompute_weight * own + policy.wait_weight * wait, self._random.random()
+            prefill_seconds += imported / policy.import_tokens_per_second
+        return (
+            policy.recompute_weight * prefill_seconds + policy.wait_weight * wait,
+            self._random.random(),
+        )
--- a/emulator/experiments/plots.py
+++ b/emulator/experiments/plots.py
@@ -18,7 +18,7 @@
 
 
 def plot_measure(results: Sequence[Result], measure: str, title: str) -> bytes:
-    """Return a PNG image: one group of bars for each scenario, one bar for each strategy.
+    """Return a PNG image with a group of bars per scenario and a bar per strategy.
 
     Args:
         results: Results of one deployment.
--- a/emulator/experiments/report.py
+++ b/emulator/experiments/report.py
@@ -1,4 +1,4 @@
-"""Reports of experiments: a table for the terminal, JSON, and a page with plots."""
+"""Renders experiment results as text tables, JSON and an HTML page with plots."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ("refused_rate", "refused"),
     ("attempts_per_request", "attempts"),
 )
-"""Measures of the table, with their headings."""
+"""Measures in the table, with their column headings."""
 
 PLOTS = (
     ("hit_rate", "Prefix hit rate"),
@@ -31,14 +31,14 @@
     ("ttft_p99/all", "Time to first token, p99 (s)"),
     ("goodput", "Goodput"),
 )
-"""Measures of the plots, with their titles."""
+"""Plotted measures, with their titles."""
 
 STRATEGY_WIDTH = 24
 COLUMN_WIDTH = 21
 
 
 def terminal_table(results: Sequence[Result]) -> str:
-    """Return a table: medians, with the lowest and the highest value over the seeds."""
+    """Return a table of medians with the lowest and highest value over the seeds."""
     lines: list[str] = []
     group = ("", "")
     for result in results:
@@ -52,7 +52,7 @@
 
 
 def class_table(results: Sequence[Result], strategies: Sequence[str]) -> str:
-    """Return the 99th percentile of the time to first token by class, for some strategies."""
+    """Return the 99th percentile of the time to first token by class, for given strategies."""
     lines = ["", "TTFT p99 by class, in seconds (median over the seeds)"]
     for result in results:
         if result.strategy not in strategies:
@@ -73,7 +73,7 @@
 
 
 def write_page(results: Sequence[Result], seeds: Sequence[int], path: Path) -> None:
-    """Write one HTML page with the table and the plots, without outside references."""
+    """Write a self-contained HTML page with the tables and the plots."""
     parts = [
         "<!doctype html><meta charset='utf-8'><title>hopstep experiments</title>",
         "<h1>Routing experiments</h1>",
@@ -90,7 +90,7 @@
 
 
 def _cell(result: Result, name: str) -> str:
-    """Return one cell of the table."""
+    """Return the text of one table cell."""
     spread = result.measures.get(name)
     if spread is None:
         return "-"
--- a/emulator/experiments/runner.py
+++ b/emulator/experiments/runner.py
@@ -1,4 +1,4 @@
-"""Runs every strategy on the same traces, and reduces the seeds to medians with spread."""
+"""Runs strategies on the same traces, and summarizes each measure over the seeds."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 
     Attributes:
         name: Its name in reports.
-        make: Returns the factory of routers' strategies for a configuration and a hasher.
-        imports: Whether it may import from the KV cache store.
+        make: Returns a factory of routers' strategies, given a configuration and a prompt hasher.
+        imports: Whether it may import blocks from the KV cache store.
     """
 
     name: str
@@ -84,7 +84,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """Median of a measure over the seeds, with the lowest and the highest value."""
+    """Median, lowest and highest value of a measure over the seeds."""
 
     median: float
     lowest: float
@@ -121,7 +121,7 @@
         deployment: The deployment.
         scenario: The scenario.
         kinds: Strategies.
-        seeds: One trace each.
+        seeds: Seeds of the traces, one trace each.
         progress: Called with a line before each run.
     """
     measured: dict[str, list[Measures]] = {kind.name: [] for kind in kinds}
@@ -144,13 +144,13 @@
     trace: list[TraceRequest],
     seed: int,
 ) -> Measures:
-    """Run one strategy on one trace and return its measures, without the warm-up."""
+    """Run one strategy on one trace and return its measures after the warm-up."""
     if not kind.imports:
         deployment = _without_imports(deployment)
     simulation = Simulation(
         deployment,
         trace,
-        kind.make(deployment.configuration, _remembering_hasher(trace)),
+        kind.make(deployment.configuration, _precomputed_hasher(trace)),
         seed,
         event_loss_ratio=scenario.event_loss_ratio,
         event_delay_seconds=scenario.event_delay_seconds,
@@ -162,7 +162,7 @@
 
 
 def _without_imports(deployment: Deployment) -> Deployment:
-    """Return the deployment with KV imports switched off."""
+    """Return the deployment with KV cache imports disabled."""
     configuration = deployment.configuration
     routing = msgspec.structs.replace(configuration.routing, import_tokens_per_second=0.0)
     return msgspec.structs.replace(
@@ -170,12 +170,12 @@
     )
 
 
-def _remembering_hasher(trace: Iterable[TraceRequest]) -> HashPrompt:
-    """Return a hasher that knows the block keys of the trace's prompts."""
+def _precomputed_hasher(trace: Iterable[TraceRequest]) -> HashPrompt:
+    """Return a hasher that looks up the precomputed block keys of the trace's prompts."""
     by_text = {item.request.prompt: item.prepared.block_keys for item in trace}
 
     def hash_prompt(text: str, salt: str) -> list[int]:
-        del salt  # Each prompt text comes once in a trace, under one salt.
+        del salt  # Each prompt text occurs once in a trace, with one salt.
         return list(by_text[text])
 
     return hash_prompt
@@ -189,7 +189,7 @@
 
 
 def _flatten(measures: Measures) -> dict[str, float]:
-    """Return measures by name."""
+    """Return the values of all measures by name."""
     flat = {
         "requests": float(measures.requests),
         "hit_rate": measures.hit_rate,
@@ -207,5 +207,5 @@
 
 
 def _spread(values: list[float]) -> Spread:
-    """Return the median and the extremes of a measure."""
+    """Return the median and the extremes of a measure's values."""
     return Spread(statistics.median(values), min(values), max(values))
--- a/emulator/experiments/scenarios.py
+++ b/emulator/experiments/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: what a run changes about the traffic, and which faults it induces when."""
+"""Scenarios: changes of the traffic, and faults injected into a run."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from hopstep.ports.engine import EngineOrder
 
 DURATION_SECONDS = 50.0
-"""Length of a trace in virtual time."""
+"""Length of a trace in seconds of virtual time."""
 
 OVERLOAD_DURATION_SECONDS = 30.0
-"""Length of a trace at twice the capacity, which holds as many requests as a longer calm one."""
+"""Length of a trace at twice the capacity, shorter as requests arrive faster."""
 
 WARM_UP_SECONDS = 10.0
-"""Start of a trace that isn't measured, while caches fill."""
+"""Time at the start of a trace that isn't measured, while caches fill."""
 
 FAULT_AT = 25.0
-"""When a scenario's change comes."""
+"""Virtual time of a scenario's change or first fault."""
 
 CRASH_INTERVAL_SECONDS = 4.0
 ROLLOUT_SECONDS = 0.25
@@ -41,14 +41,14 @@
     """One scenario.
 
     Attributes:
-        name: Its name.
+        name: Name of the scenario.
         description: One line for the report.
-        hot_shift: Whether popularity moves on at ``FAULT_AT``.
+        hot_shift: Whether other prefixes become popular at ``FAULT_AT``.
         new_weights: Whether new weights are rolled out at ``FAULT_AT``.
-        overload: Whether traffic comes at twice the capacity.
-        event_loss_ratio: Share of cache events that are lost.
+        overload: Whether the arrival rate is twice the capacity.
+        event_loss_ratio: Fraction of cache events that are lost.
         event_delay_seconds: Time from a cache event to its publication.
-        induce: Schedules faults in a run; None for none.
+        induce: Schedules the faults of a run; None for no faults.
     """
 
     name: str
@@ -61,7 +61,7 @@
     induce: Induce | None = None
 
     def traffic_plan(self, deployment: Deployment) -> TrafficPlan:
-        """Return what the scenario changes about the traffic."""
+        """Return the scenario's changes of the traffic."""
         factor = 1.0
         if self.overload:
             capacity = deployment.capacity_per_second
@@ -76,7 +76,7 @@
 
 
 def _crash_engines(simulation: Simulation) -> None:
-    """Crash a third of the engines, one after the other; each comes back empty."""
+    """Crash a third of the engines one after the other; each restarts with an empty cache."""
     engines = list(simulation.world.engines.values())
     for turn, engine in enumerate(engines[::3]):
         crash = partial(_crash, simulation, engine)
@@ -86,7 +86,7 @@
 def _crash(simulation: Simulation, engine: SimulatedEngine) -> None:
     """Crash one engine now."""
     engine.model.crash(simulation.queue.now)
-    simulation.lose_attempts(engine)
+    simulation.fail_attempts(engine)
 
 
 def _restart_routers(simulation: Simulation) -> None:
@@ -96,7 +96,7 @@
 
 
 def _stop_store(simulation: Simulation) -> None:
-    """Take the KV cache store away for a while."""
+    """Make the KV cache store unavailable for ``STORE_OUTAGE_SECONDS``."""
     world = simulation.world
 
     def set_available(available: bool) -> None:
@@ -107,7 +107,7 @@
 
 
 def _roll_weights(simulation: Simulation) -> None:
-    """Accept new weights for the first model, and order engines to load them."""
+    """Change the first model's weights version, and order engines to load the new weights."""
     configuration = simulation.deployment.configuration
     first, *others = configuration.models
     model = msgspec.structs.replace(first, weights_version=NEXT_WEIGHTS)
@@ -122,7 +122,7 @@
 
 
 def _order_weights(simulation: Simulation, accepted: AcceptedConfiguration) -> None:
-    """Give the orders that are due, and look again soon."""
+    """Send the rollout's orders that are due, and repeat every ``ROLLOUT_SECONDS``."""
     now = simulation.queue.now
     facts: dict[str, EngineFacts] = {
         address: engine.model.facts(now) for address, engine in simulation.world.engines.items()
--- a/emulator/experiments/simulated_router.py
+++ b/emulator/experiments/simulated_router.py
@@ -1,4 +1,4 @@
-"""One simulated router: probes, choices, attempts, retries."""
+"""A simulated router: probes, choices, attempts and retries."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 """Time between two probes of an engine by one router."""
 
 WAIT_FOR_ENGINE_SECONDS = 0.1
-"""Time after which a request that no engine can take looks again."""
+"""Time until another choice for a request that no engine can take now."""
 
 MAX_ATTEMPTS = 4
-"""Attempts for one request."""
+"""Largest number of attempts per request."""
 
 
-class Journey(msgspec.Struct):
-    """One request on its way.
+class PendingRequest(msgspec.Struct):
+    """State of one request in flight.
 
     Attributes:
-        item: The request of the trace.
-        outcome: What becomes of it.
-        admissible: Engines that placement allows.
+        item: Request from the trace.
+        outcome: Outcome of the request, filled in during the run.
+        admissible: Engines where the request may be placed.
         excluded: Names of engines already tried.
-        give_up_at: When waiting for a usable engine ends.
-        nonce: Present attempt.
-        choice: Its engine.
+        give_up_at: Time at which waiting for a usable engine ends.
+        nonce: Nonce of the current attempt.
+        choice: Engine chosen for the current attempt.
     """
 
     item: TraceRequest
@@ -52,15 +52,15 @@
 
 
 class SimulatedRouter:
-    """One router: probes, choices, attempts, retries."""
+    """A router that probes engines, chooses one for each attempt and retries failures."""
 
     def __init__(self, index: int, back_end: BackEnd, simulation: Simulation) -> None:
-        """Start with a fresh strategy.
+        """Create a router with a new strategy.
 
         Args:
-            index: Number of the router.
-            back_end: Its place in the configuration.
-            simulation: The run.
+            index: Index of the router.
+            back_end: The router's entry in the configuration.
+            simulation: The run that the router belongs to.
         """
         self._simulation = simulation
         self._back_end = back_end
@@ -69,7 +69,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Lose everything learned, and probe every engine at once."""
+        """Replace the strategy by a new one, and schedule the first probe of every engine."""
         self._restarts += 1
         simulation = self._simulation
         source = random.Random(f"{simulation.seed}/{self._index}/{self._restarts}")
@@ -83,49 +83,49 @@
         """Put a configuration in force."""
         self.strategy.update_configuration(accepted)
 
-    def receive(self, journey: Journey) -> None:
-        """Take a request from a client, or try again for one."""
+    def receive(self, pending: PendingRequest) -> None:
+        """Choose an engine for a new or retried request, and dispatch, delay or refuse it."""
         simulation = self._simulation
         now = simulation.queue.now
-        item = journey.item
-        choice = self.strategy.choose(item, journey.admissible, journey.excluded, now)
+        item = pending.item
+        choice = self.strategy.choose(item, pending.admissible, pending.excluded, now)
         if choice is None:
-            if now < journey.give_up_at:
-                journey.excluded = frozenset()
-                simulation.queue.after(WAIT_FOR_ENGINE_SECONDS, lambda: self.receive(journey))
+            if now < pending.give_up_at:
+                pending.excluded = frozenset()
+                simulation.queue.after(WAIT_FOR_ENGINE_SECONDS, lambda: self.receive(pending))
             else:
-                self._refuse(journey)
+                self._refuse(pending)
             return
         if choice.expected_wait_seconds > item.request.request_class.max_queue_seconds:
-            self._refuse(journey)
+            self._refuse(pending)
             return
-        self._dispatch(journey, choice)
+        self._dispatch(pending, choice)
 
-    def first_token(self, journey: Journey, incarnation: str, cached_tokens: int) -> None:
-        """Pass the first token of an attempt on."""
+    def first_token(self, pending: PendingRequest, incarnation: str, cached_tokens: int) -> None:
+        """Record the first token of an attempt, and forward it to the client."""
         now = self._simulation.queue.now
-        self.strategy.record_first_token(journey.nonce, incarnation, cached_tokens, now)
-        if journey.outcome.first_token_at == float("inf"):
-            journey.outcome.first_token_at = now + self._client_latency
+        self.strategy.record_first_token(pending.nonce, incarnation, cached_tokens, now)
+        if pending.outcome.first_token_at == float("inf"):
+            pending.outcome.first_token_at = now + self._client_latency
 
-    def finished(self, journey: Journey) -> None:
-        """Pass the last token of an answer on."""
+    def finished(self, pending: PendingRequest) -> None:
+        """Record the end of an attempt, and forward the last token to the client."""
         now = self._simulation.queue.now
-        self.strategy.record_end(journey.nonce, now)
-        journey.outcome.finished_at = now + self._client_latency
+        self.strategy.record_end(pending.nonce, now)
+        pending.outcome.finished_at = now + self._client_latency
 
-    def failed(self, journey: Journey, engine: BackEnd, code: ErrorCode | None) -> None:
-        """Try again elsewhere after a refusal (``code``) or a broken connection (None)."""
+    def failed(self, pending: PendingRequest, engine: BackEnd, code: ErrorCode | None) -> None:
+        """Retry on another engine after a refusal (``code``) or a lost connection (None)."""
         now = self._simulation.queue.now
-        self.strategy.record_end(journey.nonce, now)
+        self.strategy.record_end(pending.nonce, now)
         if code is not ErrorCode.OVERLOADED:
             self.strategy.record_failure(engine.address, now)
-        journey.excluded |= {engine.name}
-        may_repeat = code is not None or journey.item.request.request_class.repeatable
-        if may_repeat and journey.outcome.attempts < MAX_ATTEMPTS:
-            self.receive(journey)
+        pending.excluded |= {engine.name}
+        may_repeat = code is not None or pending.item.request.request_class.repeatable
+        if may_repeat and pending.outcome.attempts < MAX_ATTEMPTS:
+            self.receive(pending)
         else:
-            self._refuse(journey)
+            self._refuse(pending)
 
     def latency(self, engine: BackEnd) -> float:
         """Return the one-way latency to an engine."""
@@ -138,24 +138,24 @@
         """One-way latency to clients."""
         return self._simulation.deployment.client_latency_seconds
 
-    def _refuse(self, journey: Journey) -> None:
+    def _refuse(self, pending: PendingRequest) -> None:
         """Refuse a request."""
-        journey.outcome.refused_at = self._simulation.queue.now + self._client_latency
+        pending.outcome.refused_at = self._simulation.queue.now + self._client_latency
 
-    def _dispatch(self, journey: Journey, choice: Choice) -> None:
-        """Send an attempt."""
+    def _dispatch(self, pending: PendingRequest, choice: Choice) -> None:
+        """Send an attempt to the chosen engine."""
         simulation = self._simulation
-        journey.nonce = simulation.new_nonce()
-        journey.choice = choice
-        journey.outcome.attempts += 1
-        self.strategy.record_dispatch(journey.nonce, choice, simulation.queue.now)
+        pending.nonce = simulation.new_nonce()
+        pending.choice = choice
+        pending.outcome.attempts += 1
+        self.strategy.record_dispatch(pending.nonce, choice, simulation.queue.now)
         simulation.queue.after(
             self.latency(choice.back_end),
-            lambda: simulation.submit(self, journey, choice),
+            lambda: simulation.submit(self, pending, choice),
         )
 
     def _schedule_probe(self, address: str, restart: int, delay: float) -> None:
-        """Probe an engine after a delay, and again and again until the next restart."""
+        """Probe an engine after a delay, and then periodically until the next restart."""
 
         def probe() -> None:
             if restart == self._restarts:
@@ -175,7 +175,7 @@
             sequence = facts.event_sequence
         batch = engine.model.cache_events(facts.incarnation, sequence, now)
         self._cursors[address] = (facts.incarnation, facts.event_sequence)
-        engine.settle()
+        engine.synchronize()
         strategy = self.strategy
 
         def arrive() -> None:
--- a/emulator/experiments/simulation.py
+++ b/emulator/experiments/simulation.py
@@ -1,4 +1,4 @@
-"""One run: routers with their own strategies before simulated engines, in virtual time."""
+"""One run in virtual time: routers, each with its own strategy, and simulated engines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from emulator.experiments.deployments import Deployment
 from emulator.experiments.events import EventQueue
 from emulator.experiments.measures import Outcome
-from emulator.experiments.simulated_router import Journey, SimulatedRouter
+from emulator.experiments.simulated_router import PendingRequest, SimulatedRouter
 from emulator.experiments.strategies import Strategy
 from emulator.experiments.traffic import TraceRequest
 from emulator.experiments.world import SimulatedEngine, World
@@ -25,13 +25,13 @@
 from hopstep.ports.engine import GenerateRequest
 
 DRAIN_SECONDS = 60.0
-"""Virtual time that running answers get after the last request."""
+"""Virtual time after the last request for running attempts to finish."""
 
 MakeStrategy = Callable[[World, random.Random], Strategy]
 
 
 class Simulation:
-    """One run of a trace under one strategy."""
+    """One run of a trace with one strategy."""
 
     def __init__(
         self,
@@ -43,14 +43,14 @@
         event_loss_ratio: float = 0.0,
         event_delay_seconds: float = 0.2,
     ) -> None:
-        """Prepare a run.
+        """Create the engines and the routers of a run.
 
         Args:
             deployment: The deployment.
-            trace: Its traffic.
-            make_strategy: Makes the strategy of one router.
-            seed: Seed of routers and lost events.
-            event_loss_ratio: Share of cache events that are lost.
+            trace: Requests to send, in order of time.
+            make_strategy: Returns a new strategy for one router.
+            seed: Seed of the routers' choices and of lost events.
+            event_loss_ratio: Fraction of cache events that are lost.
             event_delay_seconds: Time from a cache event to its publication.
         """
         self.deployment = deployment
@@ -64,17 +64,17 @@
             event_delay_seconds=event_delay_seconds,
         )
         self.world = World(deployment, config, self.queue, seed)
-        self.world.on_notice = self._take_notice
+        self.world.on_notice = self._handle_notice
         self.outcomes: list[Outcome] = []
         self._trace = trace
         self._nonces = 0
-        self._journeys: dict[str, tuple[SimulatedRouter, Journey]] = {}
+        self._pending: dict[str, tuple[SimulatedRouter, PendingRequest]] = {}
         self._placements: dict[tuple[str, str, str], tuple[BackEnd, ...]] = {}
         routers = deployment.back_ends(BackEndKind.ROUTER)
         self.routers = [SimulatedRouter(i, item, self) for i, item in enumerate(routers)]
 
     def run(self) -> list[Outcome]:
-        """Run the whole trace and return what became of each request."""
+        """Run the whole trace and return the outcome of each request."""
         for item in self._trace:
             self._schedule(item)
         end = self._trace[-1].sent_at if self._trace else 0.0
@@ -82,16 +82,16 @@
         return self.outcomes
 
     def new_nonce(self) -> str:
-        """Return the name of a new attempt."""
+        """Return the nonce of a new attempt."""
         self._nonces += 1
         return str(self._nonces)
 
-    def submit(self, router: SimulatedRouter, journey: Journey, choice: Choice) -> None:
-        """Let an attempt arrive at its engine."""
-        request = journey.item.request
+    def submit(self, router: SimulatedRouter, pending: PendingRequest, choice: Choice) -> None:
+        """Submit an attempt to its engine."""
+        request = pending.item.request
         engine = self.world.engines[choice.back_end.address]
         message = GenerateRequest(
-            nonce=journey.nonce,
+            nonce=pending.nonce,
             model=request.model.name,
             prompt="",
             max_tokens=request.max_tokens,
@@ -101,35 +101,35 @@
             incarnation=choice.incarnation if choice.relies_on_cache else "",
             kv_cache_store=choice.kv_cache_store,
         )
-        self._journeys[journey.nonce] = (router, journey)
+        self._pending[pending.nonce] = (router, pending)
         try:
-            engine.submit(message, journey.item.prepared)
+            engine.submit(message, pending.item.prepared)
         except EngineRefusalError as error:
             code = error.refusal.code
-            self._fail(journey.nonce, engine, code)
+            self._fail(pending.nonce, engine, code)
 
-    def lose_attempts(self, engine: SimulatedEngine) -> None:
-        """Break the connections of every attempt at an engine that has just crashed."""
+    def fail_attempts(self, engine: SimulatedEngine) -> None:
+        """Fail every attempt at an engine that has just crashed, with a lost connection."""
         address = engine.back_end.address
-        lost = [
+        nonces = [
             nonce
-            for nonce, (_, journey) in self._journeys.items()
-            if journey.choice is not None
-            and journey.choice.back_end.address == address
-            and journey.nonce == nonce
+            for nonce, (_, pending) in self._pending.items()
+            if pending.choice is not None
+            and pending.choice.back_end.address == address
+            and pending.nonce == nonce
         ]
-        for nonce in lost:
+        for nonce in nonces:
             self._fail(nonce, engine, None)
 
     def change_configuration(self, accepted: AcceptedConfiguration, seconds: float) -> None:
-        """Put a configuration in force at each router, within some seconds."""
+        """Put a configuration in force at the routers one by one, within ``seconds``."""
         self.accepted = accepted
         for index, router in enumerate(self.routers):
             delay = seconds * index / len(self.routers)
             self.queue.after(delay, partial(router.update_configuration, accepted))
 
     def _schedule(self, item: TraceRequest) -> None:
-        """Let a request arrive at its router."""
+        """Schedule a request's arrival at its router."""
         request = item.request
         outcome = Outcome(
             request_class=request.request_class.name,
@@ -141,11 +141,11 @@
         self.outcomes.append(outcome)
         arrival = item.sent_at + self.deployment.client_latency_seconds
         give_up_at = arrival + request.request_class.max_queue_seconds
-        journey = Journey(item, outcome, self._admissible(item), give_up_at)
-        self.queue.at(arrival, lambda: self.routers[item.router].receive(journey))
+        pending = PendingRequest(item, outcome, self._admissible(item), give_up_at)
+        self.queue.at(arrival, lambda: self.routers[item.router].receive(pending))
 
     def _admissible(self, item: TraceRequest) -> tuple[BackEnd, ...]:
-        """Return the engines that placement allows."""
+        """Return the engines where a request may be placed."""
         request = item.request
         key = (request.tenant.name, request.request_class.name, request.model.name)
         if key not in self._placements:
@@ -155,44 +155,46 @@
         return self._placements[key]
 
     def _fail(self, nonce: str, engine: SimulatedEngine, code: ErrorCode | None) -> None:
-        """Tell a router that its attempt failed."""
-        router, journey = self._journeys.pop(nonce)
+        """Report a failed attempt to its router."""
+        router, pending = self._pending.pop(nonce)
         self.queue.after(
             router.latency(engine.back_end),
-            lambda: router.failed(journey, engine.back_end, code),
+            lambda: router.failed(pending, engine.back_end, code),
         )
 
-    def _take_notice(self, engine: SimulatedEngine, notice: Notice) -> None:
-        """Follow what an engine says of an attempt."""
-        entry = self._journeys.get(notice.attempt.nonce)
+    def _handle_notice(self, engine: SimulatedEngine, notice: Notice) -> None:
+        """Handle an engine's notice about an attempt."""
+        entry = self._pending.get(notice.attempt.nonce)
         if entry is None:
             return
-        router, journey = entry
+        router, pending = entry
         latency = router.latency(engine.back_end)
         if notice.kind is NoticeKind.STARTED:
-            self._measure_start(engine, notice, journey)
+            self._measure_start(engine, notice, pending)
         elif notice.kind is NoticeKind.PREFILLED:
             incarnation = engine.model.incarnation
             cached = notice.attempt.cached_tokens
             self.queue.at(
-                notice.time + latency, lambda: router.first_token(journey, incarnation, cached)
+                notice.time + latency, lambda: router.first_token(pending, incarnation, cached)
             )
         elif notice.kind is NoticeKind.FINISHED:
-            del self._journeys[notice.attempt.nonce]
-            self.queue.at(notice.time + latency, lambda: router.finished(journey))
+            del self._pending[notice.attempt.nonce]
+            self.queue.at(notice.time + latency, lambda: router.finished(pending))
 
-    def _measure_start(self, engine: SimulatedEngine, notice: Notice, journey: Journey) -> None:
-        """Count what an attempt takes from caches, and what it computes in vain."""
+    def _measure_start(
+        self, engine: SimulatedEngine, notice: Notice, pending: PendingRequest
+    ) -> None:
+        """Count the tokens that an attempt takes from caches, prefills and wastes."""
         attempt = notice.attempt
-        outcome = journey.outcome
+        outcome = pending.outcome
         outcome.cached_tokens = attempt.cached_tokens
         outcome.imported_tokens = attempt.imported_tokens
-        taken = attempt.cached_tokens + attempt.imported_tokens
-        outcome.prefilled_tokens += attempt.prompt.token_count - taken
-        # The last token is always computed, so a copy of it is no copy to take.
+        reused_tokens = attempt.cached_tokens + attempt.imported_tokens
+        outcome.prefilled_tokens += attempt.prompt.token_count - reused_tokens
+        # The last token is always computed, so its block never counts as wasted.
         limit = (attempt.prompt.token_count - 1) // BLOCK_TOKENS * BLOCK_TOKENS
-        # The engine's own copy counts as taken; by now it holds this attempt's blocks too.
-        others = [item for item in journey.admissible if item != engine.back_end]
-        best = self.world.best_copy_tokens(attempt.prompt, others)
-        best = max(best, attempt.importable_blocks * BLOCK_TOKENS)
-        outcome.wasted_tokens += max(0, min(best, limit) - taken)
+        # The engine's own copy is already counted, and now includes this attempt's blocks.
+        others = [item for item in pending.admissible if item != engine.back_end]
+        copy_tokens = self.world.best_copy_tokens(attempt.prompt, others)
+        copy_tokens = max(copy_tokens, attempt.importable_blocks * BLOCK_TOKENS)
+        outcome.wasted_tokens += max(0, min(copy_tokens, limit) - reused_tokens)
--- a/emulator/experiments/strategies.py
+++ b/emulator/experiments/strategies.py
@@ -1,4 +1,4 @@
-"""Routing strategies under test: hopstep's routing table, and its plain baselines."""
+"""Routing strategies under test: hopstep's routing table and the baselines."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from hopstep.exceptions import DomainError
 
 PREFIX_BLOCKS = 64
-"""Depth of the prefix that the hashing baselines hash, in blocks."""
+"""Length of the prefix that the hashing baselines use as key, in blocks."""
 
 BOUNDED_LOAD_FACTOR = 1.25
-"""Outstanding requests over the mean at which bounded consistent hashing goes on."""
+"""Ratio to the mean of outstanding requests above which an owner is passed over."""
 
 
 class Strategy:
-    """Chooses engines at one simulated router; news that isn't overridden is ignored."""
+    """Chooses engines for one simulated router; updates without an override are ignored."""
 
     def choose(
         self,
@@ -31,38 +31,38 @@
         excluded: frozenset[str],
         now: float,
     ) -> Choice | None:
-        """Return the engine for the next attempt, or None when none can be used now."""
+        """Return the engine for the next attempt, or None when no engine can be used now."""
         raise NotImplementedError
 
     def update_configuration(self, accepted: AcceptedConfiguration) -> None:
-        """Follow a newly accepted configuration."""
+        """Apply a newly accepted configuration."""
 
     def update_facts(self, address: str, facts: EngineFacts, now: float) -> None:
-        """Take the facts of a probe."""
+        """Apply an engine's facts from a probe."""
 
     def record_events(self, address: str, batch: CacheEventBatch) -> None:
-        """Take cache events."""
+        """Apply an engine's cache events."""
 
     def record_dispatch(self, nonce: str, choice: Choice, now: float) -> None:
-        """Note an attempt that is being sent."""
+        """Record an attempt that is being sent."""
 
     def record_first_token(
         self, nonce: str, incarnation: str, cached_tokens: int, now: float
     ) -> None:
-        """Note the first token of an attempt."""
+        """Record the first token of an attempt."""
 
     def record_end(self, nonce: str, now: float) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt."""
 
     def record_failure(self, address: str, now: float) -> None:
-        """Note that an engine failed or refused."""
+        """Record that an engine failed or refused an attempt."""
 
 
 class HopstepStrategy(Strategy):
-    """The routing table of the product, unchanged."""
+    """The product's routing table."""
 
     def __init__(self, table: RoutingTable) -> None:
-        """Wrap a table."""
+        """Wrap a routing table."""
         self._table = table
 
     def choose(
@@ -79,41 +79,41 @@
             return None
 
     def update_configuration(self, accepted: AcceptedConfiguration) -> None:
-        """Pass a configuration on."""
+        """Forward a configuration to the table."""
         self._table.update_configuration(accepted)
 
     def update_facts(self, address: str, facts: EngineFacts, now: float) -> None:
-        """Pass facts on."""
+        """Forward facts to the table."""
         self._table.update_facts(address, facts, now)
 
     def record_events(self, address: str, batch: CacheEventBatch) -> None:
-        """Pass events on."""
+        """Forward cache events to the table."""
         self._table.record_events(address, batch)
 
     def record_dispatch(self, nonce: str, choice: Choice, now: float) -> None:
-        """Pass a dispatch on."""
+        """Forward a dispatch to the table."""
         self._table.record_dispatch(nonce, choice, now)
 
     def record_first_token(
         self, nonce: str, incarnation: str, cached_tokens: int, now: float
     ) -> None:
-        """Pass a first token on."""
+        """Forward a first token to the table."""
         self._table.record_first_token(nonce, incarnation, cached_tokens, now)
 
     def record_end(self, nonce: str, now: float) -> None:
-        """Pass an end on."""
+        """Forward the end of an attempt to the table."""
         self._table.record_end(nonce, now)
 
     def record_failure(self, address: str, now: float) -> None:
-        """Pass a failure on."""
+        """Forward a failure to the table."""
         self._table.record_failure(address, now)
 
 
 class Baseline(Strategy, abc.ABC):
-    """A plain strategy that knows which engines serve the request's weights, and no more."""
+    """A strategy that only knows which engines serve the request's weights."""
 
     def __init__(self, random_source: random.Random) -> None:
-        """Start with nothing known."""
+        """Create a strategy without any engine's facts."""
         self._random = random_source
         self._facts: dict[str, EngineFacts] = {}
         self._outstanding: dict[str, int] = {}
@@ -126,7 +126,7 @@
         excluded: frozenset[str],
         now: float,
     ) -> Choice | None:
-        """Return the pick among the engines that serve the weights."""
+        """Return a choice among the engines that serve the weights."""
         usable = [
             back_end
             for back_end in admissible
@@ -141,7 +141,7 @@
         """Return one of the usable engines."""
 
     def update_facts(self, address: str, facts: EngineFacts, now: float) -> None:
-        """Remember which weights an engine has."""
+        """Store an engine's facts, which name its weights."""
         self._facts[address] = facts
 
     def record_dispatch(self, nonce: str, choice: Choice, now: float) -> None:
@@ -151,7 +151,7 @@
         self._outstanding[address] = self._outstanding.get(address, 0) + 1
 
     def record_end(self, nonce: str, now: float) -> None:
-        """Count an attempt as ended."""
+        """Remove an attempt from the outstanding ones."""
         address = self._sent.pop(nonce, None)
         if address is not None:
             self._outstanding[address] -= 1
@@ -161,14 +161,14 @@
         return self._outstanding.get(back_end.address, 0)
 
     def _serves(self, back_end: BackEnd, item: TraceRequest) -> bool:
-        """Return whether an engine has the weights, as far as is known."""
+        """Return whether an engine has the weights; engines without facts count as serving."""
         facts = self._facts.get(back_end.address)
         model = item.request.model
         return facts is None or facts.weights.get(model.name) == model.weights_version
 
 
 class RandomBaseline(Baseline):
-    """Any engine."""
+    """Chooses a random engine."""
 
     def pick(self, item: TraceRequest, usable: Sequence[BackEnd], now: float) -> BackEnd:
         """Return a random engine."""
@@ -176,18 +176,18 @@
 
 
 class RoundRobinBaseline(Baseline):
-    """One engine after the other."""
+    """Chooses the engines in turn."""
 
-    _turn = 0
+    _picked = 0
 
     def pick(self, item: TraceRequest, usable: Sequence[BackEnd], now: float) -> BackEnd:
         """Return the next engine."""
-        self._turn += 1
-        return usable[self._turn % len(usable)]
+        self._picked += 1
+        return usable[self._picked % len(usable)]
 
 
 class LeastOutstandingBaseline(Baseline):
-    """The engine with the fewest outstanding attempts of this router."""
+    """Chooses the engine with the fewest outstanding attempts of this router."""
 
     def pick(self, item: TraceRequest, usable: Sequence[BackEnd], now: float) -> BackEnd:
         """Return the engine with the fewest outstanding attempts, at random among equals."""
@@ -197,7 +197,7 @@
 
 
 class RendezvousBaseline(Baseline):
-    """The first owner of the prompt's prefix by rendezvous hashing."""
+    """Chooses the first owner of the prompt's prefix by rendezvous hashing."""
 
     def pick(self, item: TraceRequest, usable: Sequence[BackEnd], now: float) -> BackEnd:
         """Return the first owner."""
@@ -227,7 +227,7 @@
 def plain_choice(
     back_end: BackEnd, item: TraceRequest, *, cached_tokens: int = 0, kv_cache_store: str = ""
 ) -> Choice:
-    """Return a choice that says no more than the engine."""
+    """Return a choice of an engine, without a cache or wait estimate unless given."""
     return Choice(
         back_end=back_end,
         incarnation="",
--- a/emulator/experiments/traffic.py
+++ b/emulator/experiments/traffic.py
@@ -1,4 +1,4 @@
-"""Seeded traffic: nested prefixes, hot ones that shift, long batches beside quick questions."""
+"""Generates seeded traces with nested shared prefixes and shifting popularity."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from hopstep.domain.placement import router_may_serve
 
 RANDOM_BYTES_PER_TOKEN = 3
-"""Random bytes whose base64 text is one token."""
+"""Random bytes per token; their base64 text is one token."""
 
 POPULARITY_RATIO = 0.6
-"""Popularity of a prefix over that of the next more popular one."""
+"""Ratio of a prefix's popularity to that of the next more popular one."""
 
 LENGTH_SPREAD = 0.5
-"""Tails and answers are uniform within this share below and above their mean."""
+"""Tail and response lengths are uniform within this fraction below and above their mean."""
 
 NEVER = float("inf")
 
@@ -31,10 +31,10 @@
     """One request of a trace.
 
     Attributes:
-        sent_at: When the client sends it.
-        router: Index of the router that it is sent to.
+        sent_at: Virtual time at which the client sends the request.
+        router: Index of the router that receives the request.
         request: The request.
-        prepared: Its prompt as engines need it.
+        prepared: Prompt in the form that engine models use.
         target_seconds: Longest wait for a first token that counts as good.
     """
 
@@ -46,13 +46,13 @@
 
 
 class TrafficPlan(msgspec.Struct, frozen=True):
-    """What a scenario changes about the traffic.
+    """Changes that a scenario makes to the traffic.
 
     Attributes:
-        duration_seconds: Length of the trace.
-        rate_factor: Arrival rate over the steady one.
-        hot_shift_at: When popularity moves on to other prefixes, and new ones come up.
-        new_weights_at: When requests begin to ask for the next weights version.
+        duration_seconds: Length of the trace in virtual time.
+        rate_factor: Ratio of the arrival rate to the steady one.
+        hot_shift_at: Time at which other prefixes become popular and new ones appear.
+        new_weights_at: Time at which requests start to use the next weights version.
     """
 
     duration_seconds: float = 60.0
@@ -62,15 +62,15 @@
 
 
 class TrafficGenerator:
-    """Makes the trace of one seed; the same seed gives the same trace."""
+    """Generates a trace from a seed; the same seed gives the same trace."""
 
     def __init__(self, deployment: Deployment, plan: TrafficPlan, seed: int) -> None:
-        """Prepare.
+        """Prepare the generator.
 
         Args:
-            deployment: Whose traffic.
-            plan: What the scenario changes.
-            seed: Seed of everything drawn.
+            deployment: Deployment whose traffic is generated.
+            plan: Changes that the scenario makes.
+            seed: Seed of all random draws.
         """
         self._deployment = deployment
         self._plan = plan
@@ -96,7 +96,7 @@
         return requests
 
     def _group(self, start: float) -> list[TraceRequest]:
-        """Return the requests that share one inner prefix; mostly a single one."""
+        """Return the requests of one group, which share one inner prefix."""
         shape = self._rng.choices(self._deployment.traffic, self._group_weights)[0]
         tenant = self._tenant(shape)
         shared_text = self._shared_text(shape, tenant, start)
@@ -110,7 +110,7 @@
         return requests
 
     def _tenant(self, shape: TrafficShape) -> Tenant:
-        """Return a tenant that may use the class, by weight."""
+        """Draw a tenant that may use the class, by the tenants' weights."""
         tenants = [
             tenant
             for tenant in self._deployment.configuration.tenants
@@ -122,15 +122,15 @@
         """Return the outer and middle prefixes of a request."""
         deployment = self._deployment
         shifted = now >= self._plan.hot_shift_at
-        outer = self._popular(deployment.outer_prefixes, shifted)
-        middle = self._popular(deployment.middle_prefixes, shifted)
+        outer = self._popular_index(deployment.outer_prefixes, shifted)
+        middle = self._popular_index(deployment.middle_prefixes, shifted)
         outer_name = f"{tenant.name}/{outer}" + ("/new" if shifted and outer == 0 else "")
         text = self._segment(f"{shape.model}/{outer_name}", shape.outer_tokens)
         middle_name = f"{shape.request_class}/{outer_name}/{middle}"
         return text + self._segment(middle_name, shape.middle_tokens)
 
-    def _popular(self, count: int, shifted: bool) -> int:
-        """Return an index: 0 is the most popular one, or the last one after a shift."""
+    def _popular_index(self, count: int, shifted: bool) -> int:
+        """Draw an index; the most popular one is 0, or the last one after a shift."""
         weights = [POPULARITY_RATIO**index for index in range(count)]
         index = self._rng.choices(range(count), weights)[0]
         return (count - 1 - index) if shifted else index
@@ -138,15 +138,15 @@
     def _request(
         self, at: float, shape: TrafficShape, tenant: Tenant, shared_text: str
     ) -> TraceRequest:
-        """Return one request with its own tail."""
-        prompt = shared_text + self._text(self._rng, self._spread(shape.tail_tokens))
+        """Return one request with a unique tail."""
+        prompt = shared_text + self._text(self._rng, self._random_length(shape.tail_tokens))
         request = InferenceRequest(
             request_id=f"{self._rng.getrandbits(64):016x}",
             tenant=tenant,
             request_class=self._classes[shape.request_class],
             model=self._model(shape, at),
             prompt=prompt,
-            max_tokens=self._spread(shape.output_tokens),
+            max_tokens=self._random_length(shape.output_tokens),
         )
         routers = [
             index
@@ -158,20 +158,20 @@
         )
 
     def _model(self, shape: TrafficShape, at: float) -> Model:
-        """Return the model that requests ask for at a time."""
+        """Return the model that requests use at a time."""
         model = self._models[shape.model]
         if at < self._plan.new_weights_at or model != self._deployment.configuration.models[0]:
             return model
         return msgspec.structs.replace(model, weights_version=NEXT_WEIGHTS)
 
-    def _spread(self, mean: int) -> int:
-        """Return a length around ``mean``."""
+    def _random_length(self, mean: int) -> int:
+        """Draw a length around ``mean``."""
         return self._rng.randint(
             round(mean * (1 - LENGTH_SPREAD)), round(mean * (1 + LENGTH_SPREAD))
         )
 
     def _segment(self, name: str, tokens: int) -> str:
-        """Return the text of a named prefix, the same at every use."""
+        """Return the text of a named prefix, which is the same on every call."""
         if name not in self._segments:
             rng = random.Random(f"{self._seed}/{name}")
             self._segments[name] = self._text(rng, tokens)
@@ -184,7 +184,7 @@
 
 
 def _prepare(request: InferenceRequest) -> PreparedPrompt:
-    """Return a request's prompt as engines need it."""
+    """Return a request's prompt in the form that engine models use."""
     salt = cache_salt(request.tenant.name, request.model.weights_version)
     return PreparedPrompt(
         tuple(block_keys(request.prompt, salt)),
--- a/emulator/experiments/verdicts.py
+++ b/emulator/experiments/verdicts.py
@@ -1,4 +1,4 @@
-"""Compares hopstep with its aims: the omniscient strategy and the best baseline."""
+"""Compares hopstep with its targets, set by the omniscient strategy and the best baseline."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from emulator.experiments.deployments import DEPLOYMENTS
 from emulator.experiments.runner import BASELINES, HOPSTEP, OMNISCIENT, Result
 
-HIT_RATE_AIM = 0.95
-"""Share of the omniscient hit rate."""
+HIT_RATE_TARGET = 0.95
+"""Lowest ratio of hopstep's hit rate to the omniscient one."""
 
-TAIL_AIM = 1.2
-"""99th percentile of the time to first token over the omniscient one."""
+TAIL_LATENCY_TARGET = 1.2
+"""Highest ratio of hopstep's 99th percentile of the time to first token to the omniscient one."""
 
-WASTE_AIM = 0.5
-"""Wasted recomputation over the best baseline's."""
+WASTE_TARGET = 0.5
+"""Highest ratio of hopstep's wasted recomputation to the best baseline's."""
 
 HIGHER_IS_BETTER = ("hit_rate", "goodput")
 
 
 def verdicts(results: Sequence[Result]) -> str:
-    """Return one line for each scenario: each aim, its figure, met or missed."""
+    """Return one line per scenario with each target's value, and whether it is met."""
     lines = ["", "hopstep against its aims (medians)"]
     for deployment, scenario in dict.fromkeys((it.deployment, it.scenario) for it in results):
         chosen = {
@@ -29,29 +29,31 @@
             if (result.deployment, result.scenario) == (deployment, scenario)
         }
         if HOPSTEP in chosen and OMNISCIENT in chosen:
-            lines.append(f"{deployment}, {scenario}: " + "; ".join(_aims(deployment, chosen)))
+            lines.append(
+                f"{deployment}, {scenario}: " + "; ".join(_target_verdicts(deployment, chosen))
+            )
     return "\n".join(lines)
 
 
-def _aims(deployment: str, chosen: dict[str, Result]) -> list[str]:
-    """Return the verdict on each aim in one scenario."""
+def _target_verdicts(deployment: str, chosen: dict[str, Result]) -> list[str]:
+    """Return the verdict on each target in one scenario."""
     hits = _value(chosen, HOPSTEP, "hit_rate") / _value(chosen, OMNISCIENT, "hit_rate")
     tail = _value(chosen, HOPSTEP, "ttft_p99/all") / _value(chosen, OMNISCIENT, "ttft_p99/all")
-    aims = [
-        f"hit rate {hits:.3f} of the omniscient {_met(hits >= HIT_RATE_AIM)}",
-        f"TTFT p99 {tail:.2f} of the omniscient {_met(tail <= TAIL_AIM)}",
+    targets = [
+        f"hit rate {hits:.3f} of the omniscient {_met(hits >= HIT_RATE_TARGET)}",
+        f"TTFT p99 {tail:.2f} of the omniscient {_met(tail <= TAIL_LATENCY_TARGET)}",
     ]
     baselines = [name for name in BASELINES if name in chosen]
     if baselines:
         least = min(_value(chosen, name, "wasted_rate") for name in baselines)
         waste = _value(chosen, HOPSTEP, "wasted_rate") / max(least, 1e-9)
-        aims.append(f"waste {waste:.2f} of the best baseline's {_met(waste <= WASTE_AIM)}")
-        aims.append(_main_measure(deployment, chosen, baselines))
-    return aims
+        targets.append(f"waste {waste:.2f} of the best baseline's {_met(waste <= WASTE_TARGET)}")
+        targets.append(_main_measure(deployment, chosen, baselines))
+    return targets
 
 
 def _main_measure(deployment: str, chosen: dict[str, Result], baselines: list[str]) -> str:
-    """Return whether a baseline is better on the deployment's main measure."""
+    """Return the comparison with the best baseline on the deployment's main measure."""
     measure = DEPLOYMENTS[deployment]().main_measure
     sign = 1.0 if measure in HIGHER_IS_BETTER else -1.0
     best = max(baselines, key=lambda name: sign * _value(chosen, name, measure))
@@ -67,5 +69,5 @@
 
 
 def _met(met: bool) -> str:
-    """Return how an aim stands."""
+    """Return the text for a met or missed target."""
     return "(met)" if met else "(MISSED)"
--- a/emulator/experiments/world.py
+++ b/emulator/experiments/world.py
@@ -1,4 +1,4 @@
-"""Engines and the KV cache store of one simulated deployment."""
+"""Simulated engines and KV cache store of one deployment."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class SimulatedEngine:
-    """One engine model in virtual time; it wakes itself when something happens next."""
+    """One engine model in virtual time; it schedules its own wake-ups for the model's events."""
 
     def __init__(
         self, back_end: BackEnd, model: EngineModel, queue: EventQueue, world: World
     ) -> None:
-        """Wrap a model.
+        """Wrap an engine model.
 
         Args:
-            back_end: Its place in the configuration.
-            model: The pure engine model.
-            queue: Virtual time.
-            world: Takes its notices and blocks.
+            back_end: The engine's entry in the configuration.
+            model: The engine model.
+            queue: Event queue of the run.
+            world: Receives the engine's notices and exported blocks.
         """
         self.back_end = back_end
         self.model = model
@@ -40,23 +40,23 @@
         self._wake_at = float("inf")
 
     def submit(self, request: GenerateRequest, prompt: PreparedPrompt) -> Attempt:
-        """Accept an attempt; raises ``EngineRefusalError``."""
+        """Submit an attempt; raises ``EngineRefusalError`` when the engine refuses it."""
         importable = self._world.importable_blocks(request.kv_cache_store, prompt)
         try:
             return self.model.submit(
                 request, self._queue.now, prompt=prompt, importable_blocks=importable
             )
         finally:
-            self.settle()
+            self.synchronize()
 
     def order(self, order: EngineOrder) -> EngineFacts:
-        """Take a fenced order."""
+        """Apply a fenced order and return the engine's facts."""
         facts = self.model.order(order, self._queue.now)
-        self.settle()
+        self.synchronize()
         return facts
 
-    def settle(self) -> None:
-        """Pass on what happened, and schedule the next wake-up."""
+    def synchronize(self) -> None:
+        """Advance the model to now, forward notices and exports, and schedule the next wake-up."""
         for notice in self.model.advance(self._queue.now):
             self._world.on_notice(self, notice)
         for export in self.model.executions.take_exports():
@@ -67,25 +67,25 @@
             self._queue.at(next_time, lambda: self._wake(next_time))
 
     def _wake(self, scheduled_for: float) -> None:
-        """Carry the model forward; a wake-up that was replaced does nothing."""
+        """Advance the model; a wake-up that has been replaced is ignored."""
         if scheduled_for != self._wake_at:
             return
         self._wake_at = float("inf")
-        self.settle()
+        self.synchronize()
 
 
 class World:
-    """Everything behind the routers."""
+    """All engines and the KV cache store behind the routers."""
 
     def __init__(
         self, deployment: Deployment, config: EngineConfig, queue: EventQueue, seed: int
     ) -> None:
-        """Start empty engines.
+        """Create engines with empty caches, and an empty store.
 
         Args:
-            deployment: Whose engines.
+            deployment: Deployment whose engines are simulated.
             config: Sizes and speeds of each engine.
-            queue: Virtual time.
+            queue: Event queue of the run.
             seed: Seed of lost cache events.
         """
         self._deployment = deployment
@@ -106,23 +106,23 @@
             self.engines[back_end.address] = SimulatedEngine(back_end, model, queue, self)
 
     def importable_blocks(self, store: str, prompt: PreparedPrompt) -> int:
-        """Return the leading blocks of a prompt that the store holds; 0 without a store."""
+        """Return how many leading blocks of a prompt the store holds; 0 without a store."""
         if not store or not self.store_available:
             return 0
         return self._store.held_prefix(prompt.block_keys)
 
     def write_blocks(self, keys: tuple[int, ...]) -> None:
-        """Keep exported blocks in the store."""
+        """Write exported blocks to the store; an unavailable store drops them."""
         if self.store_available:
             self._store.write(keys)
 
     def best_copy_tokens(self, prompt: PreparedPrompt, engines: list[BackEnd]) -> int:
-        """Return the longest prefix of a prompt that is cached at one of some engines."""
+        """Return the tokens of the longest prefix of a prompt cached at one of ``engines``."""
         blocks = (self.engines[item.address].model.cached_blocks(prompt) for item in engines)
         return max(blocks, default=0) * BLOCK_TOKENS
 
     def _load_seconds(self, now: float) -> float:
-        """Return the time of a weight load begun now: longer when many load at once."""
+        """Return the duration of a weight load begun now; concurrent loads slow each other down."""
         loading = sum(1 for engine in self.engines.values() if engine.model.weights.busy)
         slowdown = max(1.0, loading / self._deployment.concurrent_fast_loads)
         return self._deployment.engine.weight_load_seconds * slowdown
