--- a/emulator/fleet/fleet.py
+++ b/emulator/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""One deployment as real processes: platform, engines, KV cache store and routers."""
+"""Runs one deployment as real processes: platform, engines, KV cache store and routers."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class FleetOptions(msgspec.Struct, frozen=True):
-    """How a fleet differs from its example.
+    """Options of a fleet's processes.
 
     Attributes:
         weight_load_seconds: Time of one weight load at an engine.
-        concurrent_weight_loads: Loads at once beyond which each takes longer.
-        engine_arguments: Further arguments of every engine.
-        router_arguments: Further arguments of every router.
-        tls: Files of every router and, with ``trusted``, of every engine.
+        concurrent_weight_loads: Concurrent loads beyond which each takes longer.
+        engine_arguments: Additional arguments of every engine.
+        router_arguments: Additional arguments of every router.
+        tls: TLS files of every router and, if ``trusted`` is set, of every engine.
     """
 
     weight_load_seconds: float = 0.5
@@ -57,14 +57,14 @@
         directory: Path,
         options: FleetOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """Give every back end a free address; nothing starts yet.
+        """Assign a free address to every back end, without starting any process.
 
         Args:
             name: Name of the deployment.
-            configuration: Its configuration; the addresses in it are replaced.
-            group: Where the processes belong.
-            directory: For the files that the processes read.
-            options: How the fleet differs from the example.
+            configuration: Configuration of the deployment; its addresses are replaced.
+            group: Process group that starts and stops the processes.
+            directory: Directory for the files that the processes read.
+            options: Options of the processes.
         """
         self.name = name
         self.revision = 0
@@ -117,10 +117,10 @@
         starters[back_end.kind](back_end)
 
     async def apply(self, configuration: Configuration, note: str) -> int:
-        """Apply a configuration by the operators' command and return its revision.
+        """Apply a configuration with ``hopstep-ctl`` and return its revision.
 
         Raises:
-            RuntimeError: When the command refuses.
+            RuntimeError: When the command fails.
         """
         path = self._directory / f"{self.name}-configuration.json"
         path.write_text(write_configuration(configuration), encoding="utf-8")
@@ -136,7 +136,7 @@
                 await _wait_ready(client, self.router_url(router.address))
 
     async def wait_revision(self) -> None:
-        """Wait until the revision applied last is in force at every router."""
+        """Wait until the last applied revision is in force at every router."""
         async with self._router_client() as client:
             for router in self.back_ends(BackEndKind.ROUTER):
                 await _wait_revision(client, self.router_url(router.address), self.revision)
@@ -146,7 +146,7 @@
         return f"https://{address}" if self._options.tls.certificate else f"http://{address}"
 
     def _router_client(self) -> httpx.AsyncClient:
-        """Return a client that trusts what the routers trust."""
+        """Return an HTTP client that trusts the fleet's certificates."""
         trusted = self._options.tls.trusted
         verify = client_context(trusted) if trusted else True
         return httpx.AsyncClient(trust_env=False, verify=verify)
@@ -156,10 +156,10 @@
         self._group.signal(self.process_name(back_end), number)
 
     async def run_ctl(self, *arguments: str) -> str:
-        """Run the operators' command and return its output.
+        """Run ``hopstep-ctl`` and return its output.
 
         Raises:
-            RuntimeError: When it ends with another code than 0.
+            RuntimeError: When its exit code isn't 0.
         """
         completed = await trio.run_process(
             [sys.executable, "-m", CTL_MODULE, f"--store={self.store}", *arguments],
@@ -174,7 +174,7 @@
         return output
 
     def _start_emulator(self, process_name: str, role: str, *arguments: str) -> None:
-        """Start one of the emulator's roles."""
+        """Start a process of one of the emulator's roles."""
         self._group.start(process_name, EMULATOR_MODULE, [role, *arguments])
 
     def _start_platform(self) -> None:
@@ -196,7 +196,7 @@
         )
 
     def _start_engine(self, back_end: BackEnd) -> None:
-        """Start one engine with the configured weights."""
+        """Start an engine with the configured weights loaded."""
         versions = {model.name: model.weights_version for model in self.configuration.models}
         weights = ",".join(f"{model}={versions[model]}" for model in back_end.models)
         tls = self._options.tls
@@ -221,7 +221,7 @@
         )
 
     def _start_router(self, back_end: BackEnd) -> None:
-        """Start one router with a settings file."""
+        """Write a router's settings file and start the router."""
         path = self._directory / f"{self.process_name(back_end.name)}.toml"
         path.write_text(self._router_settings(back_end), encoding="utf-8")
         self._group.start(
@@ -231,7 +231,7 @@
         )
 
     def _router_settings(self, back_end: BackEnd) -> str:
-        """Return the settings file of a router."""
+        """Return the content of a router's settings file."""
         own = self._peer_addresses[back_end.name]
         seeds = [address for address in self._peer_addresses.values() if address != own]
         labels = "\n".join(f'{key} = "{value}"' for key, value in back_end.labels.items())
@@ -271,7 +271,7 @@
     """Wait until one router is ready.
 
     Raises:
-        RuntimeError: When it isn't in time.
+        RuntimeError: When it isn't ready within ``READY_TIMEOUT_SECONDS``.
     """
     with trio.move_on_after(READY_TIMEOUT_SECONDS):
         while True:
@@ -279,4 +279,4 @@
             if response.is_success:
                 return
             await trio.sleep(POLL_SECONDS)
-    raise RuntimeError(f"the router at {url} isn't ready")
+    raise RuntimeError(f"router at {url} not ready after {READY_TIMEOUT_SECONDS} s")
--- a/emulator/fleet/processes.py
+++ b/emulator/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Processes that are started, watched and ended by id."""
+"""Starts, watches and stops processes, each by its process id."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
-"""Below those that the system gives to outgoing connections: a process that is down keeps its."""
+"""Below the ephemeral range, so no outgoing connection takes a stopped process's port."""
 
 PORTS_OF_A_RUN = 500
-"""Runs side by side begin at different places, by their process id."""
+"""Offset between the first ports of concurrent runs, multiplied by the process id."""
 
 _ports = itertools.count(os.getpid() * PORTS_OF_A_RUN)
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return ``count`` addresses on loopback whose ports are free and given to nobody else here."""
+    """Return ``count`` loopback addresses with free ports, none of them returned before."""
     addresses: list[str] = []
     while len(addresses) < count:
         port = FIRST_PORT + next(_ports) % (LAST_PORT - FIRST_PORT)
@@ -43,7 +43,7 @@
 
 
 def _is_free(port: int) -> bool:
-    """Return whether a port can be bound at this moment, for connections and datagrams."""
+    """Return whether a port can currently be bound for both TCP and UDP."""
     try:
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
             with socket.socket(socket.AF_INET, kind) as each:
@@ -54,7 +54,7 @@
 
 
 async def accepts_connections(address: str) -> bool:
-    """Return whether something listens at an address."""
+    """Return whether a TCP connection to an address is accepted."""
     host, _, port = address.rpartition(":")
     try:
         stream = await trio.open_tcp_stream(host, int(port))
@@ -65,13 +65,13 @@
 
 
 class ProcessGroup:
-    """Processes with a common end; a context manager that leaves nothing running."""
+    """A group of processes; a context manager that stops all of them on exit."""
 
     def __init__(self, directory: Path) -> None:
-        """Start nothing yet.
+        """Create an empty group.
 
         Args:
-            directory: Where the processes' output goes, one file each.
+            directory: Directory of the processes' output files, one per process.
         """
         self._directory = directory
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -86,38 +86,38 @@
         exc_value: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End every process."""
+        """Stop every process."""
         self.end_all()
 
     def start(self, name: str, module: str, arguments: Sequence[str]) -> subprocess.Popen[bytes]:
-        """Start ``python -m module`` with arguments.
+        """Run ``python -m module`` with arguments as a new process.
 
         Args:
             name: Name of the process and of its output file.
             module: Module to run.
-            arguments: Its arguments.
+            arguments: Command-line arguments.
         """
         return self._start(name, ["-m", module, *arguments], None)
 
     def start_script(
         self, name: str, script: Path, arguments: Sequence[str], source: Path
     ) -> subprocess.Popen[bytes]:
-        """Start a script over the packages of another checkout.
+        """Start a script that imports the packages of another checkout.
 
         Args:
             name: Name of the process and of its output file.
             script: File to run.
-            arguments: Its arguments.
+            arguments: Command-line arguments.
             source: Root of the checkout.
         """
-        # With -P the script's own folder isn't searched for modules.
+        # With -P, the script's own directory isn't on the module path.
         environment = {**os.environ, "PYTHONPATH": str(source)}
         return self._start(name, ["-P", str(script), *arguments], environment)
 
     def _start(
         self, name: str, arguments: Sequence[str], environment: Mapping[str, str] | None
     ) -> subprocess.Popen[bytes]:
-        """Start an interpreter; ``environment`` is this process's own if None."""
+        """Start a Python interpreter; None as ``environment`` inherits this process's."""
         with (self._directory / f"{name}.log").open("ab") as output:
             process = subprocess.Popen(  # noqa: S603 - fixed program, no shell
                 [sys.executable, *arguments], stdout=output, stderr=output, env=environment
@@ -126,10 +126,10 @@
         return process
 
     async def wait_listening(self, name: str, address: str) -> None:
-        """Wait until a process listens.
+        """Wait until a process accepts connections.
 
         Raises:
-            RuntimeError: When it ended, or didn't listen in time; with the end of its output.
+            RuntimeError: When it exited or didn't listen in time, with the end of its output.
         """
         with trio.move_on_after(START_TIMEOUT_SECONDS):
             while self._processes[name].poll() is None:
@@ -148,11 +148,11 @@
         return self._processes[name]
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process, by its id."""
+        """Send a signal to one process."""
         os.kill(self._processes[name].pid, number)
 
     def end_all(self) -> None:
-        """Ask every process to end, and kill after a while those that haven't."""
+        """Terminate every process; kill those still running after ``END_TIMEOUT_SECONDS``."""
         running = [each for each in self._processes.values() if each.poll() is None]
         for each in running:
             each.send_signal(signal.SIGCONT)
