--- a/emulator/kv_cache_store/__init__.py
+++ b/emulator/kv_cache_store/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for the store of kept KV cache."""
+"""Emulated KV cache store."""
--- a/emulator/kv_cache_store/client.py
+++ b/emulator/kv_cache_store/client.py
@@ -1,4 +1,4 @@
-"""Client of KV cache stores, for emulated engines."""
+"""HTTP client of KV cache stores, used by emulated engines."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class KvCacheStoreClient:
-    """Reads and writes blocks; a store that is down only costs the import."""
+    """Looks up and writes blocks; an unavailable store counts as empty."""
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Create a client without open connections."""
         self._client = httpx.AsyncClient(trust_env=False, timeout=TIMEOUT_SECONDS)
 
     async def aclose(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._client.aclose()
 
     async def held_prefix(self, address: str, keys: Sequence[int]) -> int:
-        """Return how many leading blocks the store holds; 0 when it doesn't answer."""
+        """Return how many leading blocks the store holds; 0 when it is unavailable."""
         content = await self._post(address, LOOKUP_PATH, keys)
         return msgspec.json.decode(content, type=LookupAnswer).held if content else 0
 
     async def write(self, address: str, keys: Sequence[int]) -> None:
-        """Write blocks; they are lost when the store doesn't answer."""
+        """Write blocks; they are dropped when the store is unavailable."""
         await self._post(address, WRITE_PATH, keys)
 
     async def _post(self, address: str, path: str, keys: Sequence[int]) -> bytes:
-        """Send a list of keys; return the body of a success, else nothing."""
+        """Send a list of keys; return the response body, or nothing after a failure."""
         content = msgspec.json.encode(BlockList(tuple(keys)))
         try:
             response = await self._client.post(f"http://{address}{path}", content=content)
--- a/emulator/kv_cache_store/messages.py
+++ b/emulator/kv_cache_store/messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the KV cache store's interface."""
+"""Message bodies of the KV cache store's HTTP API."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
 
 
 class LookupAnswer(msgspec.Struct, frozen=True):
-    """How many leading blocks of the chain are held."""
+    """Number of leading blocks of the chain that the store holds."""
 
     held: int
--- a/emulator/kv_cache_store/model.py
+++ b/emulator/kv_cache_store/model.py
@@ -1,4 +1,4 @@
-"""The pure model of a KV cache store: which salted blocks one place keeps."""
+"""Model of a KV cache store without I/O: an LRU set of salted block keys."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class KvCacheStoreModel:
-    """Least recently used blocks of one place, in bounded memory.
+    """An LRU cache of block keys with a fixed capacity.
 
     Keys are salted with the tenant and the weights version, so an entry of another tenant or
     of older weights never matches.
     """
 
     def __init__(self, capacity_blocks: int) -> None:
-        """Start empty, with room for ``capacity_blocks``."""
+        """Create an empty store with a capacity of ``capacity_blocks``."""
         self._capacity_blocks = capacity_blocks
         self._keys: OrderedDict[int, None] = OrderedDict()
 
@@ -23,7 +23,7 @@
         return len(self._keys)
 
     def held_prefix(self, keys: Sequence[int]) -> int:
-        """Return how many leading blocks of a chain are held, and count them as used."""
+        """Return how many leading blocks of a chain are held, and mark them as used."""
         held = 0
         for key in keys:
             if key not in self._keys:
@@ -34,7 +34,7 @@
         return held
 
     def write(self, keys: Iterable[int]) -> None:
-        """Keep blocks; the least recently used ones make room."""
+        """Store blocks, evicting the least recently used ones beyond the capacity."""
         for key in keys:
             self._keys[key] = None
             self._keys.move_to_end(key)
@@ -42,5 +42,5 @@
             self._keys.popitem(last=False)
 
     def clear(self) -> None:
-        """Lose everything, as after a restart."""
+        """Remove all blocks, as a restart does."""
         self._keys.clear()
--- a/emulator/kv_cache_store/server.py
+++ b/emulator/kv_cache_store/server.py
@@ -1,4 +1,4 @@
-"""The KV cache store of one place over HTTP."""
+"""HTTP server of a KV cache store."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def create_kv_cache_store_app(model: KvCacheStoreModel) -> quart_trio.QuartTrio:
-    """Return the HTTP application of one store."""
+    """Return the HTTP application of a store."""
     app = quart_trio.QuartTrio(__name__)
 
     @app.post(LOOKUP_PATH)
     async def lookup() -> quart.Response:
-        """Say how much of a chain is held."""
+        """Return how many leading blocks of a chain are held."""
         message = await read_message(BlockList)
         return json_response(LookupAnswer(model.held_prefix(message.block_keys)))
 
     @app.post(WRITE_PATH)
     async def write() -> quart.Response:
-        """Keep blocks."""
+        """Store blocks."""
         message = await read_message(BlockList)
         model.write(message.block_keys)
         return json_response(None)
@@ -48,8 +48,8 @@
     Args:
         address: ``ip:port`` to listen on; port 0 lets the operating system choose.
         wait_shutdown: Returns when the listener should close.
-        capacity_blocks: Blocks that the store keeps.
-        task_status: Told the bound addresses once the listener is open.
+        capacity_blocks: Capacity of the store in blocks.
+        task_status: Receives the bound addresses once the listener is open.
     """
     app = create_kv_cache_store_app(KvCacheStoreModel(capacity_blocks))
     await serve_http(app, address, None, wait_shutdown, task_status=task_status)
