--- a/emulator/load/__init__.py
+++ b/emulator/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load generator: bounded traffic to loopback, each answer checked against the oracle."""
+"""Load generator: bounded traffic to loopback, each response checked for correctness."""
--- a/emulator/load/direct_client.py
+++ b/emulator/load/direct_client.py
@@ -1,4 +1,4 @@
-"""Sends requests to one engine without a router, for ratios within one run."""
+"""Sends requests directly to an engine, as a baseline for requests through a router."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class DirectClient:
-    """Calls an engine as a router would."""
+    """Client that calls an engine as a router does."""
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Create a client without open connections."""
         self._engine = HttpEngine()
 
     async def aclose(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._engine.aclose()
 
     async def send(self, address: str, request: LoadRequest) -> LoadResult:
-        """Send one request and check its answer.
+        """Send one request and check its response.
 
         Args:
             address: ``ip:port`` of an engine on loopback.
@@ -43,7 +43,9 @@
         tokens: list[str] = []
         usage = Usage(0)
         try:
-            async with self._engine.generate(address, _attempt(request, weights)) as frames:
+            async with self._engine.generate(
+                address, _generate_request(request, weights)
+            ) as frames:
                 async for frame in frames:
                     if frame.tokens and not first_at:
                         first_at = trio.current_time()
@@ -55,10 +57,10 @@
             return LoadResult(
                 request, Outcome.REFUSED, code=error.code.value, execution=error.execution.value
             )
-        right = tuple(tokens) == expected_tokens(rendered_prompt(request), request.max_tokens)
+        correct = tuple(tokens) == expected_tokens(rendered_prompt(request), request.max_tokens)
         return LoadResult(
             request,
-            Outcome.COMPLETE if right else Outcome.WRONG,
+            Outcome.COMPLETE if correct else Outcome.WRONG,
             tokens=len(tokens),
             prompt_tokens=usage.prompt_tokens,
             cached_tokens=usage.cached_tokens,
@@ -67,8 +69,8 @@
         )
 
 
-def _attempt(request: LoadRequest, weights_version: str) -> GenerateRequest:
-    """Return the attempt of a request."""
+def _generate_request(request: LoadRequest, weights_version: str) -> GenerateRequest:
+    """Return the engine's message for a request."""
     return GenerateRequest(
         nonce=uuid.uuid4().hex,
         model=request.model,
--- a/emulator/load/loopback.py
+++ b/emulator/load/loopback.py
@@ -1,4 +1,4 @@
-"""The load generator talks to loopback only."""
+"""Restricts the load generator to loopback addresses."""
 
 from __future__ import annotations
 
--- a/emulator/load/messages.py
+++ b/emulator/load/messages.py
@@ -1,4 +1,4 @@
-"""Requests of the load generator and what came of them."""
+"""Requests of the load generator and their results."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
     Attributes:
         tenant: Name of the tenant, for reports.
-        key: Its bearer key.
-        request_class: Request class.
-        model: Model.
+        key: Bearer key of the tenant.
+        request_class: Name of the request class.
+        model: Name of the model.
         prompt: Prompt text; for a chat, the user's message.
-        max_tokens: Longest answer.
-        chat: Whether it goes as a chat or as a plain completion.
-        idempotency_key: For requests that must run at most once; may be empty.
+        max_tokens: Maximum length of the response in tokens.
+        chat: Whether to send a chat completion, not a plain completion.
+        idempotency_key: Key of a request that must run at most once; may be empty.
     """
 
     tenant: str
@@ -32,7 +32,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What came of a request."""
+    """How a request ended."""
 
     COMPLETE = "complete"
     WRONG = "wrong"
@@ -42,23 +42,23 @@
 
 
 class LoadResult(msgspec.Struct, frozen=True):
-    """What came of one request.
+    """Result of one request.
 
     Attributes:
         request: The request.
-        outcome: Complete only when every token is the oracle's; wrong when any differs.
-        code: Code of the refusal or interruption.
-        execution: What the refusal proves of execution.
+        outcome: ``COMPLETE`` only when every token is the expected one; ``WRONG`` when any differs.
+        code: Error code of the refusal or interruption.
+        execution: What the error says about whether the request was executed.
         router: Router that answered.
-        engines: Engines that made the answer, in order.
-        tokens: Tokens of the answer.
-        cached_tokens: Prompt tokens taken from a cache.
+        engines: Engines that produced the response, in order.
+        tokens: Tokens of the response.
+        cached_tokens: Prompt tokens served from a cache.
         prompt_tokens: Tokens of the prompt.
-        first_token_seconds: From sending to the first token.
-        total_seconds: From sending to the end.
-        endpoints: Routers that a placement refusal names.
-        retry_after_seconds: When a refusal asks to come back.
-        tries: Times that it was sent.
+        first_token_seconds: Time from sending to the first token.
+        total_seconds: Time from sending to the end of the response.
+        endpoints: Routers named by a refusal for wrong placement.
+        retry_after_seconds: Delay that a refusal asks for before a retry.
+        tries: Number of times that the request was sent.
     """
 
     request: LoadRequest
--- a/emulator/load/router_client.py
+++ b/emulator/load/router_client.py
@@ -1,4 +1,4 @@
-"""Sends requests to routers as an OpenAI-style client does, and checks the answers."""
+"""Sends requests to routers as an OpenAI-style client does, and checks the responses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class StreamChoice(msgspec.Struct, frozen=True):
-    """The fields of a chunk's choice that are checked."""
+    """Fields of a chunk's choice that the client reads."""
 
     text: str = ""
     delta: dict[str, str] = {}
@@ -30,7 +30,7 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """The fields of a stream's events that are checked."""
+    """Fields of a stream event that the client reads."""
 
     choices: tuple[StreamChoice, ...] = ()
     usage: dict[str, Any] | None = None
@@ -42,16 +42,16 @@
 
 
 class RouterClient:
-    """One client process's connections to routers."""
+    """HTTP client of routers, with its own connection pool."""
 
     def __init__(
         self, timeout_seconds: float = TIMEOUT_SECONDS, tls: ssl.SSLContext | None = None
     ) -> None:
-        """Open no connection yet.
+        """Create a client without open connections.
 
         Args:
-            timeout_seconds: Longest silence.
-            tls: For routers that serve TLS; None for plain HTTP.
+            timeout_seconds: Longest time to wait for data.
+            tls: TLS context; None for plain HTTP.
         """
         self._scheme = "http" if tls is None else "https"
         self._http = httpx.AsyncClient(
@@ -62,11 +62,11 @@
         )
 
     async def aclose(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._http.aclose()
 
     async def send(self, address: str, request: LoadRequest) -> LoadResult:
-        """Send one request and check its answer.
+        """Send one request and check its response.
 
         Args:
             address: ``ip:port`` of a router on loopback.
@@ -96,10 +96,10 @@
 
 
 async def _read(response: httpx.Response) -> tuple[float, bytes]:
-    """Return when the first event came, and the whole stream.
+    """Return the time of the first event, and the complete stream.
 
-    The stream is read raw and decoded afterwards, so that the client's own work does not
-    stand in the way of what it measures.
+    The stream is decoded only after it has ended, so that the client's own processing doesn't
+    distort the measured times.
     """
     first_at = 0.0
     chunks: list[bytes] = []
@@ -111,7 +111,7 @@
 
 
 def _path(request: LoadRequest) -> str:
-    """Return the path that a request goes to."""
+    """Return the URL path of a request."""
     return "/v1/chat/completions" if request.chat else "/v1/completions"
 
 
@@ -128,7 +128,7 @@
 
 
 def _body(request: LoadRequest) -> dict[str, object]:
-    """Return the body of a request, as clients write it."""
+    """Return the JSON body of a request."""
     body: dict[str, object] = {
         "model": request.model,
         "max_tokens": request.max_tokens,
@@ -141,14 +141,14 @@
 
 
 def rendered_prompt(request: LoadRequest) -> str:
-    """Return the prompt text that engines see."""
+    """Return the prompt text that engines receive."""
     if request.chat:
         return render_chat((ChatMessage("user", request.prompt),))
     return request.prompt
 
 
 def _refused(request: LoadRequest, data: bytes) -> LoadResult:
-    """Return the result of a refusal."""
+    """Return the result of a refused request."""
     try:
         error = msgspec.json.decode(data)["error"]
     except (msgspec.DecodeError, KeyError, TypeError):
@@ -164,7 +164,7 @@
 
 
 def _check(request: LoadRequest, data: bytes, headers: httpx.Headers) -> LoadResult:
-    """Compare a whole stream with the oracle."""
+    """Compare a complete stream with the expected tokens."""
     events, done = _events(data)
     text = "".join(
         choice.text or choice.delta.get("content", "")
@@ -195,7 +195,7 @@
 
 
 def _events(data: bytes) -> tuple[list[StreamEvent], bool]:
-    """Return the events of a stream, and whether it ended with the end mark."""
+    """Return the events of a stream, and whether it ended with ``[DONE]``."""
     payloads = [part.removeprefix(DATA) for part in data.split(EVENT_END) if part]
     done = bool(payloads) and payloads[-1] == DONE
     return [DECODER.decode(payload) for payload in payloads if payload != DONE], done
--- a/emulator/load/run.py
+++ b/emulator/load/run.py
@@ -1,4 +1,4 @@
-"""Runs a bounded load with a fixed number of requests at once, or at a fixed rate."""
+"""Runs a bounded load with a fixed number of concurrent requests."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class Sender(Protocol):
-    """Sends one request; a router's or an engine's client."""
+    """Client of routers or of engines."""
 
     async def send(self, address: str, request: LoadRequest) -> LoadResult:
-        """Send one request and return what came of it."""
+        """Send one request and return its result."""
 
 
 async def send_until_settled(
     sender: Sender, addresses: Iterator[str], request: LoadRequest
 ) -> LoadResult:
-    """Send a request, again only when a refusal proves that it was not run.
+    """Send a request, and retry it only after a refusal that proves it was not executed.
 
-    Refusals outside the placement are followed to an endpoint that they name.
+    After a refusal for wrong placement, retries go to the endpoints that the refusal names.
 
     Args:
         sender: Sends one request.
-        addresses: Where to send; the next one is taken for each try.
+        addresses: Addresses to send to; each try takes the next one.
         request: The request.
     """
     for tries in itertools.count(1):
@@ -56,14 +56,14 @@
     max_seconds: float = MAX_SECONDS,
     report: Callable[[LoadResult], None] = lambda result: None,
 ) -> list[LoadResult]:
-    """Keep ``concurrency`` requests under way until all are sent.
+    """Keep ``concurrency`` requests in flight until all are sent.
 
     Args:
         sender: Sends one request.
-        addresses: Routers or engines, taken in turn.
-        requests: What to send, at most ``MAX_REQUESTS``.
-        concurrency: Requests at once.
-        max_seconds: Bound on the run; what isn't sent by then stays unsent.
+        addresses: Addresses of routers or engines, used in turn.
+        requests: Requests to send; those beyond ``MAX_REQUESTS`` are ignored.
+        concurrency: Number of concurrent requests.
+        max_seconds: Longest duration of the run; requests still unfinished then are given up.
         report: Called with each result.
     """
     waiting = iter(requests[:MAX_REQUESTS])
@@ -84,5 +84,5 @@
 
 
 def all_complete(results: Sequence[LoadResult]) -> bool:
-    """Return whether every answer came whole and right."""
+    """Return whether every response is complete and correct."""
     return all(result.outcome is Outcome.COMPLETE for result in results)
--- a/emulator/load/summary.py
+++ b/emulator/load/summary.py
@@ -1,4 +1,4 @@
-"""Figures of a load run."""
+"""Summarizes the results of a load run."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class LoadSummary(msgspec.Struct, frozen=True):
-    """Figures of a load run.
+    """Summary of a load run.
 
     Attributes:
         sent: Requests sent.
-        complete: Answers that came whole and right.
-        wrong: Answers with a wrong token.
-        failures: Number of refusals and interruptions by code.
-        seconds: Length of the run.
-        tokens: Tokens of complete answers.
-        tokens_per_second: Tokens over the length of the run.
-        requests_per_second: Complete answers over the length of the run.
-        cached_ratio: Cached over all prompt tokens.
+        complete: Complete and correct responses.
+        wrong: Responses with a wrong token.
+        failures: Number of refused, interrupted and unreachable requests by code.
+        seconds: Duration of the run.
+        tokens: Tokens of complete responses.
+        tokens_per_second: ``tokens`` divided by the duration of the run.
+        requests_per_second: Complete responses divided by the duration of the run.
+        cached_ratio: Fraction of the prompt tokens that were cached.
         first_token_p50_ms: Median time to first token.
-        first_token_p95_ms: 95th percentile of it.
-        first_token_p99_ms: 99th percentile of it.
+        first_token_p95_ms: 95th percentile of the time to first token.
+        first_token_p99_ms: 99th percentile of the time to first token.
     """
 
     sent: int
@@ -45,7 +45,7 @@
     first_token_p99_ms: float
 
     def lines(self) -> list[str]:
-        """Return the summary for a terminal."""
+        """Return the summary's lines for a terminal."""
         return [
             f"{self.sent} sent, {self.complete} complete, {self.wrong} wrong",
             f"{self.tokens_per_second:.0f} tokens/s, {self.requests_per_second:.1f} requests/s "
@@ -57,11 +57,11 @@
 
 
 def summarize(results: Sequence[LoadResult], seconds: float) -> LoadSummary:
-    """Return the figures of a run.
+    """Return the summary of a run.
 
     Args:
-        results: What came of each request.
-        seconds: Length of the run.
+        results: Result of each request.
+        seconds: Duration of the run.
     """
     complete = [result for result in results if result.outcome is Outcome.COMPLETE]
     failed = [
