--- a/emulator/recovery/__init__.py
+++ b/emulator/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""How a small deployment bears overload, and how long it takes to recover from losses."""
+"""Measures a small deployment under overload, and its recovery times after failures."""
--- a/emulator/recovery/command.py
+++ b/emulator/recovery/command.py
@@ -1,4 +1,4 @@
-"""The recovery command: runs the scenarios for each seed and writes the reports."""
+"""Runs the recovery scenarios for each seed and writes the reports."""
 
 from __future__ import annotations
 
@@ -24,42 +24,46 @@
     "engine_loss": scenarios.run_engine_loss,
     "store_outage": scenarios.run_store_outage,
 }
-"""Scenarios by the name of their result."""
+"""Scenarios by the name of their field in ``SeedResult``."""
 
-Tell = Callable[[str], None]
+WriteLine = Callable[[str], None]
 
 
 def run_recovery(
-    names: Sequence[str], seeds: Sequence[int], plan: Plan, directory: Path, tell: Tell = print
+    names: Sequence[str],
+    seeds: Sequence[int],
+    plan: Plan,
+    directory: Path,
+    write_line: WriteLine = print,
 ) -> Report:
     """Run scenarios, print the table and write the JSON.
 
     Args:
-        names: Scenarios, of ``SCENARIOS``.
-        seeds: Seeds of traffic and chance; the same seed gives the same figures.
-        plan: Lengths and loads.
-        directory: Where the report goes.
-        tell: Takes the progress and the table.
+        names: Names of scenarios, keys of ``SCENARIOS``.
+        seeds: Seeds of all random draws; the same seed gives the same results.
+        plan: Durations and loads.
+        directory: Directory of the report.
+        write_line: Called with each line of progress, and with the table.
 
     Raises:
-        ValueError: For an unknown scenario.
+        ValueError: When a scenario is unknown.
     """
     for name in names:
         if name not in SCENARIOS:
             raise ValueError(f"scenarios: expected of {', '.join(SCENARIOS)}, got {name!r}")
-    report = Report(plan, tuple(_run_seed(names, seed, plan, tell) for seed in seeds))
-    tell(render(report))
+    report = Report(plan, tuple(_run_seed(names, seed, plan, write_line) for seed in seeds))
+    write_line(render(report))
     directory.mkdir(parents=True, exist_ok=True)
     (directory / REPORT_NAME).write_bytes(encode(report))
     return report
 
 
-def _run_seed(names: Sequence[str], seed: int, plan: Plan, tell: Tell) -> SeedResult:
+def _run_seed(names: Sequence[str], seed: int, plan: Plan, write_line: WriteLine) -> SeedResult:
     """Run all scenarios of one seed."""
     capacity = scenarios.measure_capacity(plan, seed)
     results: dict[str, Any] = {}
     for name in names:
         began_at = time.monotonic()
         results[name] = SCENARIOS[name](plan, capacity, seed)
-        tell(f"seed {seed}: {name} in {time.monotonic() - began_at:.0f} s of real time")
+        write_line(f"seed {seed}: {name} in {time.monotonic() - began_at:.0f} s of real time")
     return SeedResult(seed, **results)
--- a/emulator/recovery/deployment.py
+++ b/emulator/recovery/deployment.py
@@ -1,4 +1,4 @@
-"""The small deployment of the recovery measures: slow engines, so that few requests load them."""
+"""The small deployment of the recovery scenarios; its engines are slow, so few requests suffice."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 ROUTERS = 2
 ENGINES = 3
 LOST_ENGINES = 1
-"""Engines that are lost at once: a third."""
+"""Number of engines that crash at once; a third of all."""
 
 MODEST_TENANTS = ("modest-1", "modest-2", "modest-3")
-"""Tenants that stay within their share."""
+"""Tenants whose load stays within their share of the capacity."""
 
 GREEDY_TENANT = "greedy"
-"""Tenant that sends what is above the capacity."""
+"""Tenant that sends the additional load of the overload."""
 
 TENANTS = (*MODEST_TENANTS, GREEDY_TENANT)
 
@@ -33,14 +33,14 @@
     decode_seconds_per_request=0.01,
     stream_interval_tokens=16,
 )
-"""A slow engine: about two and a half answers a second."""
+"""A slow engine; it completes about 2.5 responses per second."""
 
 MAX_CONCURRENT_REQUESTS = 8
-"""Requests that an engine takes: a whole batch, and as many that wait."""
+"""Requests that an engine accepts: a full batch, and as many waiting."""
 
 
 def recovery_deployment() -> Configuration:
-    """Return the deployment: tenants of equal weight that may use every engine."""
+    """Return the deployment, with tenants of equal weight that may use every engine."""
     sample = sample_deployment(
         routers=ROUTERS,
         engines=ENGINES,
--- a/emulator/recovery/measures.py
+++ b/emulator/recovery/measures.py
@@ -1,4 +1,4 @@
-"""Measures over the answers of a run: of spans, of refusals, and of the way back to steady."""
+"""Computes measures of a run's responses: of time spans, refusals and recovery times."""
 
 from __future__ import annotations
 
@@ -11,26 +11,27 @@
 from hopstep.domain.blocks import count_tokens
 
 TOLERANCE = 0.05
-"""Part by which a recovered measure may be worse than the worst steady window."""
+"""Fraction by which a recovered measure may be worse than in the worst steady window."""
 
 IMMEDIATE_SECONDS = 0.1
-"""Longest time to a refusal that counts as immediate."""
+"""Longest time from arrival to a refusal that counts as immediate."""
 
 REFUSED = (Outcome.REFUSED,)
 BROKEN = (Outcome.FAILED, Outcome.CONNECTION_LOST, Outcome.CONNECTION_REFUSED, Outcome.LEFT)
 
 
 class SpanMeasures(msgspec.Struct, frozen=True):
-    """Measures of a span of time.
+    """Measures of a time span.
 
     Attributes:
-        sent: Requests that arrived in it.
-        goodput: Answers that came whole in it, a second.
-        hit_rate: Share of the prompt tokens of its requests that were cached.
-        ttft_p50: Median time to first token of its requests, in seconds.
-        ttft_p99: 99th percentile of it.
-        refused: Its requests that were refused.
-        broken: Requests that ended in it neither whole nor refused.
+        sent: Requests that arrived within the span.
+        goodput: Responses completed within the span, per second.
+        hit_rate: Fraction of the prompt tokens that were cached, over completed requests that
+            arrived within the span.
+        ttft_p50: Median time to first token of the same requests, in seconds.
+        ttft_p99: 99th percentile of the same.
+        refused: Requests that arrived within the span and were refused.
+        broken: Requests that ended within the span without a complete response or refusal.
     """
 
     sent: int
@@ -43,16 +44,16 @@
 
 
 class RefusalMeasures(msgspec.Struct, frozen=True):
-    """How callers were refused.
+    """Measures of refusals.
 
     Attributes:
-        count: Refusals.
+        count: Number of refusals.
         p50_seconds: Median time from arrival to refusal.
         max_seconds: Longest such time.
         late: Refusals that took longer than ``IMMEDIATE_SECONDS``.
-        without_retry_after: Refusals that don't say when to come back.
-        not_run: Refusals that say that nothing ran.
-        codes: Error codes that came.
+        without_retry_after: Refusals without a ``Retry-After``.
+        not_run: Refusals that say that the request wasn't executed.
+        codes: Error codes of the refusals.
     """
 
     count: int
@@ -68,7 +69,7 @@
     """Measure the span from ``began_at`` to ``ended_at``.
 
     Args:
-        answers: All answers, those of other times too.
+        answers: All responses of the run, also those outside the span.
         began_at: Virtual time in seconds.
         ended_at: Virtual time in seconds, after ``began_at``.
     """
@@ -107,7 +108,7 @@
 def windows(
     answers: Collection[Answer], began_at: float, ended_at: float, seconds: float, step: float
 ) -> list[tuple[float, SpanMeasures]]:
-    """Return the begin and the measures of each whole window between two times."""
+    """Return the start and the measures of each complete window between two times."""
     count = int((ended_at - began_at - seconds) / step + 1e-9) + 1
     begins = [began_at + index * step for index in range(max(0, count))]
     return [(begin, measure_span(answers, begin, begin + seconds)) for begin in begins]
@@ -119,19 +120,20 @@
     event_at: float,
     measure: str,
 ) -> float | None:
-    """Return the time after an event from which on a measure is steady for good.
+    """Return the time after an event until a measure is steady and stays so.
 
-    A window is steady when it is at most ``TOLERANCE`` worse than the worst steady one.
+    A window is steady when it is worse than the worst window in ``steady`` by at most
+    ``TOLERANCE``.
 
     Args:
-        after: Begins and measures of the windows after the event, in order.
+        after: Starts and measures of the windows after the event, in order.
         steady: Measures of the steady windows of the same length.
         event_at: Virtual time of the event's end.
         measure: ``goodput``, ``hit_rate`` or ``ttft_p99``.
 
     Returns:
-        Seconds from the event to the begin of the first window from which on all are steady;
-        None when the last window isn't.
+        Seconds from the event to the start of the first window after which all windows are
+        steady, including itself; None when the last window isn't steady.
     """
     recovered_at: float | None = None
     bound = _bound([getattr(item, measure) for item in steady], measure)
@@ -146,7 +148,7 @@
 
 
 def _bound(steady: Sequence[float], measure: str) -> float:
-    """Return the worst value that counts as steady."""
+    """Return the worst value of a measure that counts as steady."""
     if measure == "ttft_p99":
         return max(steady) * (1.0 + TOLERANCE)
     return min(steady) * (1.0 - TOLERANCE)
--- a/emulator/recovery/report.py
+++ b/emulator/recovery/report.py
@@ -1,4 +1,4 @@
-"""Reports of recovery: a table for the terminal, and JSON."""
+"""Renders the recovery report as a text table and as JSON."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What one command gave.
+    """Report of one command.
 
     Attributes:
-        plan: Lengths and loads.
-        seeds: A result for each seed.
+        plan: Durations and loads of the scenarios.
+        seeds: Results of each seed.
     """
 
     plan: Plan
@@ -33,7 +33,7 @@
 
 
 def render(report: Report) -> str:
-    """Return the table: a row for each measure, a column for each seed."""
+    """Return a table with a row per measure and a column per seed."""
     columns = [_rows(result) for result in report.seeds]
     headings = "".join(f"seed {result.seed}".rjust(CELL_WIDTH) for result in report.seeds)
     lines = ["measure".ljust(LABEL_WIDTH) + headings]
@@ -49,7 +49,7 @@
 
 
 def _rows(result: SeedResult) -> list[Row]:
-    """Return labels and cells of the scenarios that ran."""
+    """Return the labels and values of the scenarios that ran."""
     rows: list[Row] = []
     if result.overload is not None:
         rows += _overload_rows(result.overload)
@@ -75,9 +75,9 @@
         *_refusal_rows("overload: refusals", result.refusals),
         ("overload: attempts over first", f"{result.attempts_over_first:.3f}"),
     ]
-    for harm in result.tenants:
-        rows += _span_rows(f"overload: {harm.tenant} before", harm.steady)
-        rows += _span_rows(f"overload: {harm.tenant} meanwhile", harm.overload)
+    for impact in result.tenants:
+        rows += _span_rows(f"overload: {impact.tenant} before", impact.steady)
+        rows += _span_rows(f"overload: {impact.tenant} meanwhile", impact.overload)
     return rows + _recovery_rows("overload", result.recovery)
 
 
@@ -131,5 +131,5 @@
 
 
 def _seconds(seconds: float | None) -> str:
-    """Return a time, or that there is none within the run."""
+    """Return a time as text; None means that it wasn't reached during the run."""
     return "not in run" if seconds is None else f"{seconds:.1f}"
--- a/emulator/recovery/results.py
+++ b/emulator/recovery/results.py
@@ -1,4 +1,4 @@
-"""What the scenarios of one seed gave."""
+"""Results of the recovery scenarios for one seed."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from emulator.recovery.measures import RefusalMeasures, SpanMeasures
 
 
-class TenantHarm(msgspec.Struct, frozen=True):
-    """One tenant under the overload that another one makes.
+class TenantImpact(msgspec.Struct, frozen=True):
+    """Measures of one tenant under an overload that another tenant causes.
 
     Attributes:
-        tenant: Its name.
-        steady: Its measures before.
-        overload: Its measures meanwhile.
+        tenant: Name of the tenant.
+        steady: Measures before the overload.
+        overload: Measures during the overload.
     """
 
     tenant: str
@@ -22,7 +22,7 @@
 
 
 class RecoveryTimes(msgspec.Struct, frozen=True):
-    """Seconds until a measure is steady for good; None when it isn't within the run."""
+    """Seconds until each measure is steady and stays so; None if that isn't within the run."""
 
     goodput: float | None
     hit_rate: float | None
@@ -30,17 +30,17 @@
 
 
 class OverloadResult(msgspec.Struct, frozen=True):
-    """Twice the capacity, and the time after it.
+    """Measures of an overload, and of the recovery after it.
 
     Attributes:
-        capacity: Best goodput, with as many callers as the engines have room, a second.
-        steady: Measures before.
-        overload: Measures meanwhile.
-        goodput_over_best: Goodput meanwhile over ``capacity``.
+        capacity: Highest goodput per second, with as many callers as the engines accept requests.
+        steady: Measures before the overload.
+        overload: Measures during the overload.
+        goodput_over_best: Goodput during the overload divided by ``capacity``.
         refusals: Refusals of the whole run.
-        attempts_over_first: Attempts over first attempts, in the whole run.
-        tenants: Tenants within their share.
-        recovery: Time from the end of the overload.
+        attempts_over_first: Attempts divided by first attempts, over the whole run.
+        tenants: Measures of the tenants whose load stays within their share.
+        recovery: Recovery times from the end of the overload.
     """
 
     capacity: float
@@ -49,18 +49,19 @@
     goodput_over_best: float
     refusals: RefusalMeasures
     attempts_over_first: float
-    tenants: tuple[TenantHarm, ...]
+    tenants: tuple[TenantImpact, ...]
     recovery: RecoveryTimes
 
 
 class EventResult(msgspec.Struct, frozen=True):
-    """A loss under steady load.
+    """Measures of an event under steady load.
 
     Attributes:
-        steady: Measures before; of the smaller deployment where engines are lost.
-        after: Measures of the whole time after the event.
-        attempts_over_first: Attempts over first attempts, in the whole run.
-        recovery: Time from the event.
+        steady: Measures before the event; for a loss of engines, those of a run without these
+            engines.
+        after: Measures of the time after the event.
+        attempts_over_first: Attempts divided by first attempts, over the whole run.
+        recovery: Recovery times from the event.
     """
 
     steady: SpanMeasures
@@ -70,12 +71,14 @@
 
 
 class StoreOutageResult(msgspec.Struct, frozen=True):
-    """A herd restart while the store is down: routers have no configuration, and refuse.
+    """Measures of a restart of all routers while the store is down.
+
+    Without the store, routers have no configuration and refuse requests.
 
     Attributes:
-        refusals: Refusals from the restart to the first served request.
+        refusals: Refusals of the requests that arrived after the restart.
         first_served_seconds: Time from the store's return to the first token.
-        recovery: Time from the store's return.
+        recovery: Recovery times from the store's return.
     """
 
     refusals: RefusalMeasures
@@ -84,11 +87,11 @@
 
 
 class SeedResult(msgspec.Struct, frozen=True):
-    """All scenarios of one seed; None for one that didn't run.
+    """Results of all scenarios for one seed; None for a scenario that didn't run.
 
     Attributes:
-        seed: Seed of the traffic and of all chance.
-        calm: No event at all: what the measures of recovery say of chance alone.
+        seed: Seed of all random draws.
+        calm: Run without an event, which shows the recovery measures' random variation.
     """
 
     seed: int
--- a/emulator/recovery/scenarios.py
+++ b/emulator/recovery/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios: each runs the real services in virtual time and measures one event."""
+"""Recovery scenarios; each runs the real services in virtual time and measures one event."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     OverloadResult,
     RecoveryTimes,
     StoreOutageResult,
-    TenantHarm,
+    TenantImpact,
 )
 from emulator.recovery.traffic import (
     Arrival,
@@ -39,19 +39,19 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Lengths and loads of the scenarios.
+    """Durations and loads of the scenarios.
 
     Attributes:
-        warm_seconds: Time before anything is measured.
-        steady_seconds: Steady time before an event.
+        warm_seconds: Warm-up time before the measurements.
+        steady_seconds: Time of steady load before an event.
         overload_seconds: Time at twice the capacity.
         outage_seconds: Time from a restart to the store's return.
         after_seconds: Time after an event.
-        window_seconds: Length of the windows in which recovery is looked for.
-        step_seconds: Distance of their begins.
-        steady_share: Steady load as a share of the capacity.
-        overload_share: Overload as a share of the capacity.
-        smaller_share: Load of the loss of engines, as a share of what the rest can do.
+        window_seconds: Length of the windows that recovery is measured in.
+        step_seconds: Time between the starts of two windows.
+        steady_share: Steady load as a fraction of the capacity.
+        overload_share: Overload as a fraction of the capacity.
+        smaller_share: Load in the loss of engines, as a fraction of the remaining engines' capacity.
     """
 
     warm_seconds: float = 30.0
@@ -67,12 +67,12 @@
 
 
 class Run(msgspec.Struct, frozen=True):
-    """A trace that was played.
+    """A completed run of a trace.
 
     Attributes:
-        cluster: The cluster, ended.
-        steady_at: Virtual time at which the steady time began.
-        event_at: Virtual time of the event, or of the first one's begin.
+        cluster: The cluster after the run.
+        steady_at: Virtual time at which the steady load began.
+        event_at: Virtual time at which the event began.
     """
 
     cluster: SimulatedCluster
@@ -81,7 +81,7 @@
 
     @property
     def answers(self) -> list[Answer]:
-        """All answers."""
+        """All responses of the run."""
         return self.cluster.history.answers
 
     def span(self, began_at: float, ended_at: float) -> SpanMeasures:
@@ -90,7 +90,7 @@
 
 
 def measure_capacity(plan: Plan, seed: int) -> float:
-    """Return the best goodput: as many callers as the engines have room, one request each."""
+    """Return the goodput with as many concurrent requests as the engines accept."""
     seconds = plan.warm_seconds + plan.steady_seconds
     callers = sizes.ENGINES * sizes.MAX_CONCURRENT_REQUESTS
     began_at: list[float] = []
@@ -105,7 +105,7 @@
 
 
 def run_overload(plan: Plan, capacity: float, seed: int) -> OverloadResult:
-    """Run steady load, overload that one tenant makes, and steady load again."""
+    """Run steady load, then overload caused by one tenant, then steady load again."""
     steady = steady_rates(plan.steady_share * capacity)
     rates = overload_rates(plan.steady_share * capacity, plan.overload_share * capacity)
     phases = [
@@ -124,31 +124,31 @@
         goodput_over_best=overload.goodput / capacity,
         refusals=measure_refusals(run.answers),
         attempts_over_first=_attempts_over_first(run.cluster),
-        tenants=tuple(_harm(run, tenant, overload_end) for tenant in sizes.MODEST_TENANTS),
+        tenants=tuple(_impact(run, tenant, overload_end) for tenant in sizes.MODEST_TENANTS),
         recovery=_recovery(plan, run, overload_end, ended_at, _steady_windows(plan, run)),
     )
 
 
 def run_calm(plan: Plan, capacity: float, seed: int) -> EventResult:
     """Run steady load without any event."""
-    return _run_event(plan, plan.steady_share * capacity, seed, _nothing)
+    return _run_event(plan, plan.steady_share * capacity, seed, _no_event)
 
 
 def run_herd_restart(plan: Plan, capacity: float, seed: int) -> EventResult:
-    """Kill all routers under steady load and start them at once."""
+    """Kill all routers under steady load and restart them at the same time."""
     return _run_event(plan, plan.steady_share * capacity, seed, _restart_routers)
 
 
 def run_engine_loss(plan: Plan, capacity: float, seed: int) -> EventResult:
-    """Lose a third of the engines; steady is a run in which they were never there."""
-    smaller = capacity * (sizes.ENGINES - sizes.LOST_ENGINES) / sizes.ENGINES
-    load = plan.smaller_share * smaller
-    never_there = _run(plan, _event_trace(plan, load, seed), seed, before=_lose_engines)
+    """Crash a third of the engines; compare with a run in which they are down from the start."""
+    remaining_capacity = capacity * (sizes.ENGINES - sizes.LOST_ENGINES) / sizes.ENGINES
+    load = plan.smaller_share * remaining_capacity
+    without_engines = _run(plan, _event_trace(plan, load, seed), seed, before=_lose_engines)
     run = _run(plan, _event_trace(plan, load, seed), seed, _lose_engines)
     ended_at = run.event_at + plan.after_seconds
-    steady = _steady_windows(plan, never_there, never_there.event_at + plan.after_seconds)
+    steady = _steady_windows(plan, without_engines, without_engines.event_at + plan.after_seconds)
     return EventResult(
-        steady=never_there.span(never_there.steady_at, never_there.event_at),
+        steady=without_engines.span(without_engines.steady_at, without_engines.event_at),
         after=run.span(run.event_at, ended_at),
         attempts_over_first=_attempts_over_first(run.cluster),
         recovery=_recovery(plan, run, run.event_at, ended_at, steady),
@@ -156,9 +156,9 @@
 
 
 def run_store_outage(plan: Plan, capacity: float, seed: int) -> StoreOutageResult:
-    """Restart all routers while the store is down, and let it return."""
+    """Restart all routers while the store is down, and then bring the store back."""
 
-    async def fail_and_return(cluster: SimulatedCluster) -> None:
+    async def restart_during_outage(cluster: SimulatedCluster) -> None:
         cluster.order_platform_faults(FaultOrder(outage=True))
         await cluster.restart()
         await trio.sleep(plan.outage_seconds)
@@ -167,7 +167,7 @@
     steady = steady_rates(plan.steady_share * capacity)
     seconds = plan.warm_seconds + plan.steady_seconds + plan.outage_seconds + plan.after_seconds
     trace = make_trace([Phase(seconds, steady)], sizes.ROUTERS, seed)
-    run = _run(plan, trace, seed, fail_and_return)
+    run = _run(plan, trace, seed, restart_during_outage)
     returned_at = run.event_at + plan.outage_seconds
     ended_at = returned_at + plan.after_seconds
     later = [item for item in run.answers if item.started_at >= run.event_at]
@@ -179,17 +179,17 @@
     )
 
 
-async def _nothing(_cluster: SimulatedCluster) -> None:
-    """Be no event."""
+async def _no_event(_cluster: SimulatedCluster) -> None:
+    """Do nothing; used in place of an event."""
 
 
 async def _restart_routers(cluster: SimulatedCluster) -> None:
-    """Kill all routers and start them again."""
+    """Kill and restart all routers."""
     await cluster.restart()
 
 
 async def _lose_engines(cluster: SimulatedCluster) -> None:
-    """Crash a third of the engines for good."""
+    """Crash a third of the engines and keep them down."""
     for number in range(sizes.LOST_ENGINES):
         cluster.crash(f"e{number}")
         cluster.world.engines.set_down(cluster.back_end(f"e{number}").address, True)
@@ -202,7 +202,7 @@
 
 
 def _run_event(plan: Plan, load: float, seed: int, event: Event) -> EventResult:
-    """Measure an event under steady load against the time before it."""
+    """Measure an event under steady load, compared with the time before it."""
     run = _run(plan, _event_trace(plan, load, seed), seed, event)
     ended_at = run.event_at + plan.after_seconds
     return EventResult(
@@ -217,10 +217,10 @@
     plan: Plan,
     trace: Sequence[Arrival],
     seed: int,
-    event: Event = _nothing,
-    before: Event = _nothing,
+    event: Event = _no_event,
+    before: Event = _no_event,
 ) -> Run:
-    """Play a trace, with an event after the steady time or before everything."""
+    """Run a trace, with ``event`` after the steady time and ``before`` at the start."""
     times: list[float] = []
 
     async def body(cluster: SimulatedCluster) -> None:
@@ -237,16 +237,16 @@
 
 
 def _simulate(body: Event, seed: int) -> SimulatedCluster:
-    """Run the deployment of the measures under ``body``."""
+    """Simulate the recovery deployment while ``body`` runs."""
     return run_simulation(
         body, seed=seed, deployment=sizes.recovery_deployment(), engine_config=sizes.ENGINE
     )
 
 
-def _harm(run: Run, tenant: str, overload_end: float) -> TenantHarm:
+def _impact(run: Run, tenant: str, overload_end: float) -> TenantImpact:
     """Return a tenant's measures before and during the overload."""
     own = [item for item in run.answers if item.call.tenant == tenant]
-    return TenantHarm(
+    return TenantImpact(
         tenant,
         measure_span(own, run.steady_at, run.event_at),
         measure_span(own, run.event_at, overload_end),
@@ -263,7 +263,7 @@
 def _recovery(
     plan: Plan, run: Run, event_at: float, ended_at: float, steady: Sequence[SpanMeasures]
 ) -> RecoveryTimes:
-    """Return how long each measure took to be steady for good."""
+    """Return the recovery time of each measure."""
     after = windows(run.answers, event_at, ended_at, plan.window_seconds, plan.step_seconds)
     return RecoveryTimes(
         *(
@@ -274,6 +274,6 @@
 
 
 def _attempts_over_first(cluster: SimulatedCluster) -> float:
-    """Return attempts over the requests that had any."""
+    """Return the number of attempts divided by the number of attempted requests."""
     sendings = [dispatch.sending for dispatch in cluster.history.dispatches]
     return len(sendings) / max(1, len(set(sendings)))
--- a/emulator/recovery/traffic.py
+++ b/emulator/recovery/traffic.py
@@ -1,4 +1,4 @@
-"""Seeded arrivals in phases of a constant rate for each tenant."""
+"""Generates seeded arrivals, in phases with a constant rate per tenant."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from emulator.simulation.history import Call
 
 TOPICS = 3
-"""Prefixes of each tenant."""
+"""Number of prompt prefixes per tenant."""
 
 PREFIX_TEXT = "a rule that each request of this topic begins with, "
 PREFIX_REPEATS = 25
@@ -21,11 +21,11 @@
 
 
 class Phase(msgspec.Struct, frozen=True):
-    """A span of constant rates.
+    """A phase with constant arrival rates.
 
     Attributes:
-        seconds: Its length.
-        rates: Requests a second by tenant.
+        seconds: Duration of the phase.
+        rates: Requests per second by tenant.
     """
 
     seconds: float
@@ -36,9 +36,9 @@
     """One request of the trace.
 
     Attributes:
-        at: Seconds from the begin of the trace.
-        call: What is asked.
-        router: Index of the router that is asked.
+        at: Seconds from the start of the trace.
+        call: The request.
+        router: Index of the router that receives the request.
     """
 
     at: float
@@ -47,12 +47,12 @@
 
 
 def steady_rates(requests_per_second: float) -> dict[str, float]:
-    """Return rates at which every tenant sends the same."""
+    """Return equal rates for all tenants."""
     return {tenant: requests_per_second / len(TENANTS) for tenant in TENANTS}
 
 
 def overload_rates(steady: float, overload: float) -> dict[str, float]:
-    """Return rates at which one tenant sends everything above the steady load."""
+    """Return rates at which one tenant sends all load above the steady one."""
     rates = steady_rates(steady)
     rates[GREEDY_TENANT] += overload - steady
     return rates
@@ -61,8 +61,8 @@
 def make_trace(phases: Sequence[Phase], routers: int, seed: int) -> list[Arrival]:
     """Return the arrivals of all phases in order of time.
 
-    Each tenant sends at even distances with jitter, and has a generator of its own: the
-    arrivals of one don't depend on the rates of another.
+    Each tenant sends at even intervals with jitter. Each has its own generator, so that one
+    tenant's arrivals don't depend on the rates of another.
     """
     arrivals: list[Arrival] = []
     for tenant in TENANTS:
@@ -75,7 +75,7 @@
 
 
 async def play(cluster: SimulatedCluster, trace: Sequence[Arrival]) -> None:
-    """Send a trace; return when every caller has its answer. Nobody sends again."""
+    """Send a trace without retries; return when every request has ended."""
     names = [item.name for item in cluster.router_back_ends()]
     began_at = trio.current_time()
     async with trio.open_nursery() as nursery:
@@ -85,11 +85,11 @@
 
 
 async def saturate(cluster: SimulatedCluster, callers: int, seconds: float, seed: int) -> None:
-    """Let callers send one request after another for a time, and wait as refusals say."""
+    """Send requests from concurrent callers for ``seconds``; refused callers wait as asked."""
     names = [item.name for item in cluster.router_back_ends()]
     end = trio.current_time() + seconds
 
-    async def call_again(number: int) -> None:
+    async def send_repeatedly(number: int) -> None:
         generator = random.Random(f"{seed} {number}")
         tenant = TENANTS[number % len(TENANTS)]
         while trio.current_time() < end:
@@ -99,11 +99,11 @@
 
     async with trio.open_nursery() as nursery:
         for number in range(callers):
-            nursery.start_soon(call_again, number)
+            nursery.start_soon(send_repeatedly, number)
 
 
 def make_call(tenant: str, topic: int, number: int) -> Call:
-    """Return a request below one of a tenant's prefixes."""
+    """Return a request that starts with one of a tenant's prefixes."""
     prefix = f"{tenant} {topic}: " + PREFIX_TEXT * PREFIX_REPEATS
     return Call(tenant, REQUEST_CLASS.name, f"{prefix}question {number}", ANSWER_TOKENS)
 
@@ -113,10 +113,10 @@
 ) -> list[Arrival]:
     """Return one tenant's arrivals in a phase."""
     count = round(phase.seconds * phase.rates[tenant])
-    distance = phase.seconds / max(1, count)
+    interval = phase.seconds / max(1, count)
     arrivals: list[Arrival] = []
     for index in range(count):
-        at = began_at + (index + generator.random()) * distance
+        at = began_at + (index + generator.random()) * interval
         call = make_call(tenant, generator.randrange(TOPICS), generator.getrandbits(32))
         arrivals.append(Arrival(at, call, generator.randrange(routers)))
     return arrivals
