--- a/emulator/weight_store/__init__.py
+++ b/emulator/weight_store/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for the rate-limited weight store."""
+"""Emulated, rate-limited weight store."""
--- a/emulator/weight_store/client.py
+++ b/emulator/weight_store/client.py
@@ -1,4 +1,4 @@
-"""Client of the weight store, for emulated engines."""
+"""HTTP client of the weight store, used by emulated engines."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class WeightStoreClient:
-    """Asks for loads until the store grants them."""
+    """Requests loads, and retries until the store grants them."""
 
     def __init__(self, address: str) -> None:
-        """Talk to the store at ``address``."""
+        """Create a client of the store at ``address``."""
         self._url = f"http://{address}{LOADS_PATH}"
         self._client = httpx.AsyncClient(trust_env=False, timeout=TIMEOUT_SECONDS)
 
     async def aclose(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._client.aclose()
 
     async def begin_load(self, model: str, weights_version: str) -> float:
-        """Return the seconds that a load takes, once the store grants it.
+        """Wait until the store grants a load, and return its duration in seconds.
 
-        While the store is down or refuses by its rate limit, this waits and tries again.
+        Retries every ``RETRY_SECONDS`` while the store is down or its rate limit refuses.
         """
         content = msgspec.json.encode(LoadRequest(model, weights_version))
         while True:
--- a/emulator/weight_store/messages.py
+++ b/emulator/weight_store/messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the weight store's interface."""
+"""Message bodies of the weight store's HTTP API."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class LoadRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Weights that an engine wants to read."""
+    """Weights that an engine asks to load."""
 
     model: str
     weights_version: str
 
 
 class LoadGrant(msgspec.Struct, frozen=True):
-    """How long the read takes."""
+    """Duration of a granted load."""
 
     seconds: float
--- a/emulator/weight_store/model.py
+++ b/emulator/weight_store/model.py
@@ -1,4 +1,4 @@
-"""The pure model of the weight store: rate-limited, and slower when many loads run at once."""
+"""Model of the weight store without I/O: rate-limited, slower under many concurrent loads."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class LoadRefusedError(Exception):
-    """The rate limit refuses a load; it may be asked for again later."""
+    """The rate limit refuses a load; it can be retried later."""
 
 
 class WeightStoreModel:
-    """Grants loads; each takes longer the more run beside it past a bound."""
+    """Grants loads; beyond a number of concurrent loads, each further one takes longer."""
 
     def __init__(
         self, load_seconds: float, concurrent_loads: int, loads_per_second: int = 0
     ) -> None:
-        """Start with no load under way.
+        """Create a store without running loads.
 
         Args:
-            load_seconds: Time of a load alone.
-            concurrent_loads: Loads that run at once without slowing each other.
-            loads_per_second: Loads that may begin within a second; 0 for no limit.
+            load_seconds: Duration of a single load.
+            concurrent_loads: Concurrent loads that don't slow each other down.
+            loads_per_second: Loads that may begin per second; 0 for no limit.
         """
         self._load_seconds = load_seconds
         self._concurrent_loads = concurrent_loads
@@ -29,7 +29,7 @@
         self._ends: list[float] = []
 
     def begin_load(self, now: float) -> float:
-        """Begin a load at ``now`` and return the seconds that it takes.
+        """Begin a load at ``now`` and return its duration in seconds.
 
         Raises:
             LoadRefusedError: When too many loads began within the last second.
@@ -39,7 +39,7 @@
             raise LoadRefusedError
         self._begins.append(now)
         self._ends = [end for end in self._ends if end > now]
-        share = (len(self._ends) + 1) / self._concurrent_loads
-        seconds = self._load_seconds * max(1.0, share)
+        load_ratio = (len(self._ends) + 1) / self._concurrent_loads
+        seconds = self._load_seconds * max(1.0, load_ratio)
         self._ends.append(now + seconds)
         return seconds
--- a/emulator/weight_store/server.py
+++ b/emulator/weight_store/server.py
@@ -1,4 +1,4 @@
-"""The weight store over HTTP."""
+"""HTTP server of the weight store."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     @app.post(LOADS_PATH)
     async def begin_load() -> quart.Response:
-        """Begin a load, or refuse it by the rate limit."""
+        """Grant a load, or refuse it when the rate limit is reached."""
         await read_message(LoadRequest)
         try:
             return json_response(LoadGrant(model.begin_load(trio.current_time())))
@@ -42,10 +42,10 @@
     """Serve the store until ``wait_shutdown`` returns.
 
     Args:
-        model: Speeds and rate limit.
+        model: Model of the store's durations and rate limit.
         address: ``ip:port`` to listen on; port 0 lets the operating system choose.
         wait_shutdown: Returns when the listener should close.
-        task_status: Told the bound addresses once the listener is open.
+        task_status: Receives the bound addresses once the listener is open.
     """
     app = create_weight_store_app(model)
     await serve_http(app, address, None, wait_shutdown, task_status=task_status)
