--- a/emulator/cli/main.py
+++ b/emulator/cli/main.py
@@ -40,13 +40,18 @@
     module = importlib.import_module(f"emulator.cli.{role}")
     arguments = [f"{sys.argv[0]} {role}", *sys.argv[2:]]
     documentation = module.__doc__ or ""
-    run_command(lambda arguments: _run(module, arguments), documentation, EXIT_BAD_USAGE, arguments)
+    run_command(
+        lambda role_arguments: _run(module, role_arguments),
+        documentation,
+        EXIT_BAD_USAGE,
+        arguments,
+    )
 
 
-def _run(module: object, arguments: Sequence[str]) -> int:
+def _run(module: object, role_arguments: Sequence[str]) -> int:
     """Run a role and return the exit code."""
-    if len(arguments) > 1:
-        print(f"unexpected argument {arguments[1]!r}", file=sys.stderr)
+    if len(role_arguments) > 1:
+        print(f"unexpected argument {role_arguments[1]!r}", file=sys.stderr)
         return EXIT_BAD_USAGE
     logging.getLogger().setLevel(logging.WARNING)
     run = getattr(module, "run")  # noqa: B009 - the type of a role's module
--- a/emulator/cli/soak.py
+++ b/emulator/cli/soak.py
@@ -36,7 +36,7 @@
 
 def run() -> int:
     """Run the soaks; return 1 when a guarantee was violated."""
-    violations = 0
+    violation_count = 0
     for seed in range(_SEED.value, _SEED.value + _RUNS.value):
         with tempfile.TemporaryDirectory() as temporary:
             directory = Path(_DIRECTORY.value or temporary) / f"soak-{seed}"
@@ -50,8 +50,8 @@
                 profile=_PROFILE.value,
                 other_build=Path(_OTHER_BUILD.value) if _OTHER_BUILD.value else None,
             )
-            violations += _report(seed, trio.run(run_soak, plan))
-    return 1 if violations else 0
+            violation_count += _report(seed, trio.run(run_soak, plan))
+    return 1 if violation_count else 0
 
 
 def _report(seed: int, result: SoakResult) -> int:
--- a/emulator/experiments/scenarios.py
+++ b/emulator/experiments/scenarios.py
@@ -20,7 +20,7 @@
 """Length of a trace in seconds of virtual time."""
 
 OVERLOAD_DURATION_SECONDS = 30.0
-"""Length of a trace at twice the capacity, shorter as requests arrive faster."""
+"""Length of an overload trace in seconds; it has as many requests as a longer steady one."""
 
 WARM_UP_SECONDS = 10.0
 """Time at the start of a trace that isn't measured, while caches fill."""
--- a/emulator/fleet/fleet.py
+++ b/emulator/fleet/fleet.py
@@ -279,4 +279,4 @@
             if response.is_success:
                 return
             await trio.sleep(POLL_SECONDS)
-    raise RuntimeError(f"router at {url} not ready after {READY_TIMEOUT_SECONDS} s")
+    raise RuntimeError(f"timed out waiting for the router at {url} to become ready")
--- a/emulator/limit_scale.py
+++ b/emulator/limit_scale.py
@@ -119,7 +119,7 @@
             self.routers[node.name].limit_bytes += encoded_size(body) + ENVELOPE_BYTES
         super().send(node, action)
 
-    def pass_second(self, requests: float) -> None:
+    def simulate_second(self, requests: float) -> None:
         """Simulate one second of requests at every node, the nodes spread evenly over it.
 
         Args:
@@ -232,14 +232,14 @@
     observed = [MOVING_TENANT, *(f"tenant-{index:05d}" for index in range(REGIONS))]
     sums: list[float] = []
     while cluster.now < WARM_UP_SECONDS:
-        cluster.pass_second(requests)
+        cluster.simulate_second(requests)
         sums += map(cluster.part_sum, observed)
     routers = cluster.routers.values()
     sent = {router.node.name: router.node.sent_bytes for router in routers}
     limits = {router.node.name: router.limit_bytes for router in routers}
     began, cluster.offered, cluster.refused = cluster.now, 0, 0
     while cluster.now < began + seconds:
-        cluster.pass_second(requests)
+        cluster.simulate_second(requests)
         sums += map(cluster.part_sum, observed)
     passed = cluster.now - began
     limit_bytes = [(r.limit_bytes - limits[r.node.name]) / passed for r in routers]
--- a/emulator/recovery/scenarios.py
+++ b/emulator/recovery/scenarios.py
@@ -51,7 +51,7 @@
         step_seconds: Time between the starts of two windows.
         steady_share: Steady load as a fraction of the capacity.
         overload_share: Overload as a fraction of the capacity.
-        smaller_share: Load in the loss of engines, as a fraction of the remaining engines' capacity.
+        smaller_share: Load in the loss of engines, as a fraction of the remaining capacity.
     """
 
     warm_seconds: float = 30.0
