--- a/tests/emulator/cluster_samples.py
+++ b/tests/emulator/cluster_samples.py
@@ -1,4 +1,4 @@
-"""Small hollow clusters for tests."""
+"""Builds small hollow clusters for tests."""
 
 import itertools
 import random
@@ -18,7 +18,7 @@
 
 
 class RecordingCluster(HollowCluster):
-    """Remembers what was sent, and takes incarnations from ``incarnations``."""
+    """Records every sent message, and takes incarnations from ``incarnations``."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -48,7 +48,7 @@
 
 
 def until_agreement(cluster, limit):
-    """Advance until all agree; return the seconds it took, ``limit`` at most."""
+    """Advance until all nodes agree or ``limit`` has passed; return the seconds taken."""
     began = cluster.now
     while cluster.now < began + limit:
         cluster.run_until(cluster.now + 0.25)
--- a/tests/emulator/test_engine_block_cache.py
+++ b/tests/emulator/test_engine_block_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache, by hand and against an oracle that replays its events."""
+"""The emulated engine's prefix cache: examples, and fuzzing against a replay of its events."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 def chain(path):
-    """Return the chained keys of a path in a tree of prompts."""
+    """Return the chained block keys along a path in a tree of prompts."""
     return [hash(tuple(path[: depth + 1])) for depth in range(len(path))]
 
 
@@ -25,8 +25,8 @@
 
     def run_request(self, keys, private=0):
         matched = self.cache.match(keys, len(keys))
-        room = len(keys) - matched + private
-        if not self.cache.reserve(keys[:matched], room):
+        needed_blocks = len(keys) - matched + private
+        if not self.cache.reserve(keys[:matched], needed_blocks):
             return None
         self.cache.store(keys[matched:])
         self.cache.release(keys, private)
@@ -92,7 +92,7 @@
         cache = BlockCache(CAPACITY, replay)
         running = []
         chains = set()
-        for path, private, ending in requests:
+        for path, private, still_running in requests:
             keys = chain(path)
             chains.add(tuple(keys))
             matched = cache.match(keys, len(keys))
@@ -102,7 +102,7 @@
             if cache.reserve(keys[:matched], len(keys) - matched + private):
                 cache.store(keys[matched:])
                 running.append((keys, private))
-            while len(running) > ending:
+            while len(running) > still_running:
                 cache.release(*running.pop(0))
             held = {key for keys, _ in running for key in keys}
             reserved = sum(private for _, private in running)
--- a/tests/emulator/test_engine_in_process.py
+++ b/tests/emulator/test_engine_in_process.py
@@ -1,4 +1,4 @@
-"""The engine contract on a virtual clock, and what only engines in the process can do."""
+"""The engine contract on a virtual clock, and features of in-process engines alone."""
 
 import contextlib
 import unittest
--- a/tests/emulator/test_engine_model.py
+++ b/tests/emulator/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The pure engine model: times, order, memory of nonces; fuzzed against a simple oracle."""
+"""The engine model without I/O: timing, order and retained nonces; fuzzed against an oracle."""
 
 import random
 import unittest
@@ -32,7 +32,7 @@
     retained_attempts=2,
     retained_nonces=4,
 )
-LONG_AGO = 1e6
+END_OF_TIME = 1e6
 
 
 def request(nonce, prompt_tokens=64, max_tokens=3, priority=1, **changes):
@@ -45,15 +45,15 @@
     return EngineModel(msgspec.structs.replace(CONFIG, **changes), {"m": "v1"})
 
 
-def drive(model, until=LONG_AGO):
-    """Carry a model from event to event; return what happened."""
+def drive(model, until=END_OF_TIME):
+    """Advance a model from event to event until ``until``; return its notices."""
     notices = []
     while (event_time := model.next_event_time()) <= until:
         notices += model.advance(event_time)
     return notices + model.advance(until)
 
 
-def happened(notices):
+def summary(notices):
     return [(it.kind, it.attempt.nonce, round(it.time, 6)) for it in notices]
 
 
@@ -63,7 +63,7 @@
         model.submit(request("a", prompt_tokens=128), 1.0)
         model.submit(request("b", prompt_tokens=64), 1.0)
         self.assertEqual(
-            happened(drive(model)),
+            summary(drive(model)),
             [
                 (NoticeKind.STARTED, "a", 1.0),
                 (NoticeKind.PREFILLED, "a", 1.128),
@@ -93,16 +93,16 @@
                 for at in range(12)
             ]
             outcomes = []
-            for often in (False, True):
+            for in_small_steps in (False, True):
                 model = new_model(max_waiting_requests=20, retained_nonces=99)
                 notices = []
                 for message, arrival in zip(requests, arrivals, strict=True):
-                    if often:
+                    if in_small_steps:
                         steps = sorted(rng.uniform(arrival - 0.5, arrival) for _ in range(9))
                         for now in steps:
                             notices += model.advance(max(now, arrivals[0]))
                     model.submit(message, arrival)
-                outcomes.append(happened(notices + drive(model)))
+                outcomes.append(summary(notices + drive(model)))
             self.assertEqual(outcomes[0], outcomes[1])
 
     def test_every_wake_up_at_a_step_shows_one_more_token(self):
@@ -152,7 +152,7 @@
         model.freeze(0.1)
         model.thaw(1.1)
         drive(model)
-        self.assertEqual(model.facts(LONG_AGO).weights, {"m": "v2"})
+        self.assertEqual(model.facts(END_OF_TIME).weights, {"m": "v2"})
 
     def test_freeze_moves_everything_later(self):
         model = new_model()
@@ -192,7 +192,7 @@
 
 
 class EngineMachine(RuleBasedStateMachine):
-    """Random calls; the oracle counts runs and remembers what was promised."""
+    """Random calls; the oracle has the accepted attempts, and the nonces that must not run."""
 
     retained_nonces = 1000
 
@@ -201,7 +201,7 @@
         self.model = new_model(retained_nonces=self.retained_nonces)
         self.now = 0.0
         self.accepted = {}
-        self.promised = set()
+        self.fenced_nonces = set()
 
     def nonce_of(self, number):
         return f"{number:03d}@{self.model.incarnation}"
@@ -216,7 +216,7 @@
                 assert self.accepted[nonce].state in (AttemptState.CANCELLED, AttemptState.REFUSED)
             return
         assert nonce not in self.accepted
-        assert nonce not in self.promised
+        assert nonce not in self.fenced_nonces
         self.accepted[nonce] = attempt
 
     @rule(seconds=st.floats(0, 0.5))
@@ -229,13 +229,13 @@
         nonce = self.nonce_of(number)
         outcome = self.model.cancel(nonce, self.model.incarnation, self.now)
         if outcome is CancelOutcome.NOT_STARTED:
-            self.promised.add(nonce)
+            self.fenced_nonces.add(nonce)
 
     @rule(number=st.integers(0, 30))
     def fence(self, number):
         nonce = self.nonce_of(number)
         if self.model.fence_nonce(nonce, self.model.incarnation, self.now) == "not_seen":
-            self.promised.add(nonce)
+            self.fenced_nonces.add(nonce)
 
     @rule(version=st.sampled_from(("v1", "v2")))
     def order(self, version):
@@ -252,10 +252,10 @@
         self.model.thaw(self.now)
 
     @invariant()
-    def runs_are_what_was_promised(self):
+    def runs_match_accepted_attempts(self):
         runs = Counter(run.nonce for run in self.model.runs(self.now))
         assert set(runs.values()) <= {1}
-        assert not set(runs) & self.promised
+        assert not set(runs) & self.fenced_nonces
         load = self.model.load(self.now)
         live = Counter(it.state for it in self.accepted.values() if not it.ended)
         assert load.waiting == live.pop(AttemptState.WAITING, 0)
@@ -276,7 +276,7 @@
 
 
 class ForgetfulMachine(EngineMachine):
-    """Wrong on purpose: forgets nonces while their callers still count on them."""
+    """Deliberate fault: drops nonces while their callers still rely on them."""
 
     retained_nonces = 1
 
--- a/tests/emulator/test_hollow_cluster.py
+++ b/tests/emulator/test_hollow_cluster.py
@@ -1,4 +1,4 @@
-"""Members under faults in virtual time: agreement, refutation, healing, bounded bytes."""
+"""Membership under faults in virtual time: agreement, refutation, healing, byte limits."""
 
 import unittest
 
@@ -50,7 +50,7 @@
         incarnation = cluster.nodes["n4"].membership.own.incarnation
         for _ in range(200):
             cluster.run_until(cluster.now + 0.1)
-            self.assertNotIn((incarnation, MemberState.DEAD), states_of(cluster, "n4"))
+            self.assertNotIn((incarnation, MemberState.DEAD), states_held_of(cluster, "n4"))
         self.assertTrue(cluster.agrees())
 
     def test_a_clock_that_went_back_over_a_restart_is_outbid(self):
@@ -89,7 +89,7 @@
         cluster.leave("n4")
         self.assertLess(until_agreement(cluster, 5), 5)
         cluster.run_until(cluster.now + 5)
-        self.assertEqual({state for _, state in states_of(cluster, "n4")}, {MemberState.LEFT})
+        self.assertEqual({state for _, state in states_held_of(cluster, "n4")}, {MemberState.LEFT})
 
     def test_a_leaving_node_that_drains_takes_no_work_but_stays(self):
         cluster = make_cluster(5)
@@ -97,7 +97,9 @@
         node = cluster.nodes["n4"]
         cluster.act(node, node.membership.leave(cluster.now))
         cluster.run_until(cluster.now + 60)
-        self.assertEqual({state for _, state in states_of(cluster, "n4")}, {MemberState.LEAVING})
+        self.assertEqual(
+            {state for _, state in states_held_of(cluster, "n4")}, {MemberState.LEAVING}
+        )
         for other in names(4):
             self.assertNotIn("n4", alive_at(cluster, other))
 
@@ -154,7 +156,7 @@
 
     def test_restricted_entries_are_never_sent_outside_their_audience(self):
         seen = []
-        cluster = make_cluster(9, observe=lambda *what: seen.append(what))
+        cluster = make_cluster(9, observe=lambda *observation: seen.append(observation))
         until_agreement(cluster, 30)
         node = cluster.nodes["n4"]
         digests = {name: cluster.nodes[name].membership.own.labels_digest for name in names(9)}
@@ -165,17 +167,17 @@
             node.membership.publish(EntryKind.HOT_PREFIX, "0", value, cluster.now, audience),
         )
         cluster.run_until(cluster.now + 60)
-        holders = {who.name for who, what, _ in seen if isinstance(what, EntryChanged)}
+        holders = {node.name for node, action, _ in seen if isinstance(action, EntryChanged)}
         self.assertEqual(holders, {"n4", "n5"})
         carriers = {target for target, body in cluster.sent if body.gossip.entries}
         self.assertLessEqual(carriers, {"n4", "n5"})
 
     def test_a_revision_is_heard_of_by_everyone(self):
-        heard = set()
+        informed = set()
 
         def observe(node, action, now):
             if isinstance(action, RevisionHeard) and action.revision == 3:
-                heard.add(node.name)
+                informed.add(node.name)
                 cluster.act(node, node.membership.set_revision(3, now))
 
         cluster = make_cluster(20, observe=observe)
@@ -183,7 +185,7 @@
         node = cluster.nodes["n4"]
         cluster.act(node, node.membership.set_revision(3, cluster.now))
         cluster.run_until(cluster.now + 5)
-        self.assertEqual(heard | {"n4"}, set(names(20)))
+        self.assertEqual(informed | {"n4"}, set(names(20)))
 
 
 class BudgetTest(unittest.TestCase):
@@ -204,7 +206,7 @@
             self.assertGreater(node.membership.withheld, 0)
 
 
-def states_of(cluster, name):
+def states_held_of(cluster, name):
     return [
         (record.incarnation, record.state)
         for node in cluster.running()
--- a/tests/emulator/test_http_instance.py
+++ b/tests/emulator/test_http_instance.py
@@ -1,4 +1,4 @@
-"""The stand-in of instances over HTTP: preconditions, orders, streams and faults."""
+"""The emulated instance over HTTP: preconditions, orders and streams."""
 
 import json
 import random
@@ -34,7 +34,7 @@
 
 
 class HttpInstanceTest(unittest.TestCase):
-    def play(self, script):
+    def run_script(self, script):
         async def main():
             listener = Listener()
             traits = InstanceTraits("i1", "engines", "z", slots=2, model="m", load_seconds=0.01)
@@ -60,39 +60,39 @@
             "expectedRevision": expected,
         }
         headers = {"Expect-Instance": instance}
-        answer = await client.post("/order", headers=headers, data=json.dumps(document))
-        return answer.status_code
+        response = await client.post("/order", headers=headers, data=json.dumps(document))
+        return response.status_code
 
     def test_a_request_is_answered_with_its_id_and_a_stamp(self):
         async def script(_instance, client, listener):
-            answer = await self.post(client)
-            self.assertEqual(answer.status_code, 200)
-            self.assertEqual(answer.headers["Attempt-Id"], "r")
-            self.assertTrue(answer.headers["Response-Stamp"])
+            response = await self.post(client)
+            self.assertEqual(response.status_code, 200)
+            self.assertEqual(response.headers["Attempt-Id"], "r")
+            self.assertTrue(response.headers["Response-Stamp"])
             self.assertEqual(listener.seen, [("arrived", "r"), ("began", "r")])
 
-        self.play(script)
+        self.run_script(script)
 
     def test_another_incarnation_or_version_is_not_run(self):
         async def script(_instance, client, listener):
             for headers in ({"Expect-Instance": "i0"}, {"Expect-Version": "2"}):
-                answer = await self.post(client, **headers)
-                self.assertEqual(answer.status_code, 421)
+                response = await self.post(client, **headers)
+                self.assertEqual(response.status_code, 421)
             self.assertNotIn(("began", "r"), listener.seen)
 
-        self.play(script)
+        self.run_script(script)
 
     def test_a_stream_goes_on_behind_the_last_event(self):
         async def script(_instance, client, _listener):
             body = json.dumps({"events": 4}).encode()
             whole = await self.post(client, body)
-            rest = await self.post(client, body, **{"Last-Event-Id": "1"})
-            whole_text, rest_text = await whole.get_data(), await rest.get_data()
+            resumed = await self.post(client, body, **{"Last-Event-Id": "1"})
+            whole_text, resumed_text = await whole.get_data(), await resumed.get_data()
             self.assertEqual(whole_text.count(b"id: "), 4)
-            self.assertTrue(whole_text.endswith(rest_text))
-            self.assertTrue(rest_text.startswith(b"id: 2\n"))
+            self.assertTrue(whole_text.endswith(resumed_text))
+            self.assertTrue(resumed_text.startswith(b"id: 2\n"))
 
-        self.play(script)
+        self.run_script(script)
 
     def test_orders_are_fenced_and_checked(self):
         async def script(instance, client, listener):
@@ -111,4 +111,4 @@
                 [("ordered", "n0", 7), ("changed", 2)],
             )
 
-        self.play(script)
+        self.run_script(script)
--- a/tests/emulator/test_limit_scale.py
+++ b/tests/emulator/test_limit_scale.py
@@ -1,4 +1,4 @@
-"""Routers that share limits over real membership messages, in a small hollow cluster."""
+"""Sharing of limits over real membership messages, in a small hollow cluster."""
 
 import unittest
 
@@ -17,7 +17,7 @@
         tenants = (MOVING_TENANT, "tenant-00000", "tenant-00001")
         sums = []
         for _ in range(SECONDS):
-            cluster.pass_second(REQUESTS)
+            cluster.simulate_second(REQUESTS)
             sums += map(cluster.part_sum, tenants)
         self.assertLessEqual(max(sums), 1 + OVERSHOOT_BOUND)
         largest = max(
--- a/tests/emulator/test_recovery.py
+++ b/tests/emulator/test_recovery.py
@@ -1,4 +1,4 @@
-"""Measures of overload and recovery: over made answers, and on tiny runs."""
+"""Measures of overload and recovery: on constructed responses, and in short runs."""
 
 import pathlib
 import tempfile
@@ -109,8 +109,8 @@
         self.assertGreater(result.refusals.count, 0)
         self.assertEqual(result.refusals.without_retry_after, 0)
         self.assertEqual(result.refusals.not_run, result.refusals.count)
-        self.assertEqual([harm.tenant for harm in result.tenants], list(MODEST_TENANTS))
-        self.assertEqual([harm.overload.refused for harm in result.tenants], [0, 0, 0])
+        self.assertEqual([impact.tenant for impact in result.tenants], list(MODEST_TENANTS))
+        self.assertEqual([impact.overload.refused for impact in result.tenants], [0, 0, 0])
 
     def test_store_outage_refuses_at_once_and_ends(self):
         result = scenarios.run_store_outage(TINY, CAPACITY, SEED)
--- a/tests/emulator/test_scale.py
+++ b/tests/emulator/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run at a small size: sane, repeatable measures in a table and JSON."""
+"""Small scale runs: plausible and repeatable measures, the table and the JSON."""
 
 import json
 import unittest
--- a/tests/emulator/test_store_stateful.py
+++ b/tests/emulator/test_store_stateful.py
@@ -1,4 +1,4 @@
-"""The in-memory store against a dictionary, with faults between any two steps."""
+"""The in-memory store, fuzzed against a dictionary with faults between steps."""
 
 import unittest
 
@@ -17,11 +17,11 @@
 KEYS = st.sampled_from(["a", "a/1", "a/2", "b/1"])
 VALUES = st.binary(min_size=1, max_size=3)
 UNKNOWN_LEASE = StoreLease("unknown", UNTOLD_ERA)
-LIVES = st.sampled_from([1.0, 5.0])
+LEASE_SECONDS = st.sampled_from([1.0, 5.0])
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Oracle: values and versions by key, leases by key, and when each lease lapses."""
+    """Oracle with values and versions by key, leases by key, and each lease's expiry time."""
 
     shared_class = SharedStore
 
@@ -63,7 +63,7 @@
             self.forget(key)
 
     def write(self, valid, call, *arguments):
-        """Make a call; return whether it took effect, which the version read back decides."""
+        """Make a call; return whether it took effect. If unknown, the store's revision decides."""
         try:
             self.run(call, *arguments)
         except StoreOutcomeUnknownError:
@@ -95,7 +95,7 @@
         live = {key: entry for key, entry in self.follower.items() if entry[0]}
         assert live == self.values
 
-    @rule(seconds=LIVES)
+    @rule(seconds=LEASE_SECONDS)
     def grant(self, seconds):
         lease = self.run(self.store.grant_lease, seconds)
         assert lease not in self.leases
@@ -113,14 +113,14 @@
     def wait(self, seconds):
         self.run(trio.sleep, seconds)
         self.run(self.start)
-        due = [name for name, (_, lapses_at) in self.leases.items() if lapses_at <= self.now]
-        self.lapse(due)
+        due = [name for name, (_, expires_at) in self.leases.items() if expires_at <= self.now]
+        self.expire(due)
         self.run(self.store.get, "a")
 
     @rule()
-    def lapse_all(self):
+    def expire_all(self):
         self.order(lapse_leases=True)
-        self.lapse(list(self.leases))
+        self.expire(list(self.leases))
 
     @rule(key=KEYS, effect=st.booleans())
     def lose_a_write(self, key, effect):
@@ -155,7 +155,7 @@
         assert self.shared.model.revision == self.revision
 
     def expected_version(self, key, right):
-        """Return the version of a key, or one that is wrong: absent for present, or a guess."""
+        """Return the version of a key; or a wrong one, which is ``ABSENT`` for a present key."""
         version = self.version(key)
         wrong = StorePlace(UNTOLD_ERA, 1) if version == ABSENT else ABSENT
         return version if right else wrong
@@ -172,7 +172,7 @@
         self.revision += 1
         del self.values[key]
 
-    def lapse(self, names):
+    def expire(self, names):
         for name in names:
             del self.leases[name]
             for key in [key for key in self.values if self.lease_of_key[key] == name]:
@@ -180,7 +180,7 @@
 
 
 class UncheckedStore(SharedStore):
-    """Wrong on purpose: a write that expects an absent key overwrites a present one."""
+    """Deliberate fault: a write that expects an absent key overwrites a present one."""
 
     def __init__(self):
         super().__init__()
--- a/tests/emulator/test_virtual_time.py
+++ b/tests/emulator/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""A world on the virtual clock has one course a seed."""
+"""A world on the virtual clock takes the same course with the same seed."""
 
 import random
 import unittest
@@ -13,24 +13,24 @@
 
 
 def order_of_tasks(seed):
-    """Return the order in which tasks run that all become ready at the same moment."""
+    """Return the order in which tasks run that become ready at the same time."""
     order = []
 
-    async def note(number):
+    async def record(number):
         await trio.sleep(1.0)
         order.append(number)
 
     async def main():
         async with trio.open_nursery() as nursery:
             for number in range(20):
-                nursery.start_soon(note, number)
+                nursery.start_soon(record, number)
 
     run_in_virtual_time(main, seed=seed)
     return order
 
 
 def history(seed):
-    """Return all that happened in a world of nodes under load, while an instance is killed."""
+    """Return the events of a world under load in which an instance is killed halfway."""
     world = ExchangeWorld(nodes=3, seed=seed)
     for number in range(3):
         world.add(f"i{number}")
