--- a/tests/emulator/experiments/test_simulation.py
+++ b/tests/emulator/experiments/test_simulation.py
@@ -15,7 +15,7 @@
 
 
 class FixedStrategy(Strategy):
-    """Sends each request to the engine whose index is the request's turn."""
+    """Sends the n-th request to the engine with the n-th of the given indexes."""
 
     def __init__(self, indexes):
         self.indexes = list(indexes)
@@ -24,38 +24,38 @@
         return plain_choice(admissible[self.indexes.pop(0)], item)
 
 
-def run_alike(count, indexes):
-    """Run requests with one prompt, a second apart, at the given engines."""
+def run_identical(count, indexes):
+    """Run requests with the same prompt, one second apart, on the given engines."""
     deployment = DEPLOYMENTS["catalogue"]()
     trace = TrafficGenerator(deployment, TrafficPlan(duration_seconds=5.0), seed=1).trace()
     item = next(item for item in trace if item.request.request_class.name == "careful_batch")
-    alike = [
+    identical = [
         msgspec.structs.replace(item, sent_at=float(turn), router=item.router)
         for turn in range(count)
     ]
     strategy = FixedStrategy(indexes)
-    return item, Simulation(deployment, alike, lambda _world, _random: strategy, seed=1).run()
+    return item, Simulation(deployment, identical, lambda _world, _random: strategy, seed=1).run()
 
 
 class MeasureTest(unittest.TestCase):
     def test_a_prompt_seen_once_wastes_nothing(self):
-        _, (outcome,) = run_alike(1, [0])
+        _, (outcome,) = run_identical(1, [0])
         self.assertEqual((outcome.wasted_tokens, outcome.cached_tokens), (0, 0))
         self.assertEqual(outcome.prefilled_tokens, outcome.prompt_tokens)
         self.assertLess(outcome.first_token_at, outcome.finished_at)
 
     def test_the_same_engine_again_hits(self):
-        item, (_, again) = run_alike(2, [0, 0])
+        item, (_, again) = run_identical(2, [0, 0])
         whole_blocks = (item.prepared.token_count - 1) // 16 * 16
         self.assertEqual((again.cached_tokens, again.wasted_tokens), (whole_blocks, 0))
 
     def test_another_engine_wastes_the_whole_copy(self):
-        item, (_, other) = run_alike(2, [0, 1])
+        item, (_, other) = run_identical(2, [0, 1])
         whole_blocks = (item.prepared.token_count - 1) // 16 * 16
         self.assertEqual((other.cached_tokens, other.wasted_tokens), (0, whole_blocks))
 
     def test_rates_are_over_prompt_tokens(self):
-        item, outcomes = run_alike(2, [0, 1])
+        item, outcomes = run_identical(2, [0, 1])
         measures = summarize(outcomes)
         whole_blocks = (item.prepared.token_count - 1) // 16 * 16
         self.assertAlmostEqual(measures.wasted_rate, whole_blocks / (2 * item.prepared.token_count))
--- a/tests/emulator/test_hollow_cluster.py
+++ b/tests/emulator/test_hollow_cluster.py
@@ -167,7 +167,9 @@
             node.membership.publish(EntryKind.HOT_PREFIX, "0", value, cluster.now, audience),
         )
         cluster.run_until(cluster.now + 60)
-        holders = {node.name for node, action, _ in seen if isinstance(action, EntryChanged)}
+        holders = {
+            observer.name for observer, observed, _ in seen if isinstance(observed, EntryChanged)
+        }
         self.assertEqual(holders, {"n4", "n5"})
         carriers = {target for target, body in cluster.sent if body.gossip.entries}
         self.assertLessEqual(carriers, {"n4", "n5"})
