--- a/emulator/exchange_platform/http_instance.py
+++ b/emulator/exchange_platform/http_instance.py
@@ -1,7 +1,7 @@
 """An instance of a service over HTTP, by the platform's published protocol.
 
-It answers plain requests and streams of events, checks its preconditions, takes fenced orders to
-load weights, and tells a listener what it did. Faults are fields that may change at any time.
+It answers plain requests and event streams, checks preconditions, takes fenced orders to load
+weights, and reports what it does to a listener. Faults are fields that may change at any time.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 class InstanceTraits(msgspec.Struct, frozen=True):
-    """What an instance is.
+    """Fixed properties of one incarnation of an instance.
 
     Attributes:
-        instance_id: Its id; it may start again under it.
+        instance_id: Its id, which a restart keeps.
         service: Name of its service.
         zone: Its zone.
-        slots: Requests at once; more are refused as not run.
+        slots: Largest number of concurrent requests; more are refused as not run.
         model: Name of its model; empty for a plain service.
         load_seconds: Time to load weights.
         born_ms: Unix time of this start in milliseconds.
@@ -51,20 +51,20 @@
     born_ms: int = 1
 
     @property
-    def life(self) -> str:
-        """The instance and this start of it."""
+    def incarnation(self) -> str:
+        """Name of this incarnation: the instance's id and the time of its start."""
         return f"{self.instance_id}@{self.born_ms}"
 
 
 class InstanceFaults(msgspec.Struct):
-    """Shares of requests that go wrong, and lost answers to orders.
+    """Shares (0 to 1) of requests, streams and orders that are hit by a fault.
 
     Attributes:
-        failing: Answered with 500 after the run.
-        losing: Run, and the answer breaks off.
+        failing: Requests answered with 500 after the run.
+        losing: Requests that run, but whose response breaks off.
         breaking: Streams that break off midway.
-        late_orders: Orders that get no answer and are carried out later.
-        late_order_seconds: How much later.
+        late_orders: Orders that get no answer and are executed later.
+        late_order_seconds: Delay of these orders.
     """
 
     failing: float = 0.0
@@ -74,22 +74,22 @@
     late_order_seconds: float = 2.0
 
 
-class InstanceWords(msgspec.Struct):
-    """What an instance says of itself in its answers, whatever its entry says.
+class ResponseNotices(msgspec.Struct):
+    """Notices in an instance's response headers, independent of its entry in the store.
 
     Attributes:
-        leaving: Every answer says that it leaves.
-        rest_seconds: Every request is refused, and so much rest is asked for; 0 for none.
-        limit: Every answer names so many requests a second, from all nodes; None for no limit.
+        leaving: Whether every response announces that the instance is about to shut down.
+        backoff_seconds: Backoff that refusals ask for; while above 0, every request is refused.
+        limit: Announced limit in requests per second, over all nodes; None for no limit.
     """
 
     leaving: bool = False
-    rest_seconds: float = 0.0
+    backoff_seconds: float = 0.0
     limit: float | None = None
 
 
 class RunHeaders(msgspec.Struct, frozen=True):
-    """What an instance was told of a request."""
+    """Headers that an instance received with a request."""
 
     request_id: str
     tenant: str
@@ -98,31 +98,33 @@
 
 
 class InstanceListener(Protocol):
-    """Hears what an instance does."""
+    """Receives events of an instance."""
 
-    def arrived(self, instance: HttpInstance, request_id: str) -> None:
-        """A request has come, run or not."""
+    def request_arrived(self, instance: HttpInstance, request_id: str) -> None:
+        """Handle the arrival of a request, before it is run or refused."""
 
-    def said(self, instance: HttpInstance, request_id: str, words: InstanceWords) -> None:
-        """An answer to a request says something of the instance."""
+    def notices_sent(
+        self, instance: HttpInstance, request_id: str, notices: ResponseNotices
+    ) -> None:
+        """Handle a response that carries notices of the instance."""
 
-    def began(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
-        """A request begins to run."""
+    def run_started(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
+        """Handle the start of a run."""
 
-    def ended(self, instance: HttpInstance, stamp: str) -> None:
-        """A run has ended, whole or not."""
+    def run_ended(self, instance: HttpInstance, stamp: str) -> None:
+        """Handle the end of a run, complete or not."""
 
-    def ordered(self, instance: HttpInstance, holder: str, token: int) -> None:
-        """An order is carried out."""
+    def order_executed(self, instance: HttpInstance, holder: str, token: int) -> None:
+        """Handle the execution of an order."""
 
-    def asked(self, instance: HttpInstance) -> None:
-        """A report or an order has come."""
+    def control_request_arrived(self, instance: HttpInstance) -> None:
+        """Handle the arrival of an order or of a query for the report."""
 
-    def changed(self, instance: HttpInstance) -> None:
-        """The instance's entry has changed."""
+    def entry_changed(self, instance: HttpInstance) -> None:
+        """Handle a change of the instance's entry."""
 
-    def met_fatal(self, instance: HttpInstance, request: str) -> None:
-        """A request that ends the instance begins to run; it is named by its caller."""
+    def fatal_request_started(self, instance: HttpInstance, request: str) -> None:
+        """Handle the start of a request, named by its caller, that crashes the instance."""
 
 
 class _Order(msgspec.Struct, rename="camel"):
@@ -140,16 +142,16 @@
     def __init__(
         self, traits: InstanceTraits, listener: InstanceListener, generator: random.Random
     ) -> None:
-        """Start healthy and empty.
+        """Start without faults and without requests.
 
         Args:
-            traits: What it is.
-            listener: Told what it does.
+            traits: Fixed properties of the instance.
+            listener: Receives the instance's events.
             generator: Draws faults.
         """
         self.traits = traits
         self.faults = InstanceFaults()
-        self.words = InstanceWords()
+        self.notices = ResponseNotices()
         self.version = 1 if traits.model else 0
         self.draining = False
         self.order_sequence = 0
@@ -157,16 +159,16 @@
         self.app = _create_app(self)
         self._listener = listener
         self._generator = generator
-        self._busy = False
+        self._loading = False
         self._highest_fence = 0
         self._nursery: trio.Nursery | None = None
 
     def use_nursery(self, nursery: trio.Nursery) -> None:
-        """Let loads and late orders run in a nursery."""
+        """Set the nursery in which loads and late orders run."""
         self._nursery = nursery
 
     def entry(self, address: str) -> dict[str, object]:
-        """Return the entry by which the instance lists itself."""
+        """Return the entry that the instance publishes in the store."""
         traits = self.traits
         models = [{"name": traits.model, "version": self.version}] if traits.model else []
         return {
@@ -183,11 +185,11 @@
         }
 
     async def serve(self) -> quart.Response:
-        """Answer the present request."""
+        """Handle the current request."""
         headers = quart.request.headers
         request_id = headers.get("Attempt-Id", "")
         body = await quart.request.get_data()
-        self._listener.arrived(self, request_id)
+        self._listener.request_arrived(self, request_id)
         refusal = self._refusal(headers)
         if refusal is not None:
             return refusal
@@ -198,10 +200,10 @@
             headers.get("Cache-Salt", ""),
             "X-Api-Key" in headers,
         )
-        self._listener.began(self, shown, stamp)
+        self._listener.run_started(self, shown, stamp)
         wanted = json.loads(body) if body else {}
         if "fatal" in wanted:
-            self._listener.met_fatal(self, wanted["fatal"])
+            self._listener.fatal_request_started(self, wanted["fatal"])
             with self._running(stamp):
                 await trio.sleep_forever()
         fields = {
@@ -216,52 +218,52 @@
         return await self._plain(request_id, stamp, fields, float(wanted.get("work_ms", 20.0)))
 
     def _refusal(self, headers: Headers) -> quart.Response | None:
-        """Return the refusal of a request that isn't run; None to run it."""
+        """Return the response that refuses a request; None if it can run."""
         own = self.traits.instance_id
         expected = headers.get("Expect-Version")
         if headers.get("Expect-Instance", own) != own or (
             expected is not None and int(expected) != self.version
         ):
             return quart.Response(b"", status=MISDIRECTED, headers={"Instance-Id": own})
-        if self.words.rest_seconds:
+        if self.notices.backoff_seconds:
             fields = {
                 "Not-Executed": "1",
                 "Attempt-Id": headers.get("Attempt-Id", ""),
-                "Retry-After": f"{self.words.rest_seconds:.3f}",
+                "Retry-After": f"{self.notices.backoff_seconds:.3f}",
             }
             return quart.Response(b"", status=UNAVAILABLE, headers=fields)
-        if self._busy or self.active >= self.traits.slots:
+        if self._loading or self.active >= self.traits.slots:
             return quart.Response(b"", status=UNAVAILABLE, headers={"Not-Executed": "1"})
         return None
 
     @contextlib.contextmanager
     def _running(self, stamp: str) -> Iterator[None]:
-        """Count a run as active until it ends."""
+        """Count a run as active while the context is open."""
         self.active += 1
         try:
             yield
         finally:
             self.active -= 1
-            self._listener.ended(self, stamp)
+            self._listener.run_ended(self, stamp)
 
     async def _plain(
         self, request_id: str, stamp: str, fields: dict[str, str], work_ms: float
     ) -> quart.Response:
-        """Work, and answer whole."""
+        """Run a plain request and return its response."""
         with self._running(stamp):
             await trio.sleep(work_ms / MILLISECONDS)
-        if self._draws(self.faults.losing):
+        if self._draw_fault(self.faults.losing):
             return lost_response()
-        if self._draws(self.faults.failing):
+        if self._draw_fault(self.faults.failing):
             return quart.Response(b"failed", status=FAILED, headers=fields)
         return quart.Response(f"done {request_id}".encode(), headers=fields)
 
     async def _events(
         self, request_id: str, stamp: str, first: int, count: int
     ) -> AsyncIterator[bytes]:
-        """Yield events, or break off in the middle of one."""
+        """Yield the events of a stream, or break off in the middle of one."""
         breaks_at = -1
-        if self._draws(self.faults.breaking):
+        if self._draw_fault(self.faults.breaking):
             breaks_at = self._generator.randrange(first, max(first + 1, count))
         with self._running(stamp):
             for number in range(first, count):
@@ -273,73 +275,75 @@
                 yield event
 
     async def order(self) -> quart.Response:
-        """Take an order, or lose its answer and carry it out later."""
+        """Execute an order, or lose its answer and execute it later."""
         if quart.request.headers.get("Expect-Instance", "") != self.traits.instance_id:
             return quart.Response(b"", status=MISDIRECTED)
         order = msgspec.json.decode(await quart.request.get_data(), type=_Order)
-        if self._draws(self.faults.late_orders) and self._nursery is not None:
-            self._nursery.start_soon(self._carry_out_late, order)
+        if self._draw_fault(self.faults.late_orders) and self._nursery is not None:
+            self._nursery.start_soon(self._execute_late, order)
             return lost_response()
-        return quart.Response(b"", status=self._take(order))
+        return quart.Response(b"", status=self._execute(order))
 
-    async def _carry_out_late(self, order: _Order) -> None:
-        """Carry an order out after its answer was lost."""
+    async def _execute_late(self, order: _Order) -> None:
+        """Execute an order after its answer was lost."""
         await trio.sleep(self.faults.late_order_seconds)
-        self._take(order)
+        self._execute(order)
 
-    def _take(self, order: _Order) -> int:
-        """Carry an order out if its conditions hold; return the status."""
+    def _execute(self, order: _Order) -> int:
+        """Execute an order if its conditions hold; return the HTTP status."""
         if order.fencing_token < self._highest_fence:
             return 412
         self._highest_fence = order.fencing_token
         if order.version == self.version:
             return 200
         expected = order.expected_revision
-        if self._busy or (expected is not None and expected != self.order_sequence):
+        if self._loading or (expected is not None and expected != self.order_sequence):
             return 409
-        self._listener.ordered(self, order.holder, order.fencing_token)
+        self._listener.order_executed(self, order.holder, order.fencing_token)
         self.order_sequence += 1
-        self._busy = True
+        self._loading = True
         if self._nursery is not None:
             self._nursery.start_soon(self._load, order.version)
         return 202
 
     async def _load(self, version: int) -> None:
-        """Load weights."""
+        """Load a weights version."""
         await trio.sleep(self.traits.load_seconds)
         self.version = version
-        self._busy = False
-        self._listener.changed(self)
+        self._loading = False
+        self._listener.entry_changed(self)
 
     def report(self) -> dict[str, object]:
-        """Return what the instance tells of itself."""
+        """Return the instance's report."""
         return {
-            "busy": self._busy,
+            "busy": self._loading,
             "callSequence": self.order_sequence,
             "activeRequests": self.active,
             "models": [{"name": self.traits.model, "version": self.version}],
             "born": self.traits.born_ms,
         }
 
-    def tell_words(self, request_id: str, *, rests: bool) -> None:
-        """Tell the listener what an answer says of the instance, if it says anything."""
-        said = self.words
-        words = InstanceWords(said.leaving, said.rest_seconds if rests else 0.0, said.limit)
-        if words != InstanceWords():
-            self._listener.said(self, request_id, words)
+    def report_notices(self, request_id: str, *, asks_backoff: bool) -> None:
+        """Notify the listener of the notices in a response, if there are any."""
+        announced = self.notices
+        sent = ResponseNotices(
+            announced.leaving, announced.backoff_seconds if asks_backoff else 0.0, announced.limit
+        )
+        if sent != ResponseNotices():
+            self._listener.notices_sent(self, request_id, sent)
 
-    def note_asked(self) -> None:
-        """Tell the listener of a report or an order."""
-        self._listener.asked(self)
+    def report_control_request(self) -> None:
+        """Notify the listener of an order or a query for the report."""
+        self._listener.control_request_arrived(self)
 
     def _stamp(self, request_id: str) -> str:
-        """Return a signature that is new for each run."""
+        """Return a signature that is unique to a run."""
         salt = self._generator.randbytes(8)
         text = f"{self.traits.instance_id} {request_id}".encode()
         return hashlib.blake2b(text, key=salt, digest_size=8).hexdigest()
 
-    def _draws(self, share: float) -> bool:
-        """Return whether a fault strikes."""
+    def _draw_fault(self, share: float) -> bool:
+        """Draw whether a fault occurs that has this share."""
         return share > 0 and self._generator.random() < share
 
 
@@ -348,26 +352,26 @@
     app = quart_trio.QuartTrio(__name__)
 
     @app.after_request
-    async def say(response: quart.Response) -> quart.Response:
-        """Let an answer say what the instance says of itself, and tell the listener."""
+    async def add_notices(response: quart.Response) -> quart.Response:
+        """Add the instance's notices to a response and notify the listener."""
         request_id = quart.request.headers.get("Attempt-Id", "")
-        if instance.words.leaving:
+        if instance.notices.leaving:
             response.headers["Server-Leaving"] = "1"
-        if instance.words.limit is not None:
-            response.headers["Server-Limit"] = f"{instance.words.limit:g}"
+        if instance.notices.limit is not None:
+            response.headers["Server-Limit"] = f"{instance.notices.limit:g}"
         if request_id:
-            instance.tell_words(request_id, rests="Retry-After" in response.headers)
+            instance.report_notices(request_id, asks_backoff="Retry-After" in response.headers)
         return response
 
     @app.get("/report")
     async def report() -> quart.Response:
-        """Tell of the instance."""
-        instance.note_asked()
+        """Return the instance's report."""
+        instance.report_control_request()
         return json_response(instance.report())
 
     @app.get("/kv-events")
     async def cache_events() -> quart.Response:
-        """Answer after the wait that nothing has changed: these instances keep no segments."""
+        """Return no events after the wait, as these instances keep no segments."""
         await trio.sleep(float(quart.request.headers.get("Wait-Ms", "0")) / MILLISECONDS)
         position = int(quart.request.args.get("since", "0"))
         return json_response(
@@ -382,8 +386,8 @@
 
     @app.post("/order")
     async def order() -> quart.Response:
-        """Take an order."""
-        instance.note_asked()
+        """Execute an order."""
+        instance.report_control_request()
         return await instance.order()
 
     @app.route("/<path:path>", methods=["GET", "POST"])
--- a/emulator/exchange_platform/instances.py
+++ b/emulator/exchange_platform/instances.py
@@ -1,6 +1,6 @@
-"""Instances in process, on trio's clock: they run requests, fail in many ways and load weights.
+"""In-process instances on trio's clock: they run requests, load weights and fail on demand.
 
-Each instance keeps a record of what it ran, so that tests can check what must hold.
+Each instance records its runs, so that tests can check invariants.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 from hopstep.ports.weights_orders import EngineReport, OrderOutcome, WeightsOrder, WeightsOrders
 
 FATAL_SECONDS = 0.1
-"""From the beginning of a fatal request to the instance's end, as seen at the users' engines."""
+"""Time from the start of a fatal request to the instance's crash, as seen at users' engines."""
 
-LOOK_SECONDS = 0.003
-"""A connection within a region."""
+CONNECT_SECONDS = 0.003
+"""Time to open a connection within a region."""
 
 FAILURE_STATUS = 500
 SUCCESS_STATUS = 200
 
 
 class Behaviour(enum.StrEnum):
-    """What an instance does with requests."""
+    """Behaviour of an instance towards requests."""
 
     SERVE = "serve"
     FAIL = "fail"
@@ -52,7 +52,7 @@
     REPLACED = "replaced"
     UNREACHABLE = "unreachable"
     NO_CONNECTION = "no_connection"
-    SILENT = "silent"
+    UNRESPONSIVE = "unresponsive"
     LOSE_ANSWER = "lose_answer"
     BREAK_STREAM = "break_stream"
     CUT_EVENT = "cut_event"
@@ -66,19 +66,19 @@
 """Behaviours that end a stream before its last event."""
 
 
-UNHEARD = frozenset({Behaviour.NO_CONNECTION})
-"""Behaviours of an instance that can't be reached and may live."""
+UNREACHABLE_BUT_RUNNING = frozenset({Behaviour.NO_CONNECTION})
+"""Behaviours of an instance that can't be reached but may be running."""
 
 
 class Run(msgspec.Struct, frozen=True):
-    """One request that an instance began to work on.
+    """One request that an instance began to run.
 
     Attributes:
-        request_id: The request.
-        at: Steady clock, seconds.
+        request_id: Id of the request.
+        at: Start time on the monotonic clock, in seconds.
         version: Weights version at the instance.
-        salt: Text under which segments are kept.
-        resume_after: Last event that the client had.
+        salt: Cache salt that separates the segments of tenants.
+        resume_after: Id of the last event that the client has received.
     """
 
     request_id: str
@@ -92,10 +92,10 @@
     """One instance."""
 
     def __init__(self, instance: Instance) -> None:
-        """Start healthy.
+        """Start without faults.
 
         Args:
-            instance: As it publishes itself.
+            instance: The instance's published entry.
         """
         self.instance = instance
         self.behaviour = Behaviour.SERVE
@@ -104,7 +104,7 @@
         self.event_seconds = 0.02
         self.events_before_break = 2
         self.load_seconds = 0.6
-        self.lose_order_answers = 0
+        self.lost_order_answers = 0
         self.order_delay_seconds = 0.0
         self.runs: list[Run] = []
         self.arrivals = 0
@@ -113,53 +113,57 @@
         self.order_sequence = instance.order_sequence
         self.highest_fence = 0
         self.orders: list[tuple[float, WeightsOrder]] = []
-        self.attempted: list[tuple[float, WeightsOrder]] = []
+        self.received_orders: list[tuple[float, WeightsOrder]] = []
         self.busy = False
         self.reported_born_ms = instance.born_ms
         self.connect_seconds = 0.0
-        self.says_leaving = False
-        self.sheds_for = 0.0
-        self.names_limit: float | None = None
+        self.announces_leaving = False
+        self.requested_backoff_seconds = 0.0
+        self.announced_limit: float | None = None
         self.arrived_at: list[float] = []
         self.ended_at: float | None = None
         self._ended = trio.Event()
 
     def end(self) -> None:
-        """End at once: answers under way break off, and nothing listens any more."""
+        """Terminate at once: responses in progress break off, connections are refused."""
         if self.ended_at is None:
             self.ended_at = trio.current_time()
             self._ended.set()
 
     @property
     def is_reachable(self) -> bool:
-        """Whether it takes connections."""
+        """Whether it accepts connections."""
         return self.ended_at is None and self.behaviour is not Behaviour.UNREACHABLE
 
     def notice(self) -> InstanceNotice:
-        """Return what its answers say of it.
+        """Return the notice in its response headers.
 
-        ``sheds_for`` is the rest that refusals ask for, ``names_limit`` the requests a second that
-        it takes from all nodes together.
+        ``requested_backoff_seconds`` is the backoff that refusals ask for, ``announced_limit`` the
+        requests per second that the instance accepts from all nodes together.
         """
-        return InstanceNotice(self.says_leaving, self.sheds_for, LimitNotice(self.names_limit))
+        return InstanceNotice(
+            self.announces_leaving,
+            self.requested_backoff_seconds,
+            LimitNotice(self.announced_limit),
+        )
 
     async def work(self, seconds: float) -> None:
-        """Let a request's work take time.
+        """Wait for the duration of a request's work.
 
         Raises:
-            InstanceCallError: When the instance ends meanwhile.
+            InstanceCallError: When the instance terminates before the end.
         """
         with trio.move_on_after(seconds):
             await self._ended.wait()
         if self.ended_at is not None:
-            raise _broken()
+            raise _broken_off()
 
 
 class EmulatedAnswer(InstanceAnswer):
-    """An answer of an emulated instance."""
+    """Response of an emulated instance."""
 
     def __init__(self, server: EmulatedInstance, call: InstanceCall, status: int) -> None:
-        """Answer a call.
+        """Create the response to a call.
 
         Args:
             server: The instance.
@@ -183,7 +187,7 @@
             yield data
 
     async def _stream(self) -> AsyncIterator[bytes]:
-        """Yield events."""
+        """Yield the events of the stream, until its end or the configured break."""
         server = self._server
         behaviour = server.behaviour
         resumed = self._call.resume_after
@@ -195,7 +199,7 @@
                     yield f"id: {number}\ndata: cut o".encode()
                 if behaviour is Behaviour.SKIP_EVENT:
                     yield _event(number) + _event(number + 2)
-                raise _broken()
+                raise _broken_off()
             yield _event(number)
 
 
@@ -203,11 +207,11 @@
     """All instances of a simulated deployment.
 
     Attributes:
-        servers: The instances by id, also those that have ended.
-        on_changed: Told of an instance's changed entry.
-        on_ended: Told of an instance that has ended under a request.
-        fatal_bodies: Bodies of requests that end each instance which begins to work on them.
-        fatal_seconds: From such a beginning to the end.
+        servers: The instances by id, terminated ones included.
+        on_changed: Called with the changed entry of an instance.
+        on_ended: Called with an instance that a request has crashed.
+        fatal_bodies: Bodies of requests that crash each instance that begins to run them.
+        fatal_seconds: Time from the start of such a request to the crash.
         calls: All calls.
         dropped: Addresses whose idle connections were dropped.
     """
@@ -221,11 +225,11 @@
         self.fatal_seconds = FATAL_SECONDS
         self.calls: list[InstanceCall] = []
         self.dropped: list[str] = []
-        self._silent: set[str] = set()
+        self._blocked: set[str] = set()
 
-    def silence_connections(self, address: str) -> None:
-        """Let calls to an address get nothing until its idle connections are dropped."""
-        self._silent.add(address)
+    def block_connections(self, address: str) -> None:
+        """Leave calls to an address without response until its idle connections are dropped."""
+        self._blocked.add(address)
 
     def add(self, instance: Instance) -> EmulatedInstance:
         """Start an instance."""
@@ -253,7 +257,7 @@
         if not call.may_send():
             raise withdrawn_call()
         call.proof.sent = True
-        if call.instance.address in self._silent:
+        if call.instance.address in self._blocked:
             await trio.sleep_forever()
         server.arrivals += 1
         server.arrived_at.append(trio.current_time())
@@ -264,13 +268,13 @@
             raise
 
     async def _begin(self, server: EmulatedInstance, call: InstanceCall) -> InstanceAnswer:
-        """Run a request until the head of its answer."""
-        if server.sheds_for:
+        """Run a request up to the head of its response."""
+        if server.requested_backoff_seconds:
             await trio.sleep(0.001)
-            call.hear(server.notice())
+            call.on_notice(server.notice())
             raise InstanceCallError(ErrorCode.OVERLOADED, "not run", Execution.NOT_RUN)
         rejecting = server.behaviour in (Behaviour.REJECT, Behaviour.REPLACED)
-        if rejecting or not _meets(server, call):
+        if rejecting or not _meets_preconditions(server, call):
             await trio.sleep(0.001)
             replaced = server.behaviour is Behaviour.REPLACED
             stale = not server.busy and not replaced and server.behaviour is not Behaviour.REJECT
@@ -281,7 +285,7 @@
                 stale_version=stale,
                 replaced=replaced,
             )
-        if server.behaviour is Behaviour.SILENT:
+        if server.behaviour is Behaviour.UNRESPONSIVE:
             await trio.sleep_forever()
         model = call.request.prompt.model if call.request.prompt is not None else ""
         server.runs.append(
@@ -294,14 +298,14 @@
             )
         )
         if call.request.body in self.fatal_bodies:
-            trio.lowlevel.spawn_system_task(self._end_later, server)
+            trio.lowlevel.spawn_system_task(self._crash_later, server)
             await server.work(float("inf"))
         await server.work(server.work_seconds)
         if server.behaviour is Behaviour.LOSE_ANSWER:
-            raise _broken()
+            raise _broken_off()
         if server.behaviour is Behaviour.OTHER_ANSWER:
             raise InstanceCallError(ErrorCode.EXECUTION_UNKNOWN, "another's", Execution.UNKNOWN)
-        call.hear(server.notice())
+        call.on_notice(server.notice())
         status = SUCCESS_STATUS
         if server.behaviour is Behaviour.FAIL:
             status = FAILURE_STATUS
@@ -310,76 +314,76 @@
         return EmulatedAnswer(server, call, status)
 
     def restart(self, instance: Instance) -> EmulatedInstance:
-        """End an instance and start it again under its id; it holds nothing of before.
+        """Terminate an instance and start it again, without state, under the same id.
 
         Args:
-            instance: As it publishes itself in its new life.
+            instance: The published entry of its new incarnation.
         """
         self.servers[instance.instance_id].end()
         return self.add(instance)
 
-    async def _end_later(self, server: EmulatedInstance) -> None:
-        """End an instance under a request that it has begun."""
+    async def _crash_later(self, server: EmulatedInstance) -> None:
+        """Crash an instance some time after it began a fatal request."""
         await trio.sleep(self.fatal_seconds)
         if server.ended_at is None:
             server.end()
             self.on_ended(server)
 
-    async def look(self, instance: Instance) -> InstanceProbeResult:
-        """Look at an instance; see the port."""
-        await trio.sleep(LOOK_SECONDS)
+    async def probe_connection(self, instance: Instance) -> InstanceProbeResult:
+        """Probe an instance; see the port."""
+        await trio.sleep(CONNECT_SECONDS)
         server = self.servers.get(instance.instance_id)
-        if server is not None and server.behaviour in UNHEARD:
+        if server is not None and server.behaviour in UNREACHABLE_BUT_RUNNING:
             return InstanceProbeResult.NO_ANSWER
         reachable = server is not None and server.is_reachable
         return InstanceProbeResult.ANSWERS if reachable else InstanceProbeResult.ENDED
 
     def idle_addresses(self) -> set[str]:
-        """Return no address: emulated calls keep no connections; see the port."""
+        """Return no address, as emulated calls keep no connections; see the port."""
         return set()
 
     async def drop_idle(self, address: str) -> None:
-        """Leave connections that may have fallen silent; see the port."""
+        """Drop idle connections, which may be unresponsive; see the port."""
         await trio.lowlevel.checkpoint()
         self.dropped.append(address)
-        self._silent.discard(address)
+        self._blocked.discard(address)
 
     async def forget(self, address: str) -> None:
         """Close the connections to an address; see the port."""
         await trio.lowlevel.checkpoint()
 
     async def order(
-        self, instance: Instance, order: WeightsOrder, hear: NoticeListener = ignore_notice
+        self, instance: Instance, order: WeightsOrder, on_notice: NoticeListener = ignore_notice
     ) -> OrderOutcome:
-        """Take an order; see the port."""
+        """Execute an order; see the port."""
         server = self.servers[instance.instance_id]
         await trio.sleep(0.001)
         server.arrived_at.append(trio.current_time())
-        hear(server.notice())
+        on_notice(server.notice())
         if server.order_delay_seconds:
-            trio.lowlevel.spawn_system_task(self._carry_out_late, server, order)
+            trio.lowlevel.spawn_system_task(self._execute_late, server, order)
             return OrderOutcome.UNKNOWN
-        outcome = self._take(server, order)
-        if server.lose_order_answers > 0:
-            server.lose_order_answers -= 1
+        outcome = self._execute(server, order)
+        if server.lost_order_answers > 0:
+            server.lost_order_answers -= 1
             return OrderOutcome.UNKNOWN
         return outcome
 
-    async def _carry_out_late(self, server: EmulatedInstance, order: WeightsOrder) -> None:
-        """Take an order whose answer was lost, in whatever life the instance is by then."""
+    async def _execute_late(self, server: EmulatedInstance, order: WeightsOrder) -> None:
+        """Execute an order later, at the incarnation that the instance then has."""
         await trio.sleep(server.order_delay_seconds)
-        self._take(self.servers[server.instance.instance_id], order)
+        self._execute(self.servers[server.instance.instance_id], order)
 
-    def _take(self, server: EmulatedInstance, order: WeightsOrder) -> OrderOutcome:
-        """Take an order if its conditions hold."""
-        server.attempted.append((trio.current_time(), order))
+    def _execute(self, server: EmulatedInstance, order: WeightsOrder) -> OrderOutcome:
+        """Execute an order if its conditions hold."""
+        server.received_orders.append((trio.current_time(), order))
         if order.fencing_token < server.highest_fence:
             return OrderOutcome.FENCED
         server.highest_fence = order.fencing_token
         if server.versions.get(order.weights.model) == order.weights.version:
-            return OrderOutcome.HOLDS_ALREADY
+            return OrderOutcome.ALREADY_LOADED
         if server.busy or order.expected_sequence != server.order_sequence:
-            return OrderOutcome.BUSY_OR_MOVED_ON
+            return OrderOutcome.BUSY_OR_SEQUENCE_CHANGED
         server.orders.append((trio.current_time(), order))
         server.order_sequence += 1
         server.busy = True
@@ -387,7 +391,7 @@
         return OrderOutcome.UNDER_WAY
 
     async def _load(self, server: EmulatedInstance, order: WeightsOrder) -> None:
-        """Load weights."""
+        """Load the weights of an order."""
         await trio.sleep(server.load_seconds)
         server.versions[order.weights.model] = order.weights.version
         server.busy = False
@@ -400,19 +404,19 @@
         )
 
     async def report(
-        self, instance: Instance, hear: NoticeListener = ignore_notice
+        self, instance: Instance, on_notice: NoticeListener = ignore_notice
     ) -> EngineReport | None:
         """Return an engine's report; see the port."""
         await trio.sleep(0.001)
         server = self.servers[instance.instance_id]
         server.arrived_at.append(trio.current_time())
-        hear(server.notice())
+        on_notice(server.notice())
         return EngineReport(
             server.busy, server.order_sequence, dict(server.versions), server.reported_born_ms
         )
 
 
-def _meets(server: EmulatedInstance, call: InstanceCall) -> bool:
+def _meets_preconditions(server: EmulatedInstance, call: InstanceCall) -> bool:
     """Return whether an instance meets a call's preconditions."""
     prompt = call.request.prompt
     if not call.expected_version or prompt is None:
@@ -425,6 +429,6 @@
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
-def _broken() -> InstanceCallError:
-    """Return the error of an answer that broke off."""
+def _broken_off() -> InstanceCallError:
+    """Return the error of a response that broke off."""
     return InstanceCallError(ErrorCode.STREAM_INTERRUPTED, "broke off", Execution.UNKNOWN)
--- a/emulator/platform/shared_store.py
+++ b/emulator/platform/shared_store.py
@@ -1,4 +1,4 @@
-"""The key-value service behind every stand-in: the pure model, its faults and trio's clock."""
+"""The key-value service that all stand-ins share: the pure model, its faults, trio's clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from emulator.platform.faults import FaultOrder, StoreFaults
 from emulator.platform.store_model import (
     KeyValueStoreModel,
-    StoreCopy,
+    StoreBackup,
     TokenBucket,
     list_page,
 )
@@ -18,16 +18,16 @@
 from hopstep.exceptions import ErrorCode, StoreError, StoreOutcomeUnknownError
 
 BURST_SECONDS = 1.0
-"""Seconds of the rate limit that may come at once."""
+"""Size of a burst, as seconds of the rate limit."""
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """An operation that took effect.
+    """Result of an executed operation.
 
     Attributes:
         result: The result that the operation's class documents.
-        era: The store's era at that moment.
-        revision: The store's revision at that moment.
+        era: The store's era at the time of execution.
+        revision: The store's revision at the time of execution.
     """
 
     result: Any
@@ -36,10 +36,10 @@
 
 
 class SharedStore:
-    """One key-value service, as all its clients share it.
+    """One key-value service that several clients share.
 
     Args:
-        history_length: Changes that a watch can look back on.
+        history_length: Number of past changes that a watch can read.
     """
 
     def __init__(self, history_length: int = 1024) -> None:
@@ -51,8 +51,8 @@
         self._changed = trio.Event()
 
     def order_faults(self, order: FaultOrder) -> None:
-        """Put the store's faults of ``order`` in force."""
-        self._remember_cache(order)
+        """Activate the store's faults of ``order``."""
+        self._refresh_cache(order)
         for field in self.faults.__struct_fields__:
             value = getattr(order, field)
             if value is not None:
@@ -60,38 +60,38 @@
         if order.requests_per_second is not None:
             self._limit_rate(order.requests_per_second)
         if order.lapse_leases:
-            self.model.lapse_all()
-            self._announce()
+            self.model.expire_all_leases()
+            self._notify_watches()
 
     def end_lease(self, lease: str) -> None:
         """End a lease with its keys, if there is such a lease."""
         if self.model.has_lease(lease):
-            self.model.lapse(lease)
-            self._announce()
+            self.model.expire_lease(lease)
+            self._notify_watches()
 
-    def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy."""
-        self.model.restore(copy, trio.current_time())
+    def restore(self, backup: StoreBackup) -> None:
+        """Restore the store from a backup."""
+        self.model.restore(backup, trio.current_time())
         self._hidden_versions.clear()
-        self._announce()
+        self._notify_watches()
 
     async def wait_changed(self) -> None:
         """Wait until something changes."""
         await self._changed.wait()
 
     def write_directly(self, operation: wire.StoreOperation, now: float | None = None) -> object:
-        """Carry out a write that no fault touches, as the store may serve some and not others.
+        """Execute a write without faults, as a store may serve some clients and not others.
 
         Args:
             operation: The write.
             now: Time in seconds, for writes outside of the event loop.
         """
         result = self.model.apply(operation, trio.current_time() if now is None else now)
-        self._announce()
+        self._notify_watches()
         return result
 
     async def execute(self, operation: wire.StoreOperation) -> object:
-        """Carry out an operation under the faults in force.
+        """Execute an operation under the active faults.
 
         Returns:
             The result that the operation's class documents.
@@ -103,26 +103,26 @@
         return (await self.execute_in_era(operation)).result
 
     async def execute_in_era(self, operation: wire.StoreOperation) -> Effect:
-        """Carry out an operation, and tell the era in which it took effect; see ``execute``."""
+        """Execute an operation and return its era and revision too; see ``execute``."""
         delay = self.faults.slow_seconds / 2
         await trio.sleep(delay)
-        self._refuse_when_unavailable()
-        result = await self._take_effect(operation)
+        self._require_available()
+        result = await self._apply(operation)
         effect = Effect(result, self.model.era, self.model.revision)
         await trio.sleep(delay)
         return effect
 
-    async def _take_effect(self, operation: wire.StoreOperation) -> object:
-        """Carry out an operation now, and lose it or its answer if so ordered."""
+    async def _apply(self, operation: wire.StoreOperation) -> object:
+        """Execute an operation now, unless a fault loses it or its answer."""
         if not wire.is_write(operation):
             return await self._read(operation)
         if self.faults.lost_requests > 0:
             self.faults.lost_requests -= 1
-            raise _lost()
+            raise _lost_error()
         result = self._write(operation)
         if self.faults.lost_answers > 0:
             self.faults.lost_answers -= 1
-            raise _lost()
+            raise _lost_error()
         return result
 
     def _write(self, operation: wire.StoreOperation) -> object:
@@ -133,11 +133,11 @@
         for version in changes[: self.faults.dropped_changes]:
             self.faults.dropped_changes -= 1
             self._hidden_versions.add(version)
-        self._announce()
+        self._notify_watches()
         return result
 
     async def _read(self, operation: wire.StoreOperation) -> object:
-        """Answer a read, from the cache if so ordered."""
+        """Execute a read, from the cache if a fault asks for stale reads."""
         if isinstance(operation, wire.Watch):
             return await self._watch(operation)
         if self.faults.stale_reads > 0 and self._cache is not None:
@@ -149,21 +149,21 @@
         return self.model.apply(operation, trio.current_time())
 
     async def _watch(self, operation: wire.Watch) -> wire.Changes:
-        """Wait for a change below the prefix that isn't hidden, or for the time to pass."""
+        """Wait until there is a visible change below the prefix or the wait time is over."""
         deadline = trio.current_time() + operation.wait_seconds
         while True:
             batch = self._visible_changes(operation)
             if batch.values or trio.current_time() >= deadline:
                 return batch
             changed, era = self._changed, self.model.era
-            with trio.move_on_at(min(deadline, self.model.next_lapse())):
+            with trio.move_on_at(min(deadline, self.model.next_expiry())):
                 await changed.wait()
-            self._refuse_when_down()
+            self._require_up()
             if self.model.era != era:
                 raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store was restored")
 
     def _visible_changes(self, operation: wire.Watch) -> wire.Changes:
-        """Return what a watch shows now."""
+        """Return the changes that a watch shows now."""
         self.model.expire_leases(trio.current_time())
         batch = self.model.changes(operation.prefix, operation.after_revision)
         visible = tuple(
@@ -171,37 +171,37 @@
         )
         return msgspec.structs.replace(batch, values=visible)
 
-    def _refuse_when_unavailable(self) -> None:
-        """Raise when an outage or the rate limit refuses a new call."""
-        self._refuse_when_down()
+    def _require_available(self) -> None:
+        """Raise ``StoreError`` in an outage or when the rate limit is used up."""
+        self._require_up()
         if not self._bucket.admit(trio.current_time()):
             raise StoreError(ErrorCode.STORE_RATE_LIMITED, "the rate limit is used up")
 
-    def _refuse_when_down(self) -> None:
-        """Raise during an outage."""
+    def _require_up(self) -> None:
+        """Raise ``StoreError`` in an outage."""
         if self.faults.outage:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, "the store is down")
 
-    def _remember_cache(self, order: FaultOrder) -> None:
-        """Copy what is there when an outage begins, for stale reads after it."""
+    def _refresh_cache(self, order: FaultOrder) -> None:
+        """Copy the values when an outage begins, for stale reads after it."""
         begins = bool(order.outage) and not self.faults.outage
         if begins or (order.stale_reads and self._cache is None):
             self._cache = self.model.snapshot()
 
     def _limit_rate(self, requests_per_second: float) -> None:
-        """Start a new rate limit; 0 switches it off."""
+        """Set a new rate limit; 0 switches it off."""
         if requests_per_second == 0:
             self._bucket = TokenBucket()
             return
         burst = max(1.0, requests_per_second * BURST_SECONDS)
         self._bucket = TokenBucket(requests_per_second, burst)
 
-    def _announce(self) -> None:
+    def _notify_watches(self) -> None:
         """Wake every watch."""
         self._changed.set()
         self._changed = trio.Event()
 
 
-def _lost() -> StoreOutcomeUnknownError:
-    """Return the error of a write whose answer never came."""
+def _lost_error() -> StoreOutcomeUnknownError:
+    """Return the error of a write whose answer was lost."""
     return StoreOutcomeUnknownError(ErrorCode.STORE_OUTCOME_UNKNOWN, "the answer was lost")
--- a/emulator/simulation/chaos.py
+++ b/emulator/simulation/chaos.py
@@ -1,4 +1,4 @@
-"""A seeded schedule of faults that come at any moment, together and twice."""
+"""A seeded schedule of faults, which may overlap and repeat."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from emulator.engine.faults import EngineFaults, RefusalFault, StreamFault
 from emulator.platform.faults import FaultOrder
-from emulator.simulation.cluster import CALM, SimulatedCluster
+from emulator.simulation.cluster import NO_FAULTS, SimulatedCluster
 from emulator.simulation.deployment import MODEL, ZONES
 from hopstep.domain.configuration.document import BackEnd, Model
 from hopstep.domain.configuration.log import Section
@@ -44,15 +44,15 @@
 
 
 class Chaos:
-    """Draws faults and lets each last for a while; several are in force at once."""
+    """Draws random faults and ends each after a while; several are active at once."""
 
     def __init__(
         self, cluster: SimulatedCluster, seed: int, mean_seconds_between: float = 2.0
     ) -> None:
-        """Prepare; ``run`` does it.
+        """Create the schedule; ``run`` induces its faults.
 
         Args:
-            cluster: What suffers.
+            cluster: Cluster in which faults are induced.
             seed: Seed of the schedule.
             mean_seconds_between: Mean time between two faults.
         """
@@ -86,7 +86,7 @@
         )
 
     async def run(self, seconds: float) -> None:
-        """Induce faults for a time; return when each has ended."""
+        """Induce faults for ``seconds``; return when all have ended."""
         async with trio.open_nursery() as nursery:
             end = trio.current_time() + seconds
             while trio.current_time() < end:
@@ -96,7 +96,7 @@
                 await trio.sleep(wait)
 
     async def recover(self) -> None:
-        """End what is left and start the routers that are down."""
+        """End the remaining faults and start the routers that are down."""
         self._cluster.end_faults()
         for name, router in self._cluster.routers.items():
             if not router.running:
@@ -106,18 +106,18 @@
         self.induced.append(fault.__name__)
         await fault()
 
-    async def _last(self, longest: float = 12.0) -> None:
+    async def _wait_random(self, longest: float = 12.0) -> None:
         await trio.sleep(self._generator.uniform(0.2, longest))
 
     def _pick_router(self) -> str | None:
-        """Return a router that runs and suffers no fault, or None."""
+        """Return a running router without a fault, or None."""
         routers = self._cluster.routers
         names = sorted(set(routers) - self._busy)
         running = [name for name in names if routers[name].running]
         return self._generator.choice(running) if running else None
 
     def _pick_engine(self) -> str | None:
-        """Return an engine that suffers no fault, or None."""
+        """Return an engine without a fault, or None."""
         names = [item.name for item in self._cluster.deployment.back_ends if item.models]
         free = [name for name in names if name not in self._busy]
         return self._generator.choice(free) if free else None
@@ -128,7 +128,7 @@
             return
         self._busy.add(name)
         self._cluster.routers[name].kill()
-        await self._last()
+        await self._wait_random()
         await self._cluster.start_router(name)
         self._busy.discard(name)
 
@@ -143,7 +143,7 @@
             return
         self._busy.add(name)
         self._cluster.pause(name)
-        await self._last(15.0)
+        await self._wait_random(15.0)
         self._cluster.resume(name)
         self._busy.discard(name)
 
@@ -153,7 +153,7 @@
             return
         self._busy.add(name)
         await self._cluster.stop_router(name)
-        await self._last(3.0)
+        await self._wait_random(3.0)
         await self._cluster.start_router(name)
         self._busy.discard(name)
 
@@ -181,7 +181,7 @@
             return
         self._busy.add(name)
         self._cluster.set_engine_faults(name, faults)
-        await self._last(longest)
+        await self._wait_random(longest)
         self._cluster.set_engine_faults(name, EngineFaults())
         self._busy.discard(name)
 
@@ -192,7 +192,7 @@
         self._busy.add(name)
         address = self._cluster.back_end(name).address
         self._cluster.world.engines.set_down(address, True)
-        await self._last(5.0)
+        await self._wait_random(5.0)
         self._cluster.world.engines.set_down(address, False)
         self._busy.discard(name)
 
@@ -220,7 +220,7 @@
             return
         self._busy.add("links")
         self._cluster.cut_engine(router, name)
-        await self._last()
+        await self._wait_random()
         self._cluster.heal()
         self._busy.discard("links")
 
@@ -232,7 +232,7 @@
             (self._cluster.cut_router, self._cluster.cut_peers, self._cluster.cut_platform)
         )
         cut(self._generator.choice(sorted(self._cluster.routers)))
-        await self._last(20.0)
+        await self._wait_random(20.0)
         self._cluster.heal()
         self._busy.discard("links")
 
@@ -241,8 +241,8 @@
             return
         self._busy.add("platform")
         self._cluster.order_platform_faults(self._generator.choice(PLATFORM_FAULTS))
-        await self._last(20.0)
-        self._cluster.order_platform_faults(CALM)
+        await self._wait_random(20.0)
+        self._cluster.order_platform_faults(NO_FAULTS)
         self._busy.discard("platform")
 
     async def _relabel_engine(self) -> None:
@@ -255,7 +255,7 @@
                 nursery.start_soon(self._cluster.edit, engine, Section.BACK_ENDS)
 
     def _edited_engine(self) -> BackEnd:
-        """Return an engine with another zone or on its way out, or back."""
+        """Return an engine with a random zone and leaving state."""
         engines = [item for item in self._cluster.deployment.back_ends if item.models]
         engine = self._generator.choice(engines)
         zone = self._generator.choice(ZONES)
--- a/emulator/simulation/oracle.py
+++ b/emulator/simulation/oracle.py
@@ -1,6 +1,6 @@
-"""The oracle: what must always hold, checked on the history of a simulation.
+"""The oracle: checks the history of a simulation for violated invariants.
 
-Each check reads what callers, engines and the store saw, never what a router believes.
+Each check reads the view of callers, engines and the store, never the state of a router.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from hopstep.domain.retry_budget import FLOOR_RETRIES_PER_SECOND, MAX_SAVED_RETRIES
 from hopstep.exceptions import ErrorCode
 
-AT_ONCE_SECONDS = 0.05
+IMMEDIATE_SECONDS = 0.05
 """Longest virtual time from a decision to its answer, or from a request to its refusal."""
 
-AT_ONCE_CODES = frozenset(
+IMMEDIATE_CODES = frozenset(
     {
         ErrorCode.RATE_LIMITED,
         ErrorCode.STOPPING,
@@ -30,13 +30,13 @@
         ErrorCode.NOT_READY,
     }
 )
-"""Refusals that wait for nothing."""
+"""Error codes of refusals that are sent without waiting."""
 
 FAILED_EVENT = log_events.REQUEST_FAILED.name
 
 
 def violations(cluster: SimulatedCluster) -> list[str]:
-    """Return everything that went wrong in a run that has ended."""
+    """Return all violations of invariants in a simulation that has ended."""
     return [
         *_stream_violations(cluster),
         *_single_run_violations(cluster),
@@ -51,7 +51,7 @@
 
 
 def _stream_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Every answer is a prefix of the right one, in order; a complete one is whole."""
+    """Check that every answer is a prefix of the expected one, and that none ends too early."""
     for answer in cluster.history.answers:
         expected = expected_tokens(answer.call.prompt, answer.call.max_tokens)
         got = tuple(answer.tokens)
@@ -65,11 +65,11 @@
             yield f"stream: {_name(answer)} has a wrong usage"
         broken = answer.outcome in (Outcome.REFUSED, Outcome.FAILED)
         if broken and not answer.code:
-            yield f"stream: {_name(answer)} was cut off without a word"
+            yield f"stream: {_name(answer)} was cut off without an error"
 
 
 def _single_run_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """A request that isn't repeatable runs once at most, over all sendings of its key."""
+    """Check that a request that isn't repeatable runs at most once for each key."""
     once = {
         prompt_digest(answer.call.prompt): answer
         for answer in cluster.history.answers
@@ -85,72 +85,76 @@
 
 
 def _not_run_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Nothing ran of a sending whose caller was told so, before or after."""
+    """Check that nothing of a sending ran, before or after a response that states so."""
     dispatches = _by_sending(cluster)
     for answer in cluster.history.answers:
-        if not answer.says_not_run:
+        if not answer.reports_not_run:
             continue
         ran = [item for item in dispatches[answer.number] if item.request.nonce in cluster.runs]
         if ran:
-            yield f"not run: {_name(answer)} was said not to have run ({answer.code}), but ran"
+            yield f"not run: {_name(answer)} was reported as not run ({answer.code}), but ran"
 
 
 def _planned_stop_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """A planned stop cuts off nobody, and ends."""
-    for life in cluster.history.lives:
-        if life.planned_stop_at == float("inf"):
+    """Check that a planned stop cuts off no answer and comes to an end."""
+    for incarnation in cluster.history.incarnations:
+        if incarnation.planned_stop_at == float("inf"):
             continue
-        if life.ended_at > life.planned_stop_at + DRAIN_SECONDS + 1.0:
-            yield f"planned stop: {life.router} hadn't stopped at the end"
+        if incarnation.ended_at > incarnation.planned_stop_at + DRAIN_SECONDS + 1.0:
+            yield f"planned stop: {incarnation.router} hadn't stopped at the end"
         for answer in cluster.history.answers:
-            lost = answer.outcome is Outcome.CONNECTION_LOST and answer.router == life.router
-            by_stop = life.planned_stop_at <= answer.ended_at <= life.ended_at
-            if lost and by_stop and not life.killed:
+            lost = answer.outcome is Outcome.CONNECTION_LOST and answer.router == incarnation.router
+            by_stop = incarnation.planned_stop_at <= answer.ended_at <= incarnation.ended_at
+            if lost and by_stop and not incarnation.killed:
                 yield f"planned stop: {_name(answer)} was cut off"
 
 
 def _amplification_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Attempts beyond the first ones stay within the retry budget of each router.
+    """Check that retries stay within the retry budget of each router.
 
-    An attempt that goes on after tokens of the one before repeats nothing and isn't counted.
+    An attempt that continues after the tokens of an earlier one isn't counted as a retry.
     """
     configurations = [item.accepted.configuration for item in cluster.history.accepted]
     ratio = max(configuration.routing.retry_ratio for configuration in configurations)
-    for life in cluster.history.lives:
-        sent = [item for item in cluster.history.dispatches if item.life == life.number]
-        firsts = len({item.sending for item in sent})
-        seconds = (sent[-1].at if sent else life.began_at) - life.began_at
-        allowed = ratio * firsts + FLOOR_RETRIES_PER_SECOND * seconds + MAX_SAVED_RETRIES
+    for incarnation in cluster.history.incarnations:
+        sent = [
+            item
+            for item in cluster.history.dispatches
+            if item.incarnation_number == incarnation.number
+        ]
+        calls = len({item.sending for item in sent})
+        seconds = (sent[-1].at if sent else incarnation.began_at) - incarnation.began_at
+        allowed = ratio * calls + FLOOR_RETRIES_PER_SECOND * seconds + MAX_SAVED_RETRIES
         retries = _retries(sent)
         if retries > allowed:
-            yield f"amplification: {life.router} sent {retries} retries for {firsts} requests"
+            yield f"amplification: {incarnation.router} sent {retries} retries for {calls} requests"
 
 
 def _retries(sent: list[Dispatch]) -> int:
-    """Return the attempts that begin where an earlier one of the same sending began."""
+    """Return the number of attempts that begin at the token where an earlier one began."""
     seen = {(item.sending, len(item.request.continued_text)) for item in sent}
     return len(sent) - len(seen)
 
 
 def _refusal_violations(cluster: SimulatedCluster) -> Iterator[str]:
-    """Refusals come at once and say when to come back; no answer outlives its deadline."""
+    """Check that refusals are sent at once with ``Retry-After``, and errors by the deadline."""
     log = cluster.history.log
     decided = {line.request_id: line.at for line in log if line.event == FAILED_EVENT}
     classes = {item.name: item for item in cluster.deployment.classes}
     sent = _by_sending(cluster)
     for answer in cluster.history.answers:
         if answer.code and answer.retry_after_seconds <= 0:
-            yield f"refusal: {_name(answer)} doesn't say when to come back"
+            yield f"refusal: {_name(answer)} doesn't say when to retry"
         if answer.delayed or answer.outcome not in (Outcome.REFUSED, Outcome.FAILED):
             continue
         took = answer.ended_at - answer.started_at
-        waited_for_nothing = answer.error_code in AT_ONCE_CODES and answer.number not in sent
-        if waited_for_nothing and took > AT_ONCE_SECONDS:
+        is_immediate = answer.error_code in IMMEDIATE_CODES and answer.number not in sent
+        if is_immediate and took > IMMEDIATE_SECONDS:
             yield f"refusal: {_name(answer)} took {took:.2f} s for {answer.code}"
         lag = answer.ended_at - decided.get(answer.request_id, answer.ended_at)
-        if lag > AT_ONCE_SECONDS:
+        if lag > IMMEDIATE_SECONDS:
             yield f"refusal: {_name(answer)} came {lag:.2f} s after its decision"
-        if took > classes[answer.call.request_class].deadline_seconds + AT_ONCE_SECONDS:
+        if took > classes[answer.call.request_class].deadline_seconds + IMMEDIATE_SECONDS:
             yield f"refusal: {_name(answer)} came {took:.2f} s after the request"
 
 
@@ -160,7 +164,7 @@
 
 
 def _by_sending(cluster: SimulatedCluster) -> dict[int, list[Dispatch]]:
-    """Return the attempts of each sending."""
+    """Return attempts by the number of their sending."""
     dispatches: dict[int, list[Dispatch]] = defaultdict(list)
     for dispatch in cluster.history.dispatches:
         dispatches[dispatch.sending].append(dispatch)
@@ -168,6 +172,6 @@
 
 
 def _name(answer: Answer) -> str:
-    """Return how messages name a sending."""
+    """Return the description of a sending for messages."""
     call = answer.call
     return f"sending {answer.number} of {call.tenant}/{call.request_class} at {answer.router}"
--- a/emulator/simulation/router.py
+++ b/emulator/simulation/router.py
@@ -14,7 +14,7 @@
 
 from emulator.simulation.connection import Connection, ConnectionEnd
 from emulator.simulation.gate import ProcessGate
-from emulator.simulation.history import Applied, Call, Dispatch, Life
+from emulator.simulation.history import Applied, Call, Dispatch, RouterIncarnation
 from emulator.simulation.ports import (
     Link,
     PeerHttpTransport,
@@ -47,13 +47,13 @@
 
 
 class SimulatedRouter:
-    """One start of a router, to its end.
+    """One incarnation of a router.
 
     Attributes:
         name: Name of the router.
-        gate: Border of its process.
+        gate: Gate of its process.
         services: Its services.
-        life: What the history knows of it.
+        record: Its record in the history.
         ended: Set at the end of the process.
     """
 
@@ -63,18 +63,18 @@
         """Compose the router; ``run`` starts it.
 
         Args:
-            world: Everything outside.
+            world: Engines, platform and network.
             settings: Settings of the router.
-            number: Number of this start, over all routers.
-            peers: Finds the routers that run.
+            number: Number of this incarnation, over all routers.
+            peers: Finds the running routers.
         """
         self.name = settings.name
         self.settings = settings
         self.gate = ProcessGate()
-        self.life = Life(settings.name, number, trio.current_time())
+        self.record = RouterIncarnation(settings.name, number, trio.current_time())
         self._world = world
         self._history = world.history
-        self._history.lives.append(self.life)
+        self._history.incarnations.append(self.record)
         self.ended = trio.Event()
         self._scope = trio.CancelScope()
         self._nursery: trio.Nursery | None = None
@@ -108,11 +108,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process has neither ended nor been killed."""
-        return self.life.ended_at == float("inf")
+        """Whether the process has neither stopped nor been killed."""
+        return self.record.ended_at == float("inf")
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Run until killed or until a planned stop has ended."""
+        """Run until killed or until a planned stop is complete."""
         with self._scope:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -124,13 +124,13 @@
         self._end()
 
     def stop(self) -> None:
-        """Ask for a planned stop."""
-        self.life.planned_stop_at = min(self.life.planned_stop_at, trio.current_time())
+        """Request a planned stop."""
+        self.record.planned_stop_at = min(self.record.planned_stop_at, trio.current_time())
         self.services.lifecycle.stop()
 
     def kill(self) -> None:
-        """End the process at once, with nothing flushed."""
-        self.life.killed = self.running
+        """Kill the process at once, without flushing anything."""
+        self.record.killed = self.running
         self.gate.kill()
         self._end()
         if self.gate.paused:
@@ -146,14 +146,14 @@
             connection.delayed = True
 
     def resume(self) -> None:
-        """Let the process go on as by SIGCONT; a new one in its place isn't paused."""
+        """Resume the process as by SIGCONT; a new incarnation isn't paused."""
         if not self.gate.paused:
             return
         self._world.network.resume(self.settings.address)
         self.gate.resume()
 
     def connect(self, connection: Connection) -> None:
-        """Take a caller's connection; refused before the process listens and after its end."""
+        """Accept a caller's connection, or refuse it before the start and after the end."""
         if self._nursery is None or not self.running:
             connection.close(ConnectionEnd.REFUSED)
             return
@@ -177,13 +177,13 @@
             connection.close(ConnectionEnd.LOST)
 
     async def _handle(self, scope: Any, _receive: object, _send: object) -> None:
-        """Answer an admitted request; takes the place of the web framework."""
+        """Handle an admitted request, in place of the web framework."""
         connection: Connection = scope[CONNECTION_KEY]
         try:
             request = self._resolve(scope[CALLER_KEY], connection.call)
             connection.request_id = request.request_id
             async with self.services.dispatcher.run(request) as answer:
-                # The error is sent here: leaving the block waits for cancels at engines.
+                # The error is sent here, as leaving the block waits for cancels at engines.
                 await self._send_answer(connection, answer)
         except ServiceError as error:
             await self._send_error(connection, error)
@@ -220,7 +220,7 @@
             peer_configuration=HttpPeerConfiguration(self._client, codec, self._peer_url),
             generator=random.Random(world.generator.getrandbits(64)),
             wall_clock=world.wall_clock,
-            make_nonce=lambda: f"{self.name}.{self.life.number}.{next(self._nonces)}",
+            make_nonce=lambda: f"{self.name}.{self.record.number}.{next(self._nonces)}",
         )
 
     def _spawn(self, task: Callable[[], Awaitable[None]]) -> None:
@@ -232,15 +232,15 @@
         return f"http://{address}" if address else None
 
     def _note_applied(self, accepted: AcceptedConfiguration) -> None:
-        applied = Applied(trio.current_time(), self.name, self.life.number, accepted.revision)
+        applied = Applied(trio.current_time(), self.name, self.record.number, accepted.revision)
         self._history.applied.append(applied)
 
     def _decide(self, address: str, request: GenerateRequest) -> Dispatch:
-        """Return the record of an attempt at the moment of its decision."""
+        """Return the record of an attempt at the time of its decision."""
         return Dispatch(
             at=trio.current_time(),
             router=self.name,
-            life=self.life.number,
+            incarnation_number=self.record.number,
             revision=self.services.holder.revision,
             address=address,
             request=request,
@@ -260,10 +260,10 @@
                 return
 
     def _end(self) -> None:
-        """Note the end and break every open connection."""
+        """Record the end and break every open connection."""
         if not self.running:
             return
-        self.life.ended_at = trio.current_time()
+        self.record.ended_at = trio.current_time()
         self.ended.set()
         for connection in list(self._connections):
             connection.close(ConnectionEnd.LOST)
@@ -271,14 +271,14 @@
 
 
 class PeerDirectory:
-    """Finds the routers that run, by address."""
+    """Running routers by address."""
 
     def __init__(self) -> None:
         """Start without routers."""
         self.by_address: dict[str, SimulatedRouter] = {}
 
     async def answer(self, address: str, name: str, body: bytes) -> bytes:
-        """Answer a peer's call at the router at ``address``."""
+        """Handle a peer's call at the router at ``address``."""
         router = self.by_address.get(address)
         if router is None or not router.running:
             raise httpx.ConnectError("the connection was refused")
--- a/emulator/soak/checks.py
+++ b/emulator/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises, checked over a history alone. Each check yields what broke it."""
+"""Checks of the promises over a recorded history. Each check yields a text per violation."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from emulator.soak.history import (
-    LEASES_LAPSE,
+    LEASES_EXPIRED_EARLY,
     Arrival,
     History,
     RequestKind,
@@ -17,27 +17,32 @@
 )
 from emulator.soak.instance_checks import INSTANCE_CHECKS
 from emulator.soak.limit_checks import LIMIT_CHECKS
+from emulator.soak.notice_checks import NOTICE_CHECKS
 from emulator.soak.promises import Bounds, Check, Violation
 from emulator.soak.regress_checks import REGRESS_CHECKS
-from emulator.soak.word_checks import WORD_CHECKS
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""HTTP statuses that state that the request wasn't executed."""
+
 OK = 200
-DENIALS = frozenset({401, 403, 404})
-"""Answers that only a node may give whose configuration has no such route or key."""
+DENIAL_STATUSES = frozenset({401, 403, 404})
+"""HTTP statuses that a node may send only if its configuration lacks the route or key."""
 
-LATE_SECONDS = 0.75
-"""An answer may come so much later than the caller's deadline on an undisturbed node."""
+MAX_LATE_SECONDS = 0.75
+"""Time after the caller's deadline in which a response may end, on an undisturbed node."""
 
 RECOVERED_SHARE = 0.9
+"""Share of requests that must be served after recovery."""
+
 MAX_LATE_ARRIVALS = 3
-"""A few may be on their way as a caller leaves."""
+"""Arrivals for callers that have left; a few requests may be in flight as the caller leaves."""
 
 MAX_LATE_ENDS_SHARE = 0.25
+"""Share of the runs for callers that left which may end late."""
 
 
 def check_all(history: History, bounds: Bounds) -> list[Violation]:
-    """Return everything that broke a promise."""
+    """Return all violations in a history."""
     return [
         Violation(name, detail)
         for name, check in CHECKS.items()
@@ -46,7 +51,7 @@
 
 
 def at_most_once(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield requests that may run once and ran more often."""
+    """Yield requests that may run at most once and ran more often."""
     for request_id, runs in _runs_by_request(history).items():
         request = history.requests.get(request_id)
         if request is not None and request.kind.at_most_once and len(runs) > 1:
@@ -55,15 +60,19 @@
 
 
 def not_run_is_true(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield requests whose answer says not run although they ran."""
+    """Yield requests that ran although their response states that they didn't."""
     runs = _runs_by_request(history)
     for request in history.requests.values():
-        if request.kind.at_most_once and request.status in PROMISES and runs[request.request_id]:
+        if (
+            request.kind.at_most_once
+            and request.status in NOT_RUN_STATUSES
+            and runs[request.request_id]
+        ):
             yield f"{request.kind} {request.request_id} got {request.status} and ran"
 
 
 def answers_are_own_and_whole(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield successes that aren't the whole answer of a run of the same request."""
+    """Yield successful responses that aren't the complete response of a run of the same request."""
     runs = _runs_by_request(history)
     for request in history.requests.values():
         if request.status != OK or not request.whole or request.left:
@@ -76,19 +85,19 @@
 
 
 def expected_body(request: SentRequest) -> bytes:
-    """Return the body of a request's whole answer."""
+    """Return the body of a request's complete response."""
     if request.kind in (RequestKind.STREAM, RequestKind.RESUMABLE):
         return b"".join(event_bytes(request.request_id, n) for n in range(request.events))
     return f"done {request.request_id}".encode()
 
 
 def event_bytes(request_id: str, number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return the bytes of one event of a stream."""
     return f"id: {number}\ndata: {request_id} {number}\n\n".encode()
 
 
 def only_what_was_sent_runs(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield runs of unknown requests, for other tenants, at other services, or with a key shown."""
+    """Yield runs of unknown requests, for a wrong tenant or service, or with the key forwarded."""
     for run in history.runs:
         request = history.requests.get(run.request_id)
         if request is None:
@@ -102,7 +111,7 @@
 
 
 def revoked_keys_run_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that ran although their key was taken away long before they were sent."""
+    """Yield requests that ran although their key was revoked long before they were sent."""
     revoked = {revocation.key: revocation.at for revocation in history.revocations}
     for run in history.runs:
         request = history.requests.get(run.request_id)
@@ -114,36 +123,36 @@
 
 
 def weights_are_new_enough(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield runs on older weights than their bound allows, while nothing disturbed."""
+    """Yield runs on older weights than the bound allows, in periods without faults."""
     for run in history.runs:
         request = history.requests.get(run.request_id)
-        required = [n for n in history.namings if run.at - n.at > bounds.weights]
+        required = [n for n in history.weights_changes if run.at - n.at > bounds.weights]
         if not required or not run.version or request is None:
             continue
-        naming = max(required, key=lambda n: n.version)
-        since = naming.at - bounds.contact
-        disturbed = not history.bounded(request.node, since, run.at)
-        if run.version < naming.version and not disturbed:
+        newest = max(required, key=lambda n: n.version)
+        since = newest.at - bounds.settling
+        disturbed = not history.time_bounds_apply(request.node, since, run.at)
+        if run.version < newest.version and not disturbed:
             yield (
                 f"{run.request_id} started on version {run.version} at {run.instance_id}, "
-                f"{run.at - naming.at:.2f} s after version {naming.version} was named"
+                f"{run.at - newest.at:.2f} s after version {newest.version} was named"
             )
 
 
 def draining_instances_get_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield runs at instances that said long before that they are draining."""
-    leaving = {leaving.life: leaving.at for leaving in history.leavings}
+    """Yield runs at instances that were listed as draining long before."""
+    leaving = {leaving.incarnation: leaving.at for leaving in history.drain_starts}
     for run in history.runs:
-        at = leaving.get(run.life)
+        at = leaving.get(run.incarnation)
         request = history.requests.get(run.request_id)
         if at is None or request is None or run.at - at <= bounds.drain:
             continue
-        if history.bounded(request.node, run.at - bounds.contact, run.at):
+        if history.time_bounds_apply(request.node, run.at - bounds.settling, run.at):
             yield f"{run.request_id} ran at {run.instance_id}, draining for {run.at - at:.2f} s"
 
 
 def configurations_are_in_force(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield probes that were answered as only an older configuration says."""
+    """Yield probes whose response can only come from an outdated configuration."""
     changes: dict[str, list[RouteChange]] = defaultdict(list)
     for change in history.route_changes:
         changes[change.path].append(change)
@@ -153,19 +162,19 @@
             continue
         later = [c for c in changes[request.path] if c not in known and c.at <= request.ended_at]
         present = known[-1].present
-        wrong = request.status in DENIALS if present else request.status == OK
-        since = request.sent_at - bounds.contact
-        if wrong and not later and history.bounded(request.node, since, request.ended_at):
+        wrong = request.status in DENIAL_STATUSES if present else request.status == OK
+        since = request.sent_at - bounds.settling
+        if wrong and not later and history.time_bounds_apply(request.node, since, request.ended_at):
             late = request.sent_at - known[-1].at
             what = "added" if present else "removed"
             yield f"{request.path} {what}, {late:.2f} s later {request.node} said {request.status}"
 
 
 def one_holder_orders(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield tokens with two holders, and holders that take turns within a lease.
+    """Yield fencing tokens with two holders, and changes of the holder within one lease duration.
 
-    A new holder waits for a lease before it orders, which can't be enough where the store ends
-    leases before their time: the former holder learns that later.
+    A new holder waits for one lease duration before it sends orders. That isn't enough where the
+    store ends leases before their expiry: the former holder learns of it later.
     """
     holders: dict[int, set[str]] = defaultdict(set)
     for order in history.orders:
@@ -175,16 +184,16 @@
             yield f"token {token} was used by {sorted(names)}"
     for earlier, later in itertools.pairwise(history.orders):
         close = later.at - earlier.at < bounds.lease
-        resumed = history.disturbed(earlier.holder, earlier.at - bounds.thaw, earlier.at)
-        lapsed = history.happened(LEASES_LAPSE, earlier.at - bounds.lease, later.at)
-        if close and later.holder != earlier.holder and not resumed and not lapsed:
+        resumed = history.disturbed(earlier.holder, earlier.at - bounds.resume_slack, earlier.at)
+        expired_early = history.happened(LEASES_EXPIRED_EARLY, earlier.at - bounds.lease, later.at)
+        if close and later.holder != earlier.holder and not resumed and not expired_early:
             yield f"{later.holder} ordered {later.at - earlier.at:.2f} s after {earlier.holder}"
         if later.token < earlier.token and not resumed:
             yield f"token {later.token} was taken after {earlier.token}"
 
 
 def isolation_is_kept(history: History, _bounds: Bounds) -> Iterable[str]:
-    """Yield salts that an isolated tenant shares, or that two weights versions share."""
+    """Yield cache salts shared by an isolated tenant and others, or by two weights versions."""
     tenants: dict[str, set[str]] = defaultdict(set)
     versions: dict[str, set[int]] = defaultdict(set)
     for run in history.runs:
@@ -200,10 +209,10 @@
 
 
 def planned_stops_cut_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that a planned stop cut off, while nothing else disturbed.
+    """Yield requests that a planned stop cut off, while there was no other fault.
 
-    A connection may be closed as a request crosses on it: that one went nowhere, and its caller
-    knows at once.
+    Excepted are requests that were sent while the node closed their connection: they reach no
+    instance, and their callers see the failure at once.
     """
     arrived = {arrival.request_id for arrival in history.arrivals}
     stops = [fault for fault in history.disturbances if fault.planned]
@@ -219,14 +228,14 @@
         disturbed = any(
             fault.since <= request.ended_at and fault.until >= request.sent_at for fault in others
         )
-        crossed = request.request_id not in arrived
-        crossed = crossed and request.ended_at - request.sent_at <= bounds.loss_slack
-        if meets and not answered and not disturbed and not crossed:
+        lost_on_close = request.request_id not in arrived
+        lost_on_close = lost_on_close and request.ended_at - request.sent_at <= bounds.loss_slack
+        if meets and not answered and not disturbed and not lost_on_close:
             yield f"{request.kind} {request.request_id} was cut off by the stop of {request.node}"
 
 
 def clients_that_left_occupy_nothing(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield what arrives or still runs for callers that left, where that may be repeated."""
+    """Yield counts of late arrivals and of late repeatable runs for callers that left."""
     arrivals = [a for a in history.arrivals if _left_before(history, a.request_id, a.at, bounds)]
     if len(arrivals) > MAX_LATE_ARRIVALS:
         yield f"{len(arrivals)} arrivals for callers that had left"
@@ -239,7 +248,7 @@
 
 
 def _left_and_repeatable(history: History, run: Run) -> bool:
-    """Return whether a run that has ended was for a caller that left, and may be repeated."""
+    """Return whether an ended run was for a caller that left, and isn't of the unsafe kind."""
     request = history.requests.get(run.request_id)
     if request is None or run.ended_at is None:
         return False
@@ -247,27 +256,30 @@
 
 
 def _left_before(history: History, request_id: str, at: float, bounds: Bounds) -> bool:
-    """Return whether a caller had left well before a moment, on a node that could know."""
+    """Return whether a caller had left well before a time, at a node without recent faults."""
     request = history.requests.get(request_id)
     if request is None or not request.left or request.ended_at is None:
         return False
-    late = at - request.ended_at > bounds.leaving
-    return late and history.bounded(request.node, request.sent_at - bounds.contact, at)
+    late = at - request.ended_at > bounds.abandoned
+    return late and history.time_bounds_apply(request.node, request.sent_at - bounds.settling, at)
 
 
 def answers_come_in_time(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests without a final answer long after their deadline, on undisturbed nodes."""
+    """Yield requests that ended long after their deadline, on undisturbed nodes."""
     for request in history.requests.values():
         if request.left or request.ended_at is None:
             continue
         late = request.ended_at - request.deadline_at
-        since = request.sent_at - bounds.contact
-        if late > LATE_SECONDS and not history.disturbed(request.node, since, request.ended_at):
+        since = request.sent_at - bounds.settling
+        if late > MAX_LATE_SECONDS and not history.disturbed(request.node, since, request.ended_at):
             yield f"{request.kind} {request.request_id} ended {late:.2f} s after its deadline"
 
 
 def retries_stay_in_budget(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield windows with more arrivals beyond the first of each request than allowed."""
+    """Yield services with a window of more retries than allowed.
+
+    Retries are arrivals beyond the first of each request.
+    """
     services = {request.service for request in history.requests.values()}
     for service in sorted(services):
         arrivals = [a for a in history.arrivals if a.service == service]
@@ -286,16 +298,16 @@
 
 def processes_stay_alive(history: History, _bounds: Bounds) -> Iterable[str]:
     """Yield processes that ended by themselves."""
-    for node in history.unexpected_ends:
+    for node in history.unexpected_exits:
         yield f"ended by itself: {node}"
 
 
 def check_recovery(history: History, since: float, until: float) -> list[Violation]:
-    """Return what shows that requests aren't served again after all faults have gone.
+    """Return a violation if too few requests are served after all faults have been repaired.
 
     Args:
-        history: What was seen.
-        since: Recovery should have ended.
+        history: Observations of the soak.
+        since: Time by which recovery must have ended.
         until: End of the soak.
     """
     revoked = {revocation.key for revocation in history.revocations}
@@ -308,7 +320,9 @@
         and not request.path
         and not request.fatal
     ]
-    served = sum(1 for r in late if r.whole and r.status is not None and r.status not in PROMISES)
+    served = sum(
+        1 for r in late if r.whole and r.status is not None and r.status not in NOT_RUN_STATUSES
+    )
     if not late or served < RECOVERED_SHARE * len(late):
         ends = Counter(str(request.status) for request in late)
         detail = f"{served} of {len(late)} served after recovery: {dict(ends)}"
@@ -329,7 +343,7 @@
 
 
 def _runs_by_request(history: History) -> dict[str, list[Run]]:
-    """Return the runs of each request."""
+    """Return the runs by request id."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in history.runs:
         runs[run.request_id].append(run)
@@ -352,7 +366,7 @@
     "answers in time": answers_come_in_time,
     "retry budget": retries_stay_in_budget,
     **INSTANCE_CHECKS,
-    **WORD_CHECKS,
+    **NOTICE_CHECKS,
     **LIMIT_CHECKS,
     **REGRESS_CHECKS,
     "processes": processes_stay_alive,
--- a/emulator/soak/instance_faults.py
+++ b/emulator/soak/instance_faults.py
@@ -1,4 +1,4 @@
-"""Faults of instances: their links, ends, later lives, addresses and entries."""
+"""Faults of instances: links, crashes, restarts, addresses, entries, notices and orders."""
 
 from __future__ import annotations
 
@@ -9,50 +9,52 @@
 
 from emulator.soak.deployment import ENGINES, PLAIN, ZONES, Deployment, InstanceLinks
 from emulator.soak.foreign_entries import FOREIGN_PREFIX, foreign_entry
-from emulator.soak.history import Leaving, LimitChange
+from emulator.soak.history import DrainStart, LimitChange
 from emulator.soak.operators import Operator
 from emulator.soak.proxies import LinkState
 
 FAULT_SECONDS = (0.5, 6.0)
+"""Duration of a fault, shortest and longest."""
+
 DRAIN_SECONDS = 2.5
 BROKEN_LINKS = (LinkState.SILENT, LinkState.ONE_WAY, LinkState.RESET)
 MIN_INSTANCES = 2
 IMAGE_VERSION = 1
 IMAGE_SHARE = 0.5
-"""Of instances that restart: they come back with the weights of their image."""
+"""Share of restarting instances that load the weights of their image instead of their last ones."""
 
-REST_SECONDS = (0.3, 4.0)
+BACKOFF_SECONDS = (0.3, 4.0)
 SHED_SECONDS = (0.2, 1.5)
-"""For so long an instance refuses everything and asks for rest."""
+"""Time in which an instance refuses all requests and asks for backoff."""
 
 LIMITS = (0.0, 0.3, 1.5, 1.5, 4.0, 12.0)
-"""Requests a second."""
+"""Announced limits, requests per second."""
 
 LIMIT_SECONDS = (4.0, 10.0)
-"""For so long an instance names one limit."""
+"""Time for which an instance announces one limit."""
 
-WORD_ALONE_SHARE = 0.5
-"""Of instances that leave by their word: their entry says ready until they have ended."""
+NOTICE_ONLY_SHARE = 0.5
+"""Share of instances announcing shutdown in responses whose entry says ready until they end."""
 
 REUSE_SECONDS = 2.0
-"""The platform gives an address of an ended instance to another one no sooner."""
+"""Time before the platform gives the address of a terminated instance to another one."""
 
 Fault = Callable[[], Awaitable[None]]
 
 
 def draw_seconds(generator: random.Random) -> float:
-    """Return how long a fault lasts."""
+    """Return a random duration of a fault, in seconds."""
     return generator.uniform(*FAULT_SECONDS)
 
 
 def instance_faults(
     deployment: Deployment, operator: Operator, generator: random.Random
 ) -> dict[str, Fault]:
-    """Return the kinds of faults of instances.
+    """Return the faults of instances by their kind.
 
     Args:
-        deployment: What is disturbed.
-        operator: Knows the newest weights.
+        deployment: Holds the instances that get the faults.
+        operator: Holds the target version of the weights.
         generator: Draws instance, time and strength.
     """
     faults = _InstanceFaults(deployment, operator, generator)
@@ -61,9 +63,9 @@
         "instance connections silent": faults.instance_connections_silent,
         "instance crashed": faults.instance_crashed,
         "instance leaves": faults.instance_leaves,
-        "instance says it leaves": faults.instance_says_leaving,
-        "instances want rest": faults.instances_want_rest,
-        "instances name limits": faults.instances_name_limits,
+        "instance says it leaves": faults.instance_announces_leaving,
+        "instances want rest": faults.instances_request_backoff,
+        "instances name limits": faults.instances_announce_limits,
         "instance fails": faults.instance_fails,
         "orders late": faults.orders_late,
         "instance restarts": faults.instance_restarts,
@@ -73,7 +75,7 @@
 
 
 class _InstanceFaults:
-    """Carries them out."""
+    """Injects the faults of instances."""
 
     def __init__(
         self, deployment: Deployment, operator: Operator, generator: random.Random
@@ -83,7 +85,7 @@
         self._generator = generator
 
     def _instance(self) -> InstanceLinks:
-        """Return an instance."""
+        """Return a random instance."""
         return self._generator.choice(self._deployment.instances)
 
     async def instance_link(self) -> None:
@@ -99,11 +101,11 @@
         disturbance.until = trio.current_time()
 
     async def instance_connections_silent(self) -> None:
-        """Silence what is open between all nodes and an instance; new connections work."""
+        """Block the open connections between all nodes and an instance; new connections work."""
         links = self._instance()
         instance_id = links.instance.traits.instance_id
         disturbance = self._deployment.disturb("connections silent", instance_id)
-        links.proxy.silence_established(back_only=self._generator.random() < 0.5)
+        links.proxy.block_established(back_only=self._generator.random() < 0.5)
         await trio.lowlevel.checkpoint()
         disturbance.until = trio.current_time()
 
@@ -114,16 +116,16 @@
             return
         disturbance = self._deployment.disturb("crashed", traits.instance_id)
         version = links.instance.version
-        self._deployment.end_instance(links, unlisted=False)
+        self._deployment.terminate_instance(links, unlisted=False)
         await trio.sleep(self._generator.uniform(0.2, 3.0))
         self._deployment.store.remove(f"servers/{traits.instance_id}")
         await self._deployment.add_instance(traits.service, traits.zone, version)
         disturbance.until = trio.current_time()
 
     async def instance_restarts(self) -> None:
-        """End an instance, and start it again under its id before or after its entry lapses.
+        """Terminate an instance and start it again under its id.
 
-        It comes back with the weights that it had, or with those of its image.
+        Its entry may expire before that. It starts with its last weights or those of its image.
         """
         links = self._instance()
         traits = links.instance.traits
@@ -133,7 +135,7 @@
         version = links.instance.version
         if self._generator.random() < IMAGE_SHARE:
             version = IMAGE_VERSION
-        self._deployment.end_instance(links, unlisted=False)
+        self._deployment.terminate_instance(links, unlisted=False)
         await trio.sleep(self._generator.uniform(0.1, 4.0))
         if self._generator.random() < 0.3:
             self._deployment.store.remove(f"servers/{traits.instance_id}")
@@ -144,7 +146,7 @@
         disturbance.until = trio.current_time()
 
     async def address_passed_on(self) -> None:
-        """End an instance, start another one at its address, and it again elsewhere."""
+        """Terminate an instance, give its address to another, and restart it at a new address."""
         links = self._instance()
         traits = links.instance.traits
         if links.instance.draining or self._count(traits.service) <= MIN_INSTANCES:
@@ -152,7 +154,7 @@
         disturbance = self._deployment.disturb("address passed on", traits.instance_id)
         port = int(self._deployment.recorder.addresses[traits.instance_id].rpartition(":")[2])
         version = links.instance.version
-        self._deployment.end_instance(links, unlisted=False)
+        self._deployment.terminate_instance(links, unlisted=False)
         await trio.sleep(REUSE_SECONDS)
         other = PLAIN if traits.service == ENGINES else ENGINES
         await self._deployment.add_instance(other, traits.zone, self._operator.weights, port=port)
@@ -163,7 +165,7 @@
         disturbance.until = trio.current_time()
 
     async def foreign_entries(self) -> None:
-        """Write entries of another writer for a while, one of them over an instance's own."""
+        """Write invalid entries for a while; one may overwrite an instance's own entry."""
         generator, store = self._generator, self._deployment.store
         keys = []
         for _ in range(generator.randint(1, 4)):
@@ -182,7 +184,7 @@
         for key in keys:
             store.remove(key)
         if over:
-            self._deployment.recorder.changed(links.instance)
+            self._deployment.recorder.entry_changed(links.instance)
 
     async def instance_leaves(self) -> None:
         links = self._instance()
@@ -193,15 +195,15 @@
             instance.traits.service, self._generator.choice(ZONES), self._operator.weights
         )
         instance.draining = True
-        self._deployment.recorder.changed(instance)
-        leaving = Leaving(instance.traits.life, trio.current_time())
-        self._deployment.history.leavings.append(leaving)
+        self._deployment.recorder.entry_changed(instance)
+        started = DrainStart(instance.traits.incarnation, trio.current_time())
+        self._deployment.history.drain_starts.append(started)
         await trio.sleep(DRAIN_SECONDS + draw_seconds(self._generator))
         if links in self._deployment.instances:
-            self._deployment.end_instance(links, unlisted=True)
+            self._deployment.terminate_instance(links, unlisted=True)
 
-    async def instance_says_leaving(self) -> None:
-        """Let an instance say in its answers that it leaves, its entry later or never, and end."""
+    async def instance_announces_leaving(self) -> None:
+        """Let an instance announce its shutdown in responses, and later or never in its entry."""
         links = self._instance()
         instance = links.instance
         if self._count(instance.traits.service) <= MIN_INSTANCES or instance.draining:
@@ -209,19 +211,19 @@
         await self._deployment.add_instance(
             instance.traits.service, self._generator.choice(ZONES), self._operator.weights
         )
-        instance.words.leaving = True
+        instance.notices.leaving = True
         await trio.sleep(DRAIN_SECONDS + draw_seconds(self._generator))
         if links not in self._deployment.instances:
             return
-        if self._generator.random() >= WORD_ALONE_SHARE:
+        if self._generator.random() >= NOTICE_ONLY_SHARE:
             instance.draining = True
-            self._deployment.recorder.changed(instance)
+            self._deployment.recorder.entry_changed(instance)
             await trio.sleep(DRAIN_SECONDS)
         if links in self._deployment.instances:
-            self._deployment.end_instance(links, unlisted=True)
+            self._deployment.terminate_instance(links, unlisted=True)
 
-    async def instances_want_rest(self) -> None:
-        """Let one instance, or all of its service, refuse for a moment and ask for rest."""
+    async def instances_request_backoff(self) -> None:
+        """Let one instance, or all of its service, refuse requests and ask for backoff."""
         chosen = [self._instance()]
         service = chosen[0].instance.traits.service
         if self._generator.random() < 0.5:
@@ -231,37 +233,37 @@
                 if links.instance.traits.service == service
             ]
         for links in chosen:
-            links.instance.words.rest_seconds = self._generator.uniform(*REST_SECONDS)
+            links.instance.notices.backoff_seconds = self._generator.uniform(*BACKOFF_SECONDS)
         await trio.sleep(self._generator.uniform(*SHED_SECONDS))
         for links in chosen:
-            links.instance.words.rest_seconds = 0.0
+            links.instance.notices.backoff_seconds = 0.0
 
-    async def instances_name_limits(self) -> None:
-        """Let one instance, half or all of a service name limits, change them, and lift them."""
+    async def instances_announce_limits(self) -> None:
+        """Let one instance, half or all of a service announce limits, change and lift them."""
         service = self._instance().instance.traits.service
         chosen = [x for x in self._deployment.instances if x.instance.traits.service == service]
         share = self._generator.choice((0.0, 0.5, 1.0))
         chosen = self._generator.sample(chosen, max(1, round(share * len(chosen))))
         for _change in range(self._generator.choice((1, 1, 2, 3))):
             for links in chosen:
-                self._name_limit(links, self._generator.choice(LIMITS))
+                self._announce_limit(links, self._generator.choice(LIMITS))
             await trio.sleep(self._generator.uniform(*LIMIT_SECONDS))
         for links in chosen:
-            self._name_limit(links, None)
+            self._announce_limit(links, None)
 
-    def _name_limit(self, links: InstanceLinks, per_second: float | None) -> None:
-        """Let an instance's answers name another limit; one that has ended names nothing."""
+    def _announce_limit(self, links: InstanceLinks, per_second: float | None) -> None:
+        """Change the limit in an instance's responses; does nothing if it has terminated."""
         if links in self._deployment.instances:
-            links.instance.words.limit = per_second
-            life = links.instance.traits.life
-            change = LimitChange(life, trio.current_time(), per_second)
+            links.instance.notices.limit = per_second
+            incarnation = links.instance.traits.incarnation
+            change = LimitChange(incarnation, trio.current_time(), per_second)
             self._deployment.history.limits.append(change)
 
     def _count(self, service: str) -> int:
-        """Return how many instances of a service take requests."""
+        """Return the number of instances of a service that accept requests."""
         return sum(
             links.instance.traits.service == service
-            and not (links.instance.draining or links.instance.words.leaving)
+            and not (links.instance.draining or links.instance.notices.leaving)
             for links in self._deployment.instances
         )
 
--- a/emulator/soak/limit_checks.py
+++ b/emulator/soak/limit_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what nodes do after instances have named limits in their answers."""
+"""Checks that nodes keep and use the rate limits that instances announce in their responses."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 import msgspec
 
-from emulator.soak.history import Arrival, History, InstanceTime, LimitChange, SentRequest
+from emulator.soak.history import Arrival, History, IncarnationPeriod, LimitChange, SentRequest
 from emulator.soak.promises import Bounds, Check
 
 REFUSED = 503
 
 
-class LimitSpell(msgspec.Struct, frozen=True):
-    """The time in which a life of an instance names limits.
+class LimitPeriod(msgspec.Struct, frozen=True):
+    """A period in which an incarnation of an instance announces limits without interruption.
 
     Attributes:
-        life: The instance and its start.
-        changes: The limits that it names, the first one at the begin.
-        until: When it names none any more, or has ended.
+        incarnation: Instance id and start of the incarnation.
+        changes: The limits that it announces, the first one at the start of the period.
+        until: When it lifts the limit or ends.
     """
 
-    life: str
+    incarnation: str
     changes: tuple[LimitChange, ...]
     until: float
 
     @property
     def since(self) -> float:
-        """When it first named a limit."""
+        """Start of the period."""
         return self.changes[0].at
 
-    def takes(self, since: float, until: float) -> float:
-        """Return the requests that the limits take within a time."""
+    def capacity(self, since: float, until: float) -> float:
+        """Return the number of requests that the limits allow between two times."""
         total = 0.0
         ends = [*(change.at for change in self.changes[1:]), self.until]
         for change, end in zip(self.changes, ends, strict=True):
@@ -44,40 +44,42 @@
 def limits_are_kept(history: History, bounds: Bounds) -> Iterable[str]:
     """Yield windows in which an instance got more than its limit allows.
 
-    Counted are reports and orders, and requests of nodes that had passed an answer with the limit
-    on half a second before; a node that was interrupted since is excused, the others aren't.
+    Requests for reports and orders count, and requests of nodes that passed on a response with the
+    limit half a second or more before. Requests of a node that was interrupted since don't count.
     """
-    arrivals = _by_life(history)
-    for spell in limit_spells(history):
-        counted = _counted(history, spell, arrivals[spell.life], bounds)
+    arrivals = _arrivals_by_incarnation(history)
+    for period in limit_periods(history):
+        counted = _counted(history, period, arrivals[period.incarnation], bounds)
         for last, at in enumerate(counted):
             within = sum(at - bounds.limit_window < other <= at for other in counted[: last + 1])
-            allowed = bounds.limit_factor * spell.takes(at - bounds.limit_window, at)
+            allowed = bounds.limit_factor * period.capacity(at - bounds.limit_window, at)
             allowed += bounds.limit_extra
-            if at >= spell.since + bounds.contact and within > allowed:
-                yield f"{spell.life} got {within} requests by {at:.2f}, {allowed:.1f} allowed"
+            if at >= period.since + bounds.settling and within > allowed:
+                yield (
+                    f"{period.incarnation} got {within} requests by {at:.2f}, {allowed:.1f} allowed"
+                )
                 break
 
 
 def limits_are_used(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield times without any fault in which callers were refused and a limit wasn't used."""
-    arrivals = _by_life(history)
-    services = {life.life: life.service for life in history.instances}
-    for spell in limit_spells(history):
-        since, until = spell.since + bounds.contact, spell.until
-        if until - since < bounds.limit_window or _any_fault(history, spell.since, until):
+    """Yield periods without faults in which callers were refused and a limit wasn't used up."""
+    arrivals = _arrivals_by_incarnation(history)
+    services = {lifetime.incarnation: lifetime.service for lifetime in history.instances}
+    for period in limit_periods(history):
+        since, until = period.since + bounds.settling, period.until
+        if until - since < bounds.limit_window or _any_fault(history, period.since, until):
             continue
-        takes = spell.takes(since, until)
-        refused = _refused(history, services.get(spell.life, ""), since, until)
-        sent = sum(since <= arrival.at <= until for arrival in arrivals[spell.life])
-        if refused > takes and sent < bounds.limit_used * takes - bounds.limit_missed:
-            yield f"{spell.life} got {sent} of {takes:.1f}, and {refused} were refused"
+        capacity = period.capacity(since, until)
+        refused = _refused(history, services.get(period.incarnation, ""), since, until)
+        sent = sum(since <= arrival.at <= until for arrival in arrivals[period.incarnation])
+        if refused > capacity and sent < bounds.limit_used * capacity - bounds.limit_missed:
+            yield f"{period.incarnation} got {sent} of {capacity:.1f}, and {refused} were refused"
 
 
-def refused_only_without_room(history: History, bounds: Bounds) -> Iterable[str]:
-    """Yield requests that were refused at once although an instance of their service was free.
+def refused_only_without_free_capacity(history: History, bounds: Bounds) -> Iterable[str]:
+    """Yield requests that reached no instance although one of their service had free capacity.
 
-    Only plain services: an engine may load weights.
+    Only plain services are checked: an engine may be loading weights.
     """
     reached = {arrival.request_id for arrival in history.arrivals}
     for request in history.requests.values():
@@ -85,69 +87,73 @@
         refused = request.status == REFUSED and not request.fatal and not request.path
         if not refused or ended_at is None or request.request_id in reached:
             continue
-        since = request.sent_at - bounds.contact
-        if not history.bounded(request.node, since, ended_at):
+        since = request.sent_at - bounds.settling
+        if not history.time_bounds_apply(request.node, since, ended_at):
             continue
         free = _free_instances(history, request, since, ended_at)
         if free:
             yield f"{request.request_id} was refused while {free[0]} was free"
 
 
-def limit_spells(history: History) -> list[LimitSpell]:
-    """Return the times in which lives of instances name limits."""
-    ends = {life.life: life.until for life in history.instances}
+def limit_periods(history: History) -> list[LimitPeriod]:
+    """Return the periods in which incarnations of instances announce limits."""
+    ends = {lifetime.incarnation: lifetime.until for lifetime in history.instances}
     changes: dict[str, list[LimitChange]] = defaultdict(list)
-    spells = []
+    periods = []
     for change in history.limits:
         if change.per_second is not None:
-            changes[change.life].append(change)
-        elif change.life in changes:
-            spells.append(LimitSpell(change.life, tuple(changes.pop(change.life)), change.at))
-    for life, named in changes.items():
-        spells.append(LimitSpell(life, tuple(named), ends.get(life, float("inf"))))
-    return spells
+            changes[change.incarnation].append(change)
+        elif change.incarnation in changes:
+            periods.append(
+                LimitPeriod(change.incarnation, tuple(changes.pop(change.incarnation)), change.at)
+            )
+    for incarnation, named in changes.items():
+        periods.append(LimitPeriod(incarnation, tuple(named), ends.get(incarnation, float("inf"))))
+    return periods
 
 
 def _counted(
-    history: History, spell: LimitSpell, arrivals: Sequence[Arrival], bounds: Bounds
+    history: History, period: LimitPeriod, arrivals: Sequence[Arrival], bounds: Bounds
 ) -> list[float]:
-    """Return when requests came that count, in order."""
-    told = _told(history, spell)
+    """Return the arrival times of the requests that count towards a limit, in order."""
+    announced = _announced_at(history, period)
     times = []
     for arrival in arrivals:
-        if not spell.since <= arrival.at <= spell.until:
+        if not period.since <= arrival.at <= period.until:
             continue
         request = history.requests.get(arrival.request_id)
         if request is None:
             times.append(arrival.at)
             continue
-        since = told.get(request.node, float("inf"))
-        bound = arrival.at >= since + bounds.on_the_way
+        since = announced.get(request.node, float("inf"))
+        bound = arrival.at >= since + bounds.in_flight
         if bound and not history.interrupted(request.node, since, arrival.at):
             times.append(arrival.at)
     return times
 
 
-def _told(history: History, spell: LimitSpell) -> dict[str, float]:
-    """Return when each node first passed an answer on that names the limit."""
-    told: dict[str, float] = {}
-    for word in history.words:
-        request = history.requests.get(word.request_id)
-        named = word.life == spell.life and word.limit is not None
+def _announced_at(history: History, period: LimitPeriod) -> dict[str, float]:
+    """Return when each node first passed on a response with a limit of the period."""
+    announced: dict[str, float] = {}
+    for notice in history.notices:
+        request = history.requests.get(notice.request_id)
+        named = notice.incarnation == period.incarnation and notice.limit is not None
         if not named or request is None or request.head_at is None:
             continue
-        if spell.since <= word.at <= spell.until:
-            told[request.node] = min(told.get(request.node, float("inf")), request.head_at)
-    return told
+        if period.since <= notice.at <= period.until:
+            announced[request.node] = min(
+                announced.get(request.node, float("inf")), request.head_at
+            )
+    return announced
 
 
 def _any_fault(history: History, since: float, until: float) -> bool:
-    """Return whether anything was disturbed within a time."""
+    """Return whether there was any fault between two times."""
     return any(fault.since <= until and fault.until >= since for fault in history.disturbances)
 
 
 def _refused(history: History, service: str, since: float, until: float) -> int:
-    """Return how many requests for a service were refused within a time."""
+    """Return how many requests for a service were refused between two times."""
     return sum(
         request.service == service
         and request.status == REFUSED
@@ -160,40 +166,45 @@
 def _free_instances(
     history: History, request: SentRequest, since: float, until: float
 ) -> list[str]:
-    """Return the plain instances of a request's service that were there and said nothing."""
+    """Return the undisturbed plain instances of a request's service that sent no notice."""
     return [
-        life.life
-        for life in history.instances
-        if life.service == request.service
-        and life.is_plain
-        and life.since <= since
-        and life.until >= until
-        and not _disturbed_or_said(history, life, since, until)
+        lifetime.incarnation
+        for lifetime in history.instances
+        if lifetime.service == request.service
+        and lifetime.is_plain
+        and lifetime.since <= since
+        and lifetime.until >= until
+        and not _disturbed_or_announced(history, lifetime, since, until)
     ]
 
 
-def _disturbed_or_said(
-    history: History, instance: InstanceTime, since: float, until: float
+def _disturbed_or_announced(
+    history: History, instance: IncarnationPeriod, since: float, until: float
 ) -> bool:
-    """Return whether an instance failed, left, rested or was limited at any time before an end."""
-    life, instance_id = instance.life, instance.life.partition("@")[0]
+    """Return whether an instance had a fault in a period, or announced anything by its end."""
+    incarnation, instance_id = instance.incarnation, instance.incarnation.partition("@")[0]
     return (
         history.disturbed(instance_id, since, until)
-        or any(word.life == life and word.at <= until for word in history.words)
-        or any(leaving.life == life and leaving.at <= until for leaving in history.leavings)
+        or any(
+            notice.incarnation == incarnation and notice.at <= until for notice in history.notices
+        )
+        or any(
+            leaving.incarnation == incarnation and leaving.at <= until
+            for leaving in history.drain_starts
+        )
     )
 
 
-def _by_life(history: History) -> dict[str, list[Arrival]]:
-    """Return what reached each life of an instance, in order."""
+def _arrivals_by_incarnation(history: History) -> dict[str, list[Arrival]]:
+    """Return the requests that reached each incarnation of an instance, in order."""
     arrivals: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in history.arrivals:
-        arrivals[arrival.life].append(arrival)
+        arrivals[arrival.incarnation].append(arrival)
     return arrivals
 
 
 LIMIT_CHECKS: dict[str, Check] = {
     "limit": limits_are_kept,
     "limit used": limits_are_used,
-    "refused with room": refused_only_without_room,
+    "refused with room": refused_only_without_free_capacity,
 }
--- a/emulator/soak/recorder.py
+++ b/emulator/soak/recorder.py
@@ -1,4 +1,4 @@
-"""What instances tell during a soak, and writes to the store that its faults don't touch."""
+"""Recorder of the instances' events, and writes to the store that bypass its faults."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 import trio
 
-from emulator.exchange_platform.http_instance import HttpInstance, InstanceWords, RunHeaders
+from emulator.exchange_platform.http_instance import HttpInstance, ResponseNotices, RunHeaders
 from emulator.platform.shared_store import SharedStore
 from emulator.platform.store_model import ABSENT_REVISION
-from emulator.soak.history import Arrival, History, Run, SaidWord, TakenOrder
+from emulator.soak.history import Arrival, History, Run, SentNotice, TakenOrder
 from hopstep.adapters import key_value_store_wire as wire
 
-OTHERS = ("op/", "servers/")
-"""Keys of operators and instances."""
+DIRECT_KEY_PREFIXES = ("op/", "servers/")
+"""Prefixes of the keys that operators and instances write."""
 
 
 class DirectStore:
-    """Writes of the operator and of instances, which the store's faults don't touch.
+    """Writes of the operator and of instances, which bypass the store's faults.
 
-    They remember what they have written: a store that is restored from a copy may lack it.
+    Written documents are remembered, as a store that is restored from a backup may lack them.
     """
 
     def __init__(self, shared: SharedStore) -> None:
-        """Use a store.
+        """Use a store, without any documents written.
 
         Args:
             shared: The store.
@@ -33,21 +33,21 @@
         self._documents: dict[str, bytes] = {}
 
     def put(self, key: str, document: object) -> None:
-        """Write a document."""
+        """Write a document as JSON."""
         self.put_bytes(key, json.dumps(document).encode())
 
     def put_bytes(self, key: str, value: bytes) -> None:
-        """Write any bytes."""
+        """Write bytes under a key."""
         self._documents[key] = value
         self._write(key, value)
 
-    def write_again(self, key: str) -> None:
-        """Write a document that the store may lack, unless it is gone by now."""
-        if key in self.lacking():
+    def rewrite_missing(self, key: str) -> None:
+        """Write a document again if the store lacks it and it hasn't been removed."""
+        if key in self.missing_from_store():
             self._write(key, self._documents[key])
 
-    def lacking(self) -> list[str]:
-        """Return the documents that the store lacks, or has another version of."""
+    def missing_from_store(self) -> list[str]:
+        """Return the keys of documents that the store lacks or has with another value."""
         stored = self._shared.model.snapshot()
         return [
             key
@@ -55,19 +55,23 @@
             if key not in stored or stored[key].value != value
         ]
 
-    def outlived(self) -> list[str]:
-        """Return the keys of operators and instances that the store has although they are gone."""
+    def stale_in_store(self) -> list[str]:
+        """Return the keys of operators and instances that the store has although removed."""
         stored = self._shared.model.snapshot()
-        return [key for key in stored if key.startswith(OTHERS) and key not in self._documents]
+        return [
+            key
+            for key in stored
+            if key.startswith(DIRECT_KEY_PREFIXES) and key not in self._documents
+        ]
 
     def _write(self, key: str, value: bytes) -> None:
-        """Write bytes, whatever the key holds."""
+        """Write bytes, overwriting any value."""
         stored = self._shared.model.apply(wire.Get(key), trio.current_time())
         version = stored.version if isinstance(stored, wire.Item) else ABSENT_REVISION
         self._shared.write_directly(wire.CompareAndSwap(key, version, value))
 
     def remove(self, key: str) -> None:
-        """Remove a key that may exist."""
+        """Remove a key if it exists."""
         self._documents.pop(key, None)
         stored = self._shared.model.apply(wire.Get(key), trio.current_time())
         if isinstance(stored, wire.Item):
@@ -75,47 +79,51 @@
 
 
 class Recorder:
-    """Writes what instances do into the history."""
+    """Records events of instances in the history."""
 
     def __init__(self, history: History, store: DirectStore) -> None:
-        """Record.
+        """Prepare without any instances.
 
         Args:
-            history: Where to.
-            store: Where instances list themselves.
+            history: Receives the events.
+            store: Store in which instances list themselves.
         """
         self._history = history
         self._store = store
         self.addresses: dict[str, str] = {}
-        self.lives: dict[str, HttpInstance] = {}
+        self.current_instances: dict[str, HttpInstance] = {}
         self.on_fatal: Callable[[HttpInstance, str], None] = lambda _instance, _request: None
 
-    def arrived(self, instance: HttpInstance, request_id: str) -> None:
-        """Record an arrival."""
+    def request_arrived(self, instance: HttpInstance, request_id: str) -> None:
+        """Record the arrival of a request."""
         traits = instance.traits
-        arrival = Arrival(request_id, traits.service, trio.current_time(), traits.life)
+        arrival = Arrival(request_id, traits.service, trio.current_time(), traits.incarnation)
         self._history.arrivals.append(arrival)
 
-    def asked(self, instance: HttpInstance) -> None:
-        """Record a report or an order."""
+    def control_request_arrived(self, instance: HttpInstance) -> None:
+        """Record the arrival of a request for a report or of an order."""
         traits = instance.traits
-        arrival = Arrival("", traits.service, trio.current_time(), traits.life)
+        arrival = Arrival("", traits.service, trio.current_time(), traits.incarnation)
         self._history.arrivals.append(arrival)
 
-    def said(self, instance: HttpInstance, request_id: str, words: InstanceWords) -> None:
-        """Record what an instance said of itself in an answer."""
-        life = instance.traits.life
+    def notices_sent(
+        self, instance: HttpInstance, request_id: str, notices: ResponseNotices
+    ) -> None:
+        """Record the notices that an instance sent in a response."""
+        incarnation = instance.traits.incarnation
         now = trio.current_time()
-        word = SaidWord(request_id, life, now, words.leaving, words.rest_seconds, words.limit)
-        self._history.words.append(word)
+        notice = SentNotice(
+            request_id, incarnation, now, notices.leaving, notices.backoff_seconds, notices.limit
+        )
+        self._history.notices.append(notice)
 
-    def began(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
-        """Record a run."""
+    def run_started(self, instance: HttpInstance, headers: RunHeaders, stamp: str) -> None:
+        """Record the start of a run."""
         self._history.runs.append(
             Run(
                 request_id=headers.request_id,
                 instance_id=instance.traits.instance_id,
-                life=instance.traits.life,
+                incarnation=instance.traits.incarnation,
                 service=instance.traits.service,
                 at=trio.current_time(),
                 tenant=headers.tenant,
@@ -126,24 +134,24 @@
             )
         )
 
-    def ended(self, instance: HttpInstance, stamp: str) -> None:
+    def run_ended(self, instance: HttpInstance, stamp: str) -> None:
         """Record the end of a run."""
         run = next((x for x in reversed(self._history.runs) if x.stamp == stamp), None)
         if run is not None:
             run.ended_at = trio.current_time()
 
-    def ordered(self, instance: HttpInstance, holder: str, token: int) -> None:
-        """Record an order."""
+    def order_executed(self, instance: HttpInstance, holder: str, token: int) -> None:
+        """Record an executed order."""
         order = TakenOrder(instance.traits.instance_id, holder, token, trio.current_time())
         self._history.orders.append(order)
 
-    def changed(self, instance: HttpInstance) -> None:
-        """Write an instance's entry, if it is the one that lives under its id."""
+    def entry_changed(self, instance: HttpInstance) -> None:
+        """Write an instance's entry, if it is the current incarnation under its id."""
         instance_id = instance.traits.instance_id
         address = self.addresses.get(instance_id)
-        if address is not None and self.lives.get(instance_id) is instance:
+        if address is not None and self.current_instances.get(instance_id) is instance:
             self._store.put(f"servers/{instance_id}", instance.entry(address))
 
-    def met_fatal(self, instance: HttpInstance, request: str) -> None:
-        """Have an instance end under a request."""
+    def fatal_request_started(self, instance: HttpInstance, request: str) -> None:
+        """Report that an instance has begun a fatal request."""
         self.on_fatal(instance, request)
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: parts started, callers and faults side by side, everything healed, promises checked."""
+"""Runs one soak: starts the parts, sends requests under faults, and checks after recovery."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 import trio
 
 from emulator.fleet.processes import ProcessGroup
-from emulator.soak.beside_fatal import BesideFatal, compare_beside_fatal
 from emulator.soak.callers import Callers
 from emulator.soak.checks import check_all, check_recovery
 from emulator.soak.deployment import Deployment
+from emulator.soak.fatal_impact import FatalImpact, measure_fatal_impact
 from emulator.soak.faults import Faults
 from emulator.soak.history import History
-from emulator.soak.loyal_callers import LoyalCallers
+from emulator.soak.hostile_callers import HostileCallers
 from emulator.soak.machine import (
     MachineLoad,
     MachineStalls,
@@ -24,31 +24,34 @@
     read_processor_times,
 )
 from emulator.soak.operators import Operator
+from emulator.soak.persistent_callers import PersistentCallers
 from emulator.soak.probes import Probes
 from emulator.soak.profiles import RESTORE, profile_of
 from emulator.soak.promises import Bounds, Violation
-from emulator.soak.stubborn_callers import StubbornCallers
 
 START_SECONDS = 30.0
 RECOVERY_SECONDS = 12.0
 QUIET_SECONDS = 22.0
-"""After the faults, the time for recovery included."""
+"""Time after the faults; includes the time for recovery."""
 
-LOYAL_CALLERS_PER_NODE = 2
+PERSISTENT_CALLERS_PER_NODE = 2
 WATCH_SECONDS = 0.2
+"""Time between two checks for exited processes."""
+
 SETTLED_SECONDS = 5.0
+"""Time with requests before the first fault."""
 
 
 class SoakPlan(msgspec.Struct, frozen=True):
-    """What a soak does.
+    """Parameters of a soak.
 
     Attributes:
-        seed: Draws everything.
+        seed: Seed of all random generators.
         seconds: Time with faults.
-        nodes: Processes.
-        rate: Requests a second.
-        directory: Settings and logs of the nodes.
-        quiet_seconds: After the faults, the time for recovery included.
+        nodes: Number of nodes, each a process.
+        rate: Requests per second.
+        directory: Directory for settings and logs of the nodes.
+        quiet_seconds: Time after the faults; includes the time for recovery.
         profile: Name of the profile of faults; the seed's if empty.
         other_build: Root of a checkout of another version on which all nodes start; None for none.
     """
@@ -64,18 +67,18 @@
 
 
 class SoakResult(msgspec.Struct):
-    """What came of a soak.
+    """Result of a soak.
 
     Attributes:
         violations: Broken promises.
-        requests: Requests sent.
-        statuses: How they ended, by status.
-        faults: Faults by kind.
+        requests: Number of requests sent.
+        statuses: Number of requests by status; ``left`` for those whose caller disconnected.
+        faults: Number of faults by kind.
         profile: Name of the profile of faults.
-        route_changes: Changes of configurations that probes asked for.
-        beside: How honest requests fared, with fatal ones under way and without.
-        stalls: How long the machine itself stood still.
-        load: What else the machine did.
+        route_changes: Number of routes added or removed.
+        impact: Outcomes of ordinary requests during fatal ones and otherwise.
+        stalls: Stalls of the machine.
+        load: Load of the machine.
     """
 
     violations: list[Violation]
@@ -84,7 +87,7 @@
     faults: dict[str, int]
     profile: str
     route_changes: int
-    beside: BesideFatal
+    impact: FatalImpact
     stalls: MachineStalls
     load: MachineLoad
 
@@ -93,7 +96,7 @@
     """Run a soak in real time.
 
     Args:
-        plan: What to do.
+        plan: Parameters of the soak.
     """
     processor_times = read_processor_times()
     generator = random.Random(plan.seed)
@@ -102,14 +105,14 @@
     operator = Operator(deployment, random.Random(plan.seed + 2))
     callers = Callers(deployment, random.Random(plan.seed + 3), plan.rate)
     probes = Probes(deployment, random.Random(plan.seed + 4))
-    loyal = LoyalCallers(
+    persistent = PersistentCallers(
         deployment,
         random.Random(plan.seed + 5),
         callers.readiness,
-        LOYAL_CALLERS_PER_NODE * plan.nodes,
+        PERSISTENT_CALLERS_PER_NODE * plan.nodes,
     )
-    stubborn = StubbornCallers(deployment, callers, random.Random(plan.seed + 6))
-    faults = Faults(deployment, operator, stubborn, generator, profile)
+    hostile = HostileCallers(deployment, callers, random.Random(plan.seed + 6))
+    faults = Faults(deployment, operator, hostile, generator, profile)
     machine = MachineWatch(deployment.history)
     with ProcessGroup(plan.directory) as processes:
         async with trio.open_nursery() as nursery:
@@ -117,30 +120,30 @@
             await deployment.start(nursery, processes, plan.nodes)
             for node in deployment.nodes:
                 await processes.wait_listening(node.name, node.readiness)
-            nursery.start_soon(_watch_ends, deployment)
+            nursery.start_soon(_watch_exits, deployment)
             nursery.start_soon(machine.run)
             if RESTORE in profile.kinds:
-                nursery.start_soon(deployment.restores.keep_copies)
+                nursery.start_soon(deployment.restores.take_backups)
             nursery.start_soon(callers.run)
-            nursery.start_soon(loyal.run)
+            nursery.start_soon(persistent.run)
             nursery.start_soon(operator.change_routes, profile.change_seconds)
             nursery.start_soon(probes.run)
             await trio.sleep(SETTLED_SECONDS)
             await faults.run(plan.seconds)
-            healed_at = trio.current_time()
-            operator.name_weights()
+            repaired_at = trio.current_time()
+            operator.set_weights_version()
             await trio.sleep(plan.quiet_seconds)
             ended_at = trio.current_time()
-            deployment.note_listed()
+            deployment.record_listed()
             nursery.cancel_scope.cancel()
     violations = check_all(deployment.history, Bounds())
-    violations += check_recovery(deployment.history, healed_at + RECOVERY_SECONDS, ended_at)
+    violations += check_recovery(deployment.history, repaired_at + RECOVERY_SECONDS, ended_at)
     load = machine_load(processor_times)
     return _result(deployment.history, violations, faults, profile.name, machine.stalls, load)
 
 
-async def _watch_ends(deployment: Deployment) -> None:
-    """Record processes that end by themselves."""
+async def _watch_exits(deployment: Deployment) -> None:
+    """Record nodes whose process exits by itself."""
     seen: set[str] = set()
     while True:
         await trio.sleep(WATCH_SECONDS)
@@ -149,7 +152,7 @@
             if ended and node.name not in seen:
                 seen.add(node.name)
                 code = deployment.node_exit_code(node)
-                deployment.history.unexpected_ends.append(f"{node.name}, code {code}")
+                deployment.history.unexpected_exits.append(f"{node.name}, code {code}")
 
 
 def _result(
@@ -160,7 +163,7 @@
     stalls: MachineStalls,
     load: MachineLoad,
 ) -> SoakResult:
-    """Return what a history and the faults come to."""
+    """Return the result of a soak from its history and faults."""
     statuses: dict[str, int] = {}
     for request in history.requests.values():
         name = "left" if request.left else str(request.status)
@@ -172,7 +175,7 @@
         dict(sorted(faults.counts.items())),
         profile,
         len(history.route_changes),
-        compare_beside_fatal(history),
+        measure_fatal_impact(history),
         stalls,
         load,
     )
--- a/hopstep/cli/ctl.py
+++ b/hopstep/cli/ctl.py
@@ -61,11 +61,11 @@
 
 _STORE = flags.DEFINE_string("store", "", "ip:port of the key-value service.")
 _FORMAT = flags.DEFINE_enum("format", "text", ["text", "json"], "Output format.")
-_NOTE = flags.DEFINE_string("note", "", "Why the change is made (apply, drain).")
-_AUTHOR = flags.DEFINE_string("author", "", "Who makes the change; default: the user's name.")
+_NOTE = flags.DEFINE_string("note", "", "Reason of the change (apply, drain).")
+_AUTHOR = flags.DEFINE_string("author", "", "Author of the change; default: the user's name.")
 _CHANGE_ID = flags.DEFINE_string("change_id", "", "Identity of a change to submit again.")
 _BASE_REVISION = flags.DEFINE_integer(
-    "base_revision", None, "Revision that the change was made from; default: the latest."
+    "base_revision", None, "Revision on which the change is based; default: the latest."
 )
 _TIMEOUT_SECONDS = flags.DEFINE_float("timeout_seconds", 30.0, "Longest wait for an outcome.")
 _REVISION = flags.DEFINE_integer("revision", None, "Revision to show; default: the latest.")
@@ -73,12 +73,12 @@
 _TRUSTED = flags.DEFINE_string(
     "trusted", "", "PEM file of authorities; routers are then asked over TLS (status)."
 )
-_UNDO = flags.DEFINE_bool("undo", False, "Take the leaving mark away (drain).")
+_UNDO = flags.DEFINE_bool("undo", False, "Remove the leaving mark (drain).")
 _TENANT = flags.DEFINE_string("tenant", "", "Tenant (explain).")
 _CLASS = flags.DEFINE_string("class", "", "Request class; default: the tenant's (explain).")
 _MODEL = flags.DEFINE_string("model", "", "Model (explain).")
 _LOGS = flags.DEFINE_list("logs", [], "Log files of nodes (trace).")
-_FILE = flags.DEFINE_string("file", "", "Explain this file in place of the store's document.")
+_FILE = flags.DEFINE_string("file", "", "File to explain instead of the store's document.")
 
 
 def run(arguments: Sequence[str]) -> int:
@@ -87,7 +87,7 @@
     Args:
         arguments: Command line after flags were taken out, the program's name first.
     """
-    # The client library reports each request at its lowest level but one.
+    # The client library logs each request at level INFO.
     logging.getLogger("httpx").setLevel(logging.WARNING)
     try:
         result = trio.run(_run_verb, arguments)
@@ -164,12 +164,12 @@
 
 
 def _router_scheme() -> str:
-    """Return the scheme by which routers are asked."""
+    """Return the URL scheme of requests to routers."""
     return "https" if _TRUSTED.value else "http"
 
 
 def _verification() -> ssl.SSLContext | bool:
-    """Return how routers' certificates are checked."""
+    """Return the verification of routers' certificates, for the HTTP client."""
     if not _TRUSTED.value:
         return True
     try:
@@ -179,7 +179,7 @@
 
 
 def _attributes() -> ChangeAttributes:
-    """Return who changes what and why."""
+    """Return the attributes of a change from the flags."""
     return ChangeAttributes(
         _CHANGE_ID.value or uuid.uuid4().hex,
         _AUTHOR.value or _user_name(),
@@ -190,7 +190,7 @@
 
 
 def _user_name() -> str:
-    """Return the user's name, or the user's number where there is none."""
+    """Return the user's name, or ``uid-`` and the user id if there is none."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -198,7 +198,7 @@
 
 
 def _bad_usage(message: str) -> ValidationError:
-    """Return the error for a bad command line."""
+    """Return the error for an invalid command line."""
     return ValidationError(ErrorCode.INVALID_CONFIGURATION, message)
 
 
@@ -210,7 +210,7 @@
 
 
 def _print(result: VerbResult) -> None:
-    """Print a result: results to standard output, errors in text form to standard error."""
+    """Print a result to standard output, or an error in text form to standard error."""
     if _FORMAT.value == "json":
         print(msgspec.json.encode(result.document).decode())
         return
@@ -219,7 +219,7 @@
 
 
 def main() -> None:
-    """Enter the command."""
+    """Run the command."""
     run_command(run, __doc__ or "", int(ExitCode.BAD_INPUT))
 
 
--- a/hopstep/cli/node_process.py
+++ b/hopstep/cli/node_process.py
@@ -1,4 +1,4 @@
-"""The command that ``hopstep.cli.node`` enters once its listeners are open."""
+"""The command that ``hopstep.cli.node`` runs once its listeners are open."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
 NODE_KEY_BYTES = 16
 
 flags.DEFINE_string(
-    "node_settings", None, "TOML settings file; by default the one the platform names."
+    "node_settings", None, "TOML settings file; by default the one that the platform names."
 )
 
 
 async def run_node(settings: ExchangeSettings, path: Path, listeners: Listeners) -> None:
-    """Join the platform's adapters and the node's services, and serve.
+    """Connect the platform's adapters with the node's services, and serve.
 
     Args:
         settings: Settings of the node.
-        path: Their file.
-        listeners: Those that are open already.
+        path: Settings file.
+        listeners: Listeners that are open already.
     """
     platform_client = HttpClient()
     unknown_words = UnrecognizedValues()
-    store = PlatformStore(settings.store, platform_client, on_unknown=unknown_words.note)
+    store = PlatformStore(settings.store, platform_client, on_unrecognized=unknown_words.note)
     instances = HttpInstances(HttpClient(), unknown_words.note)
     node_key = secrets.token_bytes(NODE_KEY_BYTES)
     nodes = await NodeDatagrams.open(settings.peer_address, settings.name, node_key)
@@ -78,7 +78,7 @@
     """Run one node and return the exit code.
 
     Args:
-        listeners: Those that are open already.
+        listeners: Listeners that are open already.
         arguments: Command line after flags were taken out, the program's name first.
     """
     if len(arguments) > 1:
@@ -99,10 +99,10 @@
 
 
 def main(listeners: Listeners, documentation: str) -> None:
-    """Enter the command.
+    """Run the command.
 
     Args:
-        listeners: Those that are open already.
+        listeners: Listeners that are open already.
         documentation: What ``--help`` prints before the flags.
     """
     run_command(functools.partial(run, listeners), documentation, EXIT_BAD_SETTINGS)
--- a/hopstep/platform/cache_events.py
+++ b/hopstep/platform/cache_events.py
@@ -1,4 +1,4 @@
-"""Cache events of the platform's stores and engines."""
+"""Reads the cache events of the platform's cache stores and engines."""
 
 from __future__ import annotations
 
@@ -11,11 +11,17 @@
 from hopstep.platform import names
 from hopstep.platform.http_client import HttpCall, HttpClient, SendTrace
 from hopstep.platform.notices import read_notice
-from hopstep.platform.vocabulary import Vocabulary
+from hopstep.platform.vocabulary import UnrecognizedValueReporter
 from hopstep.ports.cache_events import CacheEventBatch, CacheEvents
-from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
+from hopstep.ports.unrecognized_values import (
+    UnrecognizedValueListener,
+    ValueLocation,
+    ignore_unrecognized,
+)
 
 ANSWER_SECONDS = 0.7
+"""Longest wait for a response, beyond the wait for events."""
+
 MILLISECONDS = 1_000
 OK = 200
 
@@ -41,23 +47,23 @@
     """Reads events by long polling."""
 
     def __init__(
-        self, client: HttpClient, on_unknown: UnknownWordListener = ignore_unknown
+        self, client: HttpClient, on_unrecognized: UnrecognizedValueListener = ignore_unrecognized
     ) -> None:
         """Use a client.
 
         Args:
             client: HTTP client, owned by the caller.
-            on_unknown: Told of what answers say that nothing reads.
+            on_unrecognized: Called for each unrecognized value in a response.
         """
         self._client = client
-        self._vocabulary = Vocabulary(on_unknown)
+        self._unrecognized = UnrecognizedValueReporter(on_unrecognized)
 
     async def read(
         self,
         address: str,
         position: int,
         wait_seconds: float,
-        hear: NoticeListener = ignore_notice,
+        on_notice: NoticeListener = ignore_notice,
     ) -> CacheEventBatch | None:
         """Return events; see the port."""
         wait = str(int(wait_seconds * MILLISECONDS)).encode()
@@ -68,9 +74,9 @@
             with trio.fail_after(ANSWER_SECONDS + wait_seconds):
                 async with self._client.open(call, SendTrace()) as response:
                     kind = AnswerKind.CACHE_EVENTS
-                    hear(read_notice(response.status, response.headers, kind))
-                    self._vocabulary.note_headers(
-                        WordPlace.ANSWER_HEAD, address, response.status, response.headers
+                    on_notice(read_notice(response.status, response.headers, kind))
+                    self._unrecognized.report_headers(
+                        ValueLocation.ANSWER_HEAD, address, response.status, response.headers
                     )
                     body = await response.aread()
             if response.status != OK:
@@ -84,11 +90,11 @@
             msgspec.DecodeError,
         ):
             return None
-        self._vocabulary.note_fields(WordPlace.CACHE_EVENTS, address, body, _Events)
+        self._unrecognized.report_fields(ValueLocation.CACHE_EVENTS, address, body, _Events)
         events = tuple(_read(event) for event in read.events)
         return CacheEventBatch(read.epoch, read.next_page_token, read.lost, events, read.born)
 
 
 def _read(event: _Event) -> CacheEvent:
-    """Return one event; what is dropped whole keeps no tokens."""
+    """Return one event; 0 tokens mean that the segment was dropped."""
     return CacheEvent(event.salt, event.segment_id, event.tokens, event.model)
--- a/hopstep/platform/instances.py
+++ b/hopstep/platform/instances.py
@@ -1,4 +1,4 @@
-"""Requests and orders to instances over HTTP."""
+"""Requests and weights orders to instances over HTTP."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from hopstep.platform import names
 from hopstep.platform.http_client import HttpCall, HttpClient, SendTrace, SendWithdrawnError
 from hopstep.platform.notices import read_notice
-from hopstep.platform.vocabulary import Vocabulary
-from hopstep.platform.weights_lines import WeightsLines
+from hopstep.platform.vocabulary import UnrecognizedValueReporter
+from hopstep.platform.weights_lines import WeightsVersionScanner
 from hopstep.ports.instance_calls import (
     InstanceAnswer,
     InstanceCall,
@@ -31,28 +31,34 @@
     SendProof,
     withdrawn_call,
 )
-from hopstep.ports.unknown_words import UnknownWordListener, WordPlace, ignore_unknown
+from hopstep.ports.unrecognized_values import (
+    UnrecognizedValueListener,
+    ValueLocation,
+    ignore_unrecognized,
+)
 from hopstep.ports.weights_orders import EngineReport, OrderOutcome, WeightsOrder, WeightsOrders
 
 CONNECT_SECONDS = 0.4
-ORDER_SECONDS = 0.4
+CONTROL_SECONDS = 0.4
+"""Longest duration of a control call: an order or a report."""
+
 MILLISECONDS = 1_000
 MISDIRECTED = 421
 NO_BODY_STATUSES = (204, 304)
 
 FAILURES = (httpcore.ProtocolError, httpcore.NetworkError, httpcore.TimeoutException)
 
-SIGNS = {
+LISTENING_SIGNS = {
     True: InstanceProbeResult.ANSWERS,
     False: InstanceProbeResult.ENDED,
     None: InstanceProbeResult.NO_ANSWER,
 }
-"""By whether an instance's address takes connections. A port is closed as its process ends."""
+"""By whether an instance's address accepts connections; a port is closed as its process ends."""
 
 ORDER_OUTCOMES = {
-    200: OrderOutcome.HOLDS_ALREADY,
+    200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.UNDER_WAY,
-    409: OrderOutcome.BUSY_OR_MOVED_ON,
+    409: OrderOutcome.BUSY_OR_SEQUENCE_CHANGED,
     412: OrderOutcome.FENCED,
 }
 
@@ -80,13 +86,13 @@
 
 
 class HttpInstanceAnswer(InstanceAnswer):
-    """An answer over HTTP."""
+    """An instance's HTTP response."""
 
     def __init__(self, response: httpcore.Response) -> None:
-        """Read the head.
+        """Read the head of a response.
 
         Args:
-            response: Response of the library.
+            response: The library's response.
         """
         found = {name.lower(): value for name, value in response.headers}
         self.status = response.status
@@ -101,10 +107,10 @@
 
     async def body(self) -> AsyncIterator[bytes]:
         """Yield the body; see the port."""
-        lines = WeightsLines()
+        scanner = WeightsVersionScanner()
         try:
             async for data in self._response.aiter_stream():
-                self.weights_version = lines.feed(data) or self.weights_version
+                self.weights_version = scanner.scan(data) or self.weights_version
                 yield data
         except FAILURES as error:
             raise InstanceCallError(
@@ -116,16 +122,16 @@
     """Calls instances over pooled connections."""
 
     def __init__(
-        self, client: HttpClient, on_unknown: UnknownWordListener = ignore_unknown
+        self, client: HttpClient, on_unrecognized: UnrecognizedValueListener = ignore_unrecognized
     ) -> None:
         """Use a client.
 
         Args:
             client: HTTP client, owned by the caller.
-            on_unknown: Told of what answers say that nothing reads.
+            on_unrecognized: Called for each unrecognized value in a response.
         """
         self._client = client
-        self._vocabulary = Vocabulary(on_unknown)
+        self._unrecognized = UnrecognizedValueReporter(on_unrecognized)
 
     @contextlib.asynccontextmanager
     async def open(self, call: InstanceCall) -> AsyncIterator[InstanceAnswer]:
@@ -148,17 +154,19 @@
             except FAILURES as error:
                 raise _no_answer(call.proof) from error
             if _is_own_answer(response, call):
-                self._note_headers(call.instance, response)
-                call.hear(_request_notice(response))
+                self._report_headers(call.instance, response)
+                call.on_notice(_request_notice(response))
             _check_head(response, call)
             yield HttpInstanceAnswer(response)
 
-    async def look(self, instance: Instance) -> InstanceProbeResult:
-        """Look at an instance; see the port."""
-        return SIGNS[await self._client.listens(instance.address, CONNECT_SECONDS)]
+    async def probe_connection(self, instance: Instance) -> InstanceProbeResult:
+        """Try to connect to an instance; see the port."""
+        return LISTENING_SIGNS[
+            await self._client.accepts_connections(instance.address, CONNECT_SECONDS)
+        ]
 
     def idle_addresses(self) -> set[str]:
-        """Return the addresses without requests under way; see the port."""
+        """Return the addresses without requests in progress; see the port."""
         return self._client.idle_addresses()
 
     async def drop_idle(self, address: str) -> None:
@@ -170,7 +178,7 @@
         await self._client.forget(address)
 
     async def order(
-        self, instance: Instance, order: WeightsOrder, hear: NoticeListener = ignore_notice
+        self, instance: Instance, order: WeightsOrder, on_notice: NoticeListener = ignore_notice
     ) -> OrderOutcome:
         """Send an order; see the port."""
         body = _Order(
@@ -184,31 +192,33 @@
         )
         proof = SendProof()
         answer = await self._control(
-            instance, b"POST", names.ORDER_PATH, msgspec.json.encode(body), proof, hear
+            instance, b"POST", names.ORDER_PATH, msgspec.json.encode(body), proof, on_notice
         )
         if answer is None:
             return OrderOutcome.UNKNOWN if proof.sent else OrderOutcome.REJECTED
         return ORDER_OUTCOMES.get(answer[0], OrderOutcome.REJECTED)
 
     async def report(
-        self, instance: Instance, hear: NoticeListener = ignore_notice
+        self, instance: Instance, on_notice: NoticeListener = ignore_notice
     ) -> EngineReport | None:
         """Return an engine's report; see the port."""
-        answer = await self._control(instance, b"GET", names.REPORT_PATH, b"", SendProof(), hear)
+        answer = await self._control(
+            instance, b"GET", names.REPORT_PATH, b"", SendProof(), on_notice
+        )
         if answer is None or answer[0] != 200:  # noqa: PLR2004
             return None
         try:
             report = msgspec.json.decode(answer[1], type=_Report)
         except msgspec.DecodeError:
             return None
-        self._vocabulary.note_fields(WordPlace.REPORT, instance.address, answer[1], _Report)
+        self._unrecognized.report_fields(ValueLocation.REPORT, instance.address, answer[1], _Report)
         versions = {model.name: model.version for model in report.models}
         return EngineReport(report.busy, report.call_sequence, versions, report.born)
 
-    def _note_headers(self, instance: Instance, response: httpcore.Response) -> None:
-        """Tell of headers that nothing reads."""
-        self._vocabulary.note_headers(
-            WordPlace.ANSWER_HEAD, instance.address, response.status, response.headers
+    def _report_headers(self, instance: Instance, response: httpcore.Response) -> None:
+        """Report the unrecognized headers of a response."""
+        self._unrecognized.report_headers(
+            ValueLocation.ANSWER_HEAD, instance.address, response.status, response.headers
         )
 
     async def _control(
@@ -218,9 +228,9 @@
         path: str,
         body: bytes,
         proof: SendProof,
-        hear: NoticeListener,
+        on_notice: NoticeListener,
     ) -> tuple[int, bytes] | None:
-        """Make a call beside the requests; return status and body, or None."""
+        """Make a control call, which isn't a client's request; return status and body, or None."""
         headers = [
             (b"host", instance.address.encode()),
             (names.EXPECT_INSTANCE, instance.instance_id.encode()),
@@ -236,11 +246,13 @@
             connect_seconds=CONNECT_SECONDS,
         )
         try:
-            with trio.fail_after(ORDER_SECONDS):
+            with trio.fail_after(CONTROL_SECONDS):
                 async with self._client.open(call, SendTrace(proof)) as response:
                     if _is_control_answer(response):
-                        self._note_headers(instance, response)
-                        hear(read_notice(response.status, response.headers, AnswerKind.CONTROL))
+                        self._report_headers(instance, response)
+                        on_notice(
+                            read_notice(response.status, response.headers, AnswerKind.CONTROL)
+                        )
                     return response.status, await response.aread()
         except (*FAILURES, trio.TooSlowError):
             return None
@@ -271,10 +283,10 @@
 
 
 def _is_own_answer(response: httpcore.Response, call: InstanceCall) -> bool:
-    """Return whether the instance that a request was sent to answers this request.
+    """Return whether a response is the called instance's answer to this request.
 
-    An answer that repeats the request's id does; so does a refusal without an id. A surplus answer
-    names another request, and 421 may come from whoever has the address now.
+    It is if it repeats the request's id, or is a refusal without an id. A surplus response names
+    another request, and 421 may come from another instance that has the address now.
     """
     found = {name.lower(): value for name, value in response.headers}
     answered = found.get(names.REQUEST_ID)
@@ -286,28 +298,28 @@
 
 
 def _request_notice(response: httpcore.Response) -> InstanceNotice:
-    """Return what the instance's own answer to a request says of it."""
+    """Return what an instance announces in its own answer to a request."""
     found = {name.lower() for name, _value in response.headers}
     kind = AnswerKind.REQUEST if names.REQUEST_ID in found else AnswerKind.REFUSAL
     return read_notice(response.status, response.headers, kind)
 
 
 def _is_control_answer(response: httpcore.Response) -> bool:
-    """Return whether an answer is to a call beside the requests, of the instance it was sent to.
+    """Return whether a response is the called instance's answer to a control call.
 
-    Such calls have no id, so one with an id is a surplus answer to an earlier request.
+    Control calls have no id, so a response with an id is a surplus one to an earlier request.
     """
     found = {name.lower() for name, _value in response.headers}
     return names.REQUEST_ID not in found and response.status != MISDIRECTED
 
 
 def _check_head(response: httpcore.Response, call: InstanceCall) -> None:
-    """Raise unless an answer's head belongs to a request that the instance ran."""
+    """Raise unless a response's head shows that the instance ran this request."""
     found = {name.lower(): value for name, value in response.headers}
     answered = found.get(names.REQUEST_ID)
     if answered is not None and answered != call.request.request_id.encode():
         raise InstanceCallError(
-            ErrorCode.EXECUTION_UNKNOWN, "an answer to another request came", Execution.UNKNOWN
+            ErrorCode.EXECUTION_UNKNOWN, "the response is to another request", Execution.UNKNOWN
         )
     if names.NOT_EXECUTED in found or response.status == MISDIRECTED:
         code = ErrorCode.OVERLOADED
@@ -324,12 +336,12 @@
         )
     if answered is None:
         raise InstanceCallError(
-            ErrorCode.EXECUTION_UNKNOWN, "an answer without an id came", Execution.UNKNOWN
+            ErrorCode.EXECUTION_UNKNOWN, "the response has no request id", Execution.UNKNOWN
         )
 
 
 def _no_answer(proof: SendProof) -> InstanceCallError:
-    """Return the error of a request without an answer."""
+    """Return the error of a request that got no response."""
     if proof.sent:
         return InstanceCallError(ErrorCode.EXECUTION_UNKNOWN, "no answer came", Execution.UNKNOWN)
     return InstanceCallError(
@@ -338,7 +350,7 @@
 
 
 def _number(value: bytes) -> int:
-    """Return a header's whole number; 0 for none."""
+    """Return a header's integer; 0 when it has none."""
     try:
         return int(value)
     except ValueError:
--- a/hopstep/services/exchanges/directory/change_origin.py
+++ b/hopstep/services/exchanges/directory/change_origin.py
@@ -39,4 +39,4 @@
         entry: The entry.
         since: Steady clock, seconds: not later than the store acknowledged the change.
     """
-    return LoggedChange(entry.key, entry.place, entry, since, entry.removed)
+    return LoggedChange(entry.key, entry.position, entry, since, entry.removed)
--- a/hopstep/services/exchanges/directory/copy_losses.py
+++ b/hopstep/services/exchanges/directory/copy_losses.py
@@ -54,7 +54,7 @@
     """Return whether a change is newer than the backup, judged by its revision."""
     if listed is None:
         return not known.removed
-    return known.removed or listed.place.revision < known.position.revision
+    return known.removed or listed.position.revision < known.position.revision
 
 
 def _kind_of(entry: DirectoryEntry) -> str:
--- a/hopstep/services/exchanges/directory/knowledge.py
+++ b/hopstep/services/exchanges/directory/knowledge.py
@@ -191,18 +191,18 @@
         Raises:
             StoreError: The answer is from before the store's last restore.
         """
-        self.history.require_current(batch.place)
+        self.history.require_current(batch.position)
         reached_at, is_first = self.history.reached_at, self.store_position == NO_POSITION
         since = max(reached_at - MAX_WATCH_GAP_SECONDS, self.weights.oldest_since(sent_at))
         self.contact.note_outage_end(trio.current_time())
-        if self.history.is_later_era(batch.place):
-            self._enter_era(batch.place, STORE_SOURCE, find_losses(batch, self.feed))
-        self.feed.start(batch.place)
+        if self.history.is_later_era(batch.position):
+            self._enter_era(batch.position, STORE_SOURCE, find_losses(batch, self.feed))
+        self.feed.start(batch.position)
         entries = (*batch.entries, *self._removed_by(batch))
         self._apply_read([feed_entry(entry, since) for entry in entries])
         if is_first:
-            self.history.suspect_restore(batch.place)
-        self._confirm_read(batch.place, sent_at)
+            self.history.suspect_restore(batch.position)
+        self._confirm_read(batch.position, sent_at)
 
     def apply_changes(self, batch: DirectoryBatch, since: float, sent_at: float) -> None:
         """Apply changes that were read from the store.
@@ -215,10 +215,10 @@
         Raises:
             StoreError: The answer is from before the store's last restore.
         """
-        self.history.require_current(batch.place)
+        self.history.require_current(batch.position)
         self.contact.note_outage_end(trio.current_time())
         self._apply_read([feed_entry(entry, since) for entry in batch.entries])
-        self._confirm_read(batch.place, sent_at)
+        self._confirm_read(batch.position, sent_at)
 
     def enter_era(self, position: StorePosition, source: str) -> None:
         """Continue in a later era if another node reports a position in one."""
@@ -307,7 +307,7 @@
         """Return removals of the known keys that a snapshot lacks."""
         present = {entry.key for entry in batch.entries}
         known = (entry.change for entry in self.feed.existing() if entry.key not in present)
-        removals = (entry.as_removed(batch.place) for entry in known)
+        removals = (entry.as_removed(batch.position) for entry in known)
         return [removal for removal in removals if removal is not None]
 
     def _origin(self, entry: Entry, source: str, previous_position: StorePosition) -> ChangeOrigin:
--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -175,18 +175,18 @@
         now = trio.current_time()
         lifted = report.per_second_milli == LIMIT_LIFTED
         announced = LimitNotice(None if lifted else report.per_second_milli / MILLI)
-        asked_at = now - report.asked_ms / MILLISECONDS - NODE_MESSAGE_SECONDS
-        times = HeadTimes(asked_at, now - report.heard_ms / MILLISECONDS)
-        view = self._table.of_incarnation(report.life)
+        asked_at = now - report.request_age_ms / MILLISECONDS - NODE_MESSAGE_SECONDS
+        times = HeadTimes(asked_at, now - report.response_age_ms / MILLISECONDS)
+        view = self._table.of_incarnation(report.incarnation)
         standing = (
             view.announced_state
             if view is not None
-            else self._table.announced_states.of_incarnation(report.life)
+            else self._table.announced_states.of_incarnation(report.incarnation)
         )
         previous = standing.limit.per_second
         if standing.take_limit(announced, times):
-            self._table.announced_states.remember(report.life, standing)
-            self._note_limit(report.life, standing, previous, node)
+            self._table.announced_states.remember(report.incarnation, standing)
+            self._note_limit(report.incarnation, standing, previous, node)
 
     def limited(self) -> list[LimitedIncarnation]:
         """Return the listed incarnations that have a limit."""
--- a/hopstep/services/exchanges/peers/answer_processor.py
+++ b/hopstep/services/exchanges/peers/answer_processor.py
@@ -42,8 +42,8 @@
         knowledge = self._knowledge
         if answer.age_ms == UNKNOWN_AGE_MS:
             return False
-        reached = self._positions.read(query.node, answer.place)
-        if self._positions.read(query.node, answer.after_place) > knowledge.store_position:
+        reached = self._positions.read(query.node, answer.store_position)
+        if self._positions.read(query.node, answer.after_store_position) > knowledge.store_position:
             return False
         if reached.era < knowledge.store_position.era:
             return False
--- a/hopstep/services/exchanges/peers/load_sharing.py
+++ b/hopstep/services/exchanges/peers/load_sharing.py
@@ -19,7 +19,7 @@
     Hints,
     LeavingInstance,
     LoadingEngine,
-    SegmentNews,
+    SegmentUpdate,
     SentPrompt,
 )
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
@@ -58,11 +58,11 @@
         """
         self._notices = notices
         self._urgent = urgent
-        self.log: SentLog[SegmentNews] = SentLog(secrets.token_hex(LOG_IDENTITY_BYTES))
+        self.log: SentLog[SegmentUpdate] = SentLog(secrets.token_hex(LOG_IDENTITY_BYTES))
         self._knowledge = knowledge
         self._members = LoadLedger()
         self._others = LoadLedger()
-        self._unsent: list[SegmentNews] = []
+        self._unsent: list[SegmentUpdate] = []
         self._loading: dict[str, float] = {}
         self._last_reported: dict[tuple[str, int], float] = {}
 
@@ -72,7 +72,7 @@
         if not keys:
             return
         incarnation = candidate.view.incarnation
-        update = SegmentNews(incarnation, keys, round(candidate.read_seconds * MILLISECONDS))
+        update = SegmentUpdate(incarnation, keys, round(candidate.read_seconds * MILLISECONDS))
         if candidate.uncached_tokens >= URGENT_TOKENS:
             self._urgent.put_prompt(SentPrompt(update, candidate.uncached_tokens))
         already_kept = candidate.kept_tokens >= sum(key.tokens for key in keys)
@@ -89,7 +89,7 @@
             kept: Segments that it keeps and that the cache index lacked.
             dropped: Digests of segments that the cache index had and it doesn't keep.
         """
-        update = SegmentNews(incarnation, kept, 0, dropped)
+        update = SegmentUpdate(incarnation, kept, 0, dropped)
         self._apply_segments(update, trio.current_time())
         self._queue_update(update)
 
@@ -104,7 +104,7 @@
         self._last_reported[segment] = now
         return True
 
-    def _queue_update(self, update: SegmentNews) -> None:
+    def _queue_update(self, update: SegmentUpdate) -> None:
         """Queue a segment update for the next messages to other nodes."""
         self._unsent.append(update)
         self.log.append(self._knowledge.name, update)
@@ -140,7 +140,7 @@
 
     def _add_prompt(self, node: str, prompt: SentPrompt, now: float) -> None:
         """Add a long prompt to the load that its sender reported."""
-        [load] = self._assign_listed((InstanceLoad(prompt.segments.life, 1, prompt.tokens),))
+        [load] = self._assign_listed((InstanceLoad(prompt.segments.incarnation, 1, prompt.tokens),))
         incarnation = load.incarnation
         if self._knowledge.relays.relay() == node:
             self._others.add(RELAY_ANSWERS, load, now)
@@ -244,13 +244,13 @@
             self._apply_loading(loading, now)
         for leaving in hints.leaving:
             since = now - max(0, leaving.age_ms) / MILLISECONDS
-            self._notices.take_leaving_report(leaving.life, since, node)
+            self._notices.take_leaving_report(leaving.incarnation, since, node)
         for limited in hints.limits:
             self._notices.take_limit_report(limited, node)
 
-    def _apply_segments(self, update: SegmentNews, now: float) -> None:
+    def _apply_segments(self, update: SegmentUpdate, now: float) -> None:
         """Apply a segment update to the cache index of its instance."""
-        view = self._knowledge.table.of_reported(update.life)
+        view = self._knowledge.table.of_reported(update.incarnation)
         if view is not None:
             view.segments.drop(update.dropped)
             view.segments.record(update.sent, now + update.read_ms / MILLISECONDS)
@@ -258,8 +258,8 @@
     def _apply_loading(self, loading: LoadingEngine, now: float) -> None:
         """Mark an engine as loading, so that it gets no requests meanwhile."""
         until = now + loading.milliseconds / MILLISECONDS
-        self._loading[loading.life] = until
-        view = self._knowledge.table.of_reported(loading.life)
+        self._loading[loading.incarnation] = until
+        view = self._knowledge.table.of_reported(loading.incarnation)
         if view is not None:
             view.loading_until = until
 
@@ -276,7 +276,7 @@
         )
         return tuple(load for load in loads if not load.is_empty)
 
-    def _take_unsent(self) -> tuple[SegmentNews, ...]:
+    def _take_unsent(self) -> tuple[SegmentUpdate, ...]:
         """Return the latest ``MAX_SEGMENT_UPDATES`` unsent segment updates; drop the others."""
         updates = tuple(self._unsent[-MAX_SEGMENT_UPDATES:])
         self._unsent.clear()
--- a/hopstep/services/exchanges/peers/permit_sharing.py
+++ b/hopstep/services/exchanges/peers/permit_sharing.py
@@ -106,8 +106,8 @@
         for granted in hints.permits:
             if granted.relay == self._knowledge.name:
                 until = trio.current_time() + granted.valid_ms / MILLISECONDS
-                self._stock(granted.life).put(granted.count, until)
-                self._serve_own(granted.life)
+                self._stock(granted.incarnation).put(granted.count, until)
+                self._serve_own(granted.incarnation)
 
     def _is_new(self, relay: str, number: int) -> bool:
         """Return whether a digest is newer than all others of its process, and note its number."""
@@ -129,7 +129,7 @@
         """
         for grant in granted:
             until = asked_at + grant.valid_ms / MILLISECONDS
-            self._limits.receive(grant.life, grant.count, until)
+            self._limits.receive(grant.incarnation, grant.count, until)
 
     def _allocate(self, incarnation: str, limit: float) -> list[GrantedPermits]:
         """Allocate permits for one incarnation; return those for other relays."""
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -23,7 +23,7 @@
     RelayAnswer,
     RelayDigest,
     RelayQuery,
-    UrgentNews,
+    UrgentUpdates,
 )
 from hopstep.services.exchanges.directory.change_origin import STORE_SOURCE
 from hopstep.services.exchanges.directory.directory_follower import DirectoryFollower
@@ -201,7 +201,7 @@
                 await self._take_answer(received.sender, message)
             case RelayDigest():
                 self._hints.take_digest(received.sender, message.number, message.hints)
-            case UrgentNews():
+            case UrgentUpdates():
                 self._sharing.apply_urgent(received.sender, message.prompts, message.loading)
                 self._quarantine.merge_reports(message.crashes)
                 await self._broadcast.forward(received.sender, message)
@@ -227,7 +227,7 @@
         unanswered_seconds = trio.current_time() - store_last_answer_at(answer, pending.sent_at)
         self._knowledge.relays.note_store(sender, lost=unanswered_seconds > self._limits.silence)
         self._reconsider()
-        if answer.beyond_reach:
+        if answer.must_read_store:
             self._follower.read_once()
         if self._answer_processor.process(answer, pending):
             await self._query(sender)
--- a/hopstep/services/exchanges/peers/reported_positions.py
+++ b/hopstep/services/exchanges/peers/reported_positions.py
@@ -4,7 +4,7 @@
 
 from hopstep.domain.exchanges.nodes import FORMAT_VERSION_WITH_ERAS
 from hopstep.domain.store_position import NO_POSITION, UNSPECIFIED_ERA, StorePosition
-from hopstep.ports.node_exchange import ToldEntry
+from hopstep.ports.node_exchange import ReportedEntry
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 
 
@@ -36,6 +36,6 @@
         )
         return StorePosition(era, position.revision)
 
-    def era_of(self, node: str, entry: ToldEntry) -> int:
+    def era_of(self, node: str, entry: ReportedEntry) -> int:
         """Return the era of an entry that a node reports."""
         return self.read(node, StorePosition(entry.era, entry.revision)).era
--- a/hopstep/services/exchanges/peers/update_broadcast.py
+++ b/hopstep/services/exchanges/peers/update_broadcast.py
@@ -17,7 +17,7 @@
     MessageTooLongError,
     NodeExchange,
     SentPrompt,
-    UrgentNews,
+    UrgentUpdates,
 )
 from hopstep.services.exchanges.directory.knowledge import ServingKnowledge
 from hopstep.services.exchanges.peers.load_sharing import LoadSharing
@@ -68,19 +68,19 @@
             batch = self._urgent.take()
             crashes = tuple(self._quarantine.known_crashes(request) for request in batch.requests)
             self._number += 1
-            update = UrgentNews(self._number, batch.prompts, batch.loading, crashes)
+            update = UrgentUpdates(self._number, batch.prompts, batch.loading, crashes)
             relay = self._knowledge.relays.relay()
             if relay:
                 await self._send(update, [relay])
             else:
                 await self._distribute(self._knowledge.name, update, own=True)
 
-    async def forward(self, sender: str, update: UrgentNews) -> None:
+    async def forward(self, sender: str, update: UrgentUpdates) -> None:
         """Forward an update of another node, if this one is a relay."""
         if not self._knowledge.relays.relay():
             await self._distribute(sender, update, own=self._sharing.is_member(sender))
 
-    async def _distribute(self, origin: str, update: UrgentNews, *, own: bool) -> None:
+    async def _distribute(self, origin: str, update: UrgentUpdates, *, own: bool) -> None:
         """Send updates of this relay's own group to all nodes, others to its group.
 
         Prompts are frequent and are sent in batches; the rest is sent at once.
@@ -104,10 +104,10 @@
             relays = [n for n in self._knowledge.relays.digest_targets() if n not in members]
             for bundle in (*self._prompts.take(members), *self._own_prompts.take(relays)):
                 self._number += 1
-                await self._send(UrgentNews(self._number, bundle.updates), bundle.targets)
+                await self._send(UrgentUpdates(self._number, bundle.updates), bundle.targets)
             await trio.sleep(SENDING_INTERVAL_SECONDS)
 
-    async def _send(self, update: UrgentNews, names: Iterable[str]) -> None:
+    async def _send(self, update: UrgentUpdates, names: Iterable[str]) -> None:
         """Send an update to nodes; one too long for a datagram is sent later with the loads."""
         known = self._knowledge.nodes
         with contextlib.suppress(MessageTooLongError):
--- a/hopstep/services/exchanges/requests/quarantine_gate.py
+++ b/hopstep/services/exchanges/requests/quarantine_gate.py
@@ -79,7 +79,7 @@
         """Have the instance checked that gave no response, or an incomplete one."""
         answered = error.execution is Execution.NOT_RUN or error.code in ANSWERED_CODES
         if not answered:
-            look = functools.partial(self._calls.look, view.instance)
+            look = functools.partial(self._calls.probe_connection, view.instance)
             self._quarantine.note_interrupted(self.name, view.incarnation, look)
 
     async def settle(self, view: InstanceView) -> None:
--- a/hopstep/services/exchanges/weights/weights_rollout.py
+++ b/hopstep/services/exchanges/weights/weights_rollout.py
@@ -38,7 +38,7 @@
 RETRY_SECONDS = 0.5
 
 ENDING_OUTCOMES = frozenset(
-    {OrderOutcome.HOLDS_ALREADY, OrderOutcome.FENCED, OrderOutcome.REJECTED}
+    {OrderOutcome.ALREADY_LOADED, OrderOutcome.FENCED, OrderOutcome.REJECTED}
 )
 """Outcomes after which the same engine isn't ordered again for now."""
 
@@ -203,7 +203,7 @@
         self, view: InstanceView, weights: NamedWeights, outcome: OrderOutcome
     ) -> None:
         """Apply the outcome of an order that didn't start a load."""
-        if outcome is OrderOutcome.HOLDS_ALREADY:
+        if outcome is OrderOutcome.ALREADY_LOADED:
             view.learn_version(weights.model, weights.version)
         if outcome is OrderOutcome.FENCED:
             self._lease.give_up("fenced")
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store client against its stand-in, by the contract of the store's port."""
+"""Contract tests of the platform's store client, with the emulated store."""
 
 import contextlib
 import unittest
@@ -54,7 +54,7 @@
             await store.compare_and_swap("a", ABSENT, b"1")
             version = await store.compare_and_swap("b", ABSENT, b"2")
             listing = await store.listing("")
-            self.assertEqual(listing.place, version)
+            self.assertEqual(listing.position, version)
             self.assertEqual([value.key for value in listing.values], ["a", "b"])
 
         self.check(test)
@@ -78,7 +78,7 @@
         async def test():
             async with serve_store(shared) as store:
                 await store.compare_and_swap("a", ABSENT, b"1")
-                shared.model.forget_history()
+                shared.model.clear_history()
                 with self.assertRaises(StoreHistoryLostError) as caught:
                     await store.watch("", ABSENT, 0.0)
                 self.assertEqual(caught.exception.code, ErrorCode.STORE_HISTORY_LOST)
@@ -98,5 +98,5 @@
 
 
 def _write(name):
-
+    """Return the operation that creates a key."""
     return wire.CompareAndSwap(name, ABSENT.revision, b"1")
--- a/tests/contract/test_store_contract.py
+++ b/tests/contract/test_store_contract.py
@@ -1,3 +1,5 @@
+"""Contract tests of the in-memory and the HTTP store clients, and tests of the machine list."""
+
 import contextlib
 import unittest
 
@@ -22,7 +24,7 @@
     Machine("127.0.0.1:1", MachineState.LIVE),
     Machine("127.0.0.1:2", MachineState.LEAVING),
 )
-LOST_SHAPES = (
+LOST_RESPONSES = (
     ("closed before the answer", b""),
     ("cut within the head", b"HTTP/1.1 200 OK\r\nContent-"),
     ("cut within the body", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1"),
@@ -63,9 +65,9 @@
     def test_one_client_is_cut_off_alone(self):
         async def test():
             shared = SharedStore()
-            cut, whole = InMemoryStore(shared), InMemoryStore(shared)
+            cut, uncut = InMemoryStore(shared), InMemoryStore(shared)
             cut.cut_off = True
-            version = await whole.compare_and_swap("a", ABSENT, b"1")
+            version = await uncut.compare_and_swap("a", ABSENT, b"1")
             self.assertEqual(version, StorePosition(UNSPECIFIED_ERA, 1))
             await self.check_call(lambda: cut.get("a"), (StoreError, ErrorCode.STORE_UNAVAILABLE))
 
@@ -116,7 +118,7 @@
         self.run_async(test)
 
     def test_every_other_lost_answer_leaves_a_write_unknown(self):
-        for name, answer in LOST_SHAPES:
+        for name, answer in LOST_RESPONSES:
             with self.subTest(name):
                 self.run_async(lambda answer=answer: self.check_raw_answer(answer))
 
--- a/tests/ctl/test_trace.py
+++ b/tests/ctl/test_trace.py
@@ -1,4 +1,4 @@
-"""Three kinds of failed requests, from the id to the cause, by the node's own log lines."""
+"""``trace`` finds the cause of failed requests in the node's own log lines."""
 
 import json
 import tempfile
@@ -25,17 +25,17 @@
         self.path = Path(directory.name) / "log"
         self.lines = []
 
-    def record(self, _logger, _method, line):
+    def record_line(self, _logger, _method, line):
         seconds = trio.current_time() % 60
         self.lines.append({**line, "node": "n0", "timestamp": f"{EPOCH}{seconds:09.6f}+00:00"})
         raise structlog.DropEvent
 
-    def play(self, script):
+    def record_log(self, script):
         world = ExchangeWorld()
         world.add("p0")
         world.add("e0", "llm")
         before = structlog.get_config()
-        structlog.configure(processors=[self.record])
+        structlog.configure(processors=[self.record_line])
         try:
             world.run(script)
         finally:
@@ -52,7 +52,7 @@
             await trio.sleep(6.5)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("isolated", result.document.cause)
         self.assertIn("lost the store at", result.document.cause)
@@ -60,14 +60,14 @@
 
     def test_a_request_after_a_restore_shows_by_which_era_it_was_decided(self):
         async def script(world):
-            copy = world.shared.model.copy()
+            backup = world.shared.model.backup()
             world.publish(ConfigurationPublished(configuration(2)))
             await trio.sleep(2.0)
-            world.shared.restore(copy)
+            world.shared.restore(backup)
             await trio.sleep(3.0)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         document = self.trace().document
         self.assertIn("the store up to era 1 revision", document.known)
         self.assertIn("configuration 2 of era 0 revision", document.known)
@@ -86,35 +86,35 @@
             await trio.sleep(0.1)
             await world.request("unsafe", body=b"fatal", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         cause = self.trace().document.cause
         self.assertIn("refused, not run: instances have ended under it", cause)
         self.assertEqual(cause.count("seen by n0"), 3)
 
-    def test_a_request_that_was_kept_from_an_instance_shows_its_word(self):
+    def test_a_request_that_avoids_an_instance_shows_its_notice(self):
         async def script(world):
             world.add("p1")
             await trio.sleep(1.0)
-            world.instances.servers["p0"].says_leaving = True
+            world.instances.servers["p0"].announces_leaving = True
             for _request in range(20):
                 await world.request("unsafe")
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("answered 200 by p1", result.document.cause)
         [line] = [line for line in result.document.lines if "instance_says_leaving" in line]
         self.assertIn("instance=p0", line)
         self.assertIn("source=answer", line)
 
-    def test_a_request_refused_since_all_rest_leads_to_their_words(self):
+    def test_a_request_refused_as_all_instances_back_off_shows_their_notices(self):
         async def script(world):
-            world.instances.servers["p0"].sheds_for = 2.0
+            world.instances.servers["p0"].requested_backoff_seconds = 2.0
             await world.request("unsafe")
             await trio.sleep(0.1)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("overloaded, not run", result.document.cause)
         self.assertIn("all instances of plain rest, for", result.document.cause)
@@ -122,25 +122,25 @@
 
     def test_a_request_refused_for_a_limit_shows_what_kept_it(self):
         async def script(world):
-            world.instances.servers["p0"].names_limit = 0.0
+            world.instances.servers["p0"].announced_limit = 0.0
             await world.request("unsafe")
             await trio.sleep(0.1)
             for _request in range(8):
                 await world.request("unsafe")
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         result = self.trace()
         self.assertIn("kept from instances: 1 limited", result.document.cause)
         self.assertTrue(any("instance_limit_changed" in line for line in result.document.lines))
 
-    def test_a_store_that_is_silent_is_named_with_the_first_refusal(self):
+    def test_an_unresponsive_store_is_named_with_the_first_refusal(self):
         async def script(world):
             world.directories[0].unresponsive = True
             await trio.sleep(5.5)
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         self.assertIn("lost the store at", self.trace().document.cause)
 
     def test_a_cut_stream_leads_to_its_instance(self):
@@ -148,7 +148,7 @@
             world.instances.servers["e0"].behaviour = Behaviour.BREAK_STREAM
             await world.request("stream", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         cause = self.trace().document.cause
         self.assertIn("cut off", cause)
         self.assertIn("e0: broke off", cause)
@@ -158,20 +158,20 @@
             world.instances.servers["p0"].behaviour = Behaviour.LOSE_ANSWER
             await world.request("unsafe", request_id="r")
 
-        self.play(script)
+        self.record_log(script)
         cause = self.trace().document.cause
         self.assertIn("may have run", cause)
         self.assertIn("p0: broke off", cause)
 
-    def test_a_late_answer_tells_its_times(self):
+    def test_a_late_answer_shows_its_times(self):
         async def script(world):
             world.instances.servers["e0"].event_seconds = 0.5
             await world.request("stream", request_id="r", patience=5.0)
 
-        self.play(script)
+        self.record_log(script)
         self.assertRegex(self.trace().document.cause, r"answered 200 by e0.*pause 5\d\d ms")
 
-    def test_unknown_ids_and_unreadable_logs_are_told(self):
+    def test_unknown_ids_and_unreadable_logs_are_reported(self):
         self.path.write_text('no json\n{"event": "x"}\n')
         self.assertIs(self.trace("none").exit_code, ExitCode.REJECTED)
         with self.assertRaises(ValidationError):
--- a/tests/emulator/soak/test_foreign_entries.py
+++ b/tests/emulator/soak/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""No entry of the soak's other writer names an instance to use."""
+"""No invalid entry that the soak writes leads to an instance that is used."""
 
 import json
 import random
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from emulator.soak.foreign_entries import foreign_entry, whole_document
+from emulator.soak.foreign_entries import foreign_entry, valid_document
 from hopstep.domain.exchanges.instance_table import InstanceTable
 from hopstep.domain.store_position import UNSPECIFIED_ERA, StorePosition
 from hopstep.platform.directory import read_change
@@ -26,7 +26,7 @@
                 StoredValue("servers/foreign-1", value, StorePosition(UNSPECIFIED_ERA, 7))
             )
             if isinstance(change, InstanceListed):
-                # Beside instances that tell their start one that doesn't is left out (next test).
+                # Without a start it isn't used while other instances have one (see next test).
                 self.assertEqual(change.instance.born_ms, 0, value)
                 continue
             self.assertIsInstance(change, InstanceRejected, value)
@@ -34,13 +34,13 @@
         self.assertGreater(len(reasons), 10)
 
     def test_one_without_a_start_is_not_used_beside_others(self):
-        entry = json.dumps(whole_document("plain", "z1", DECOY)).encode()
-        telling = read_change(
+        entry = json.dumps(valid_document("plain", "z1", DECOY)).encode()
+        with_start = read_change(
             StoredValue("servers/i-1", entry, StorePosition(UNSPECIFIED_ERA, 7))
         ).instance
         table = InstanceTable()
-        table.put(telling)
-        table.put(msgspec.structs.replace(telling, instance_id="foreign-1", born_ms=0))
+        table.put(with_start)
+        table.put(msgspec.structs.replace(with_start, instance_id="foreign-1", born_ms=0))
         usable = [view.instance.instance_id for view in table.of_service("plain")]
         self.assertEqual(usable, ["i-1"])
 
--- a/tests/emulator/soak/test_profiles.py
+++ b/tests/emulator/soak/test_profiles.py
@@ -1,4 +1,4 @@
-"""Profiles of faults: all kinds are drawn somewhere, and most profiles leave the store calm."""
+"""Profiles of faults: together they draw each kind, and several leave the store undisturbed."""
 
 import random
 import tempfile
@@ -8,19 +8,19 @@
 from emulator.soak.callers import Callers
 from emulator.soak.deployment import Deployment
 from emulator.soak.faults import Faults
+from emulator.soak.hostile_callers import HostileCallers
 from emulator.soak.operators import Operator
 from emulator.soak.profiles import (
     LIMITS,
+    NOTICES,
     PROFILES,
     RESTORE,
     RESTORES,
     SHORT,
     STORE_KINDS,
     VERSIONS,
-    WORDS,
     profile_of,
 )
-from emulator.soak.stubborn_callers import StubbornCallers
 
 
 class ProfilesTest(unittest.TestCase):
@@ -29,33 +29,33 @@
             generator = random.Random(1)
             deployment = Deployment(Path(directory), generator)
             operator = Operator(deployment, generator)
-            callers = StubbornCallers(deployment, Callers(deployment, generator, 1.0), generator)
+            callers = HostileCallers(deployment, Callers(deployment, generator, 1.0), generator)
             return Faults(deployment, operator, callers, generator, profile).kinds
 
     def test_profiles_draw_known_kinds_and_all_of_them(self):
         drawn = {
             kind
-            for profile in (*PROFILES, WORDS, LIMITS, RESTORES, VERSIONS)
+            for profile in (*PROFILES, NOTICES, LIMITS, RESTORES, VERSIONS)
             for kind in profile.kinds
         }
         self.assertEqual(drawn, self.known_kinds(PROFILES[0]))
 
     def test_a_profile_is_found_by_its_name(self):
-        for profile in (*PROFILES, SHORT, WORDS, LIMITS, RESTORES, VERSIONS):
+        for profile in (*PROFILES, SHORT, NOTICES, LIMITS, RESTORES, VERSIONS):
             self.assertIs(profile_of(1, profile.name), profile)
         with self.assertRaisesRegex(ValueError, "profile: expected one of"):
             profile_of(1, "none")
         self.assertLessEqual(set(SHORT.kinds), self.known_kinds(SHORT))
 
     def test_some_profiles_leave_the_store_calm(self):
-        calm = [p for p in PROFILES if not set(p.kinds) & set(STORE_KINDS)]
-        self.assertGreaterEqual(len(calm), 3)
+        undisturbed = [p for p in PROFILES if not set(p.kinds) & set(STORE_KINDS)]
+        self.assertGreaterEqual(len(undisturbed), 3)
 
     def test_newer_seeds_draw_restores_among_everything(self):
-        drawing = {profile_of(seed).name for seed in range(10_000, 10_007)}
-        self.assertIn("everything, restores too", drawing)
+        names = {profile_of(seed).name for seed in range(10_000, 10_007)}
+        self.assertIn("everything, restores too", names)
         self.assertNotIn(RESTORE, {k for seed in range(7) for k in profile_of(seed).kinds})
 
     def test_seeds_in_a_row_meet_all_profiles(self):
-        met = {profile_of(seed).name for seed in range(7, 7 + len(PROFILES))}
-        self.assertEqual(met, {profile.name for profile in PROFILES})
+        found = {profile_of(seed).name for seed in range(7, 7 + len(PROFILES))}
+        self.assertEqual(found, {profile.name for profile in PROFILES})
--- a/tests/emulator/test_engine_in_process.py
+++ b/tests/emulator/test_engine_in_process.py
@@ -1,4 +1,4 @@
-"""The engine contract on a virtual clock, and what only engines in the process can do."""
+"""The engine contract on a virtual clock, and features of in-process engines alone."""
 
 import contextlib
 import unittest
@@ -17,14 +17,14 @@
     IDLE_TIMEOUT_SECONDS,
     REQUEST,
     WEIGHTS,
-    Bench,
     EngineContract,
+    EngineFixture,
 )
 
 
 class InProcessEngineTest(EngineContract, unittest.TestCase):
     @contextlib.asynccontextmanager
-    async def bench(self):
+    async def fixture(self):
         engines = InProcessEngines(idle_timeout_seconds=IDLE_TIMEOUT_SECONDS)
         engines.add_engine("engine", EngineModel(CONFIG, WEIGHTS))
         engines.add_kv_cache_store("store", KvCacheStoreModel(512))
@@ -35,18 +35,18 @@
         async def runs():
             return engines.model("engine").runs(trio.current_time())
 
-        yield Bench(engines, "engine", "store", set_faults, runs)
+        yield EngineFixture(engines, "engine", "store", set_faults, runs)
 
     def run_async(self, test):
         run_in_virtual_time(test)
 
     def test_engine_that_is_down_ran_nothing(self):
-        async def test(bench):
-            bench.port.set_down("engine", True)
+        async def test(fixture):
+            fixture.port.set_down("engine", True)
             with self.assert_error(ErrorCode.ENGINE_UNREACHABLE, Execution.NOT_RUN):
-                await self.finish(bench)
-            bench.port.set_down("engine", False)
-            await self.finish(bench)
+                await self.finish(fixture)
+            fixture.port.set_down("engine", False)
+            await self.finish(fixture)
 
         self.check(test)
 
--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -1,4 +1,4 @@
-"""Clients' HTTP requests as exchanges, and answers back."""
+"""Conversion of clients' HTTP requests to exchanges, and of answers to responses."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 class Service:
-    """Records what it is asked, and answers as it is told."""
+    """Records requests, and responds or raises the given error."""
 
     def __init__(self, error=None):
         self.error = error
@@ -81,14 +81,16 @@
         self.assertEqual(service.bodies, [b"12345"])
         self.assertIn((b"x-kept", b"2"), head.headers)
         self.assertIn((b"attempt-id", b"r1"), head.headers)
-        self.assertEqual((head.request_id, head.key, head.patience_seconds), ("r1", "secret", 1.5))
+        self.assertEqual(
+            (head.request_id, head.key, head.client_timeout_seconds), ("r1", "secret", 1.5)
+        )
 
     def test_all_connection_headers_name_what_does_not_go_on(self):
         service = Service()
         extra = ((b"connection", b"X-Second"), (b"x-second", b"3"))
         self.exchange(service, headers=(*HEADERS, *extra))
-        passed = {name for name, _ in service.heads[0].headers}
-        self.assertFalse({b"x-hop", b"x-second"} & passed)
+        forwarded = {name for name, _ in service.heads[0].headers}
+        self.assertFalse({b"x-hop", b"x-second"} & forwarded)
 
     def test_tokens_of_a_request_are_those_of_prompt_and_longest_answer(self):
         for value, tokens in ((b"1460,80", 1_540), (b"1460", 1_460), (b"x,5", 5), (None, None)):
@@ -107,7 +109,7 @@
     def test_what_concerns_one_connection_or_is_set_here_does_not_go_on(self):
         service = Service()
         self.exchange(service)
-        passed = {name for name, _ in service.heads[0].headers}
+        forwarded = {name for name, _ in service.heads[0].headers}
         for name in (
             b"connection",
             b"x-hop",
@@ -119,7 +121,7 @@
             b"transfer-encoding",
             b"deadline-ms",
         ):
-            self.assertNotIn(name, passed)
+            self.assertNotIn(name, forwarded)
 
     def test_the_prompt_is_read(self):
         service = Service()
@@ -128,7 +130,7 @@
         self.assertEqual(
             (prompt.model, prompt.prompt_tokens, prompt.answer_tokens), ("m", 1460, 80)
         )
-        self.assertEqual([s.tokens for s in prompt.segments], [800, 410, 250])
+        self.assertEqual([segment.tokens for segment in prompt.segments], [800, 410, 250])
 
     def test_headers_that_cannot_be_read_are_as_if_missing(self):
         service = Service()
@@ -140,7 +142,7 @@
         )
         self.exchange(service, headers=bad)
         head = service.heads[0]
-        self.assertIsNone(head.patience_seconds)
+        self.assertIsNone(head.client_timeout_seconds)
         self.assertEqual((head.prompt.prompt_tokens, head.request_id), (0, ""))
 
     def test_errors_become_statuses_and_only_proved_ones_promise(self):
@@ -202,18 +204,18 @@
         ended = []
 
         async def main():
-            over = trio.Event()
+            response_ended = trio.Event()
             messages = [{"type": "http.request", "body": b"", "more_body": False}]
 
             async def receive():
                 if messages:
                     return messages.pop()
-                await over.wait()
+                await response_ended.wait()
                 return {"type": "http.disconnect"}
 
             async def send(message):
                 if message["type"] == "http.response.body" and not message["more_body"]:
-                    over.set()
+                    response_ended.set()
                     await trio.sleep(0.01)
                     ended.append(True)
 
--- a/tests/services/configuration/test_restoration.py
+++ b/tests/services/configuration/test_restoration.py
@@ -62,7 +62,7 @@
     def test_accepted_changes_that_a_backup_lacks_are_written_again(self):
         # Otherwise routers and store disagree, and the next change reuses a taken revision.
         async def script(world):
-            backup = world.shared.model.copy()
+            backup = world.shared.model.backup()
             for revision in (2, 3, 4):
                 await self.submit(world, f"c{revision}", revision - 1, revision)
             await trio.sleep(SETTLED_SECONDS)
@@ -85,7 +85,7 @@
     def test_a_change_whose_revision_was_taken_since_is_reported_as_displaced(self):
         # Otherwise routers keep it in force while the store has another change, unreported.
         async def script(world):
-            backup = world.shared.model.copy()
+            backup = world.shared.model.backup()
             await self.submit(world, "lost", 1, 7)
             await trio.sleep(SETTLED_SECONDS)
             for node in world.nodes.values():
@@ -115,7 +115,7 @@
     def test_a_router_that_was_cut_off_during_the_restore_adopts_the_sequence_of_the_others(self):
         # Otherwise it applies later changes on another base than the other routers.
         async def script(world):
-            backup = world.shared.model.copy()
+            backup = world.shared.model.backup()
             await self.submit(world, "lost", 1, 7)
             await trio.sleep(SETTLED_SECONDS)
             cut_off_node = NODES[-1]
@@ -142,7 +142,7 @@
         async def script(world):
             await self.submit(world, "c2", 1, 2)
             await trio.sleep(SETTLED_SECONDS)
-            backup = world.shared.model.copy()
+            backup = world.shared.model.backup()
             await self.submit(world, "c3", 2, 3)
             await trio.sleep(SETTLED_SECONDS)
             world.shared.restore(backup)
--- a/tests/services/exchanges/restore_scale.py
+++ b/tests/services/exchanges/restore_scale.py
@@ -116,7 +116,7 @@
     steady = (world.network.bytes - sent) / STEADY_SECONDS / len(world.nodes)
     found.steady_bytes = steady
     found.answers.clear()
-    backup = world.shared.model.copy()
+    backup = world.shared.model.backup()
     for _ in range(4):
         world.change_configuration()
         await trio.sleep(BACKUP_AGE_SECONDS / 4)
--- a/tests/services/exchanges/test_instance_limits.py
+++ b/tests/services/exchanges/test_instance_limits.py
@@ -65,7 +65,7 @@
     async def announce_limit(self, world, limit, instances=("i1",)):
         """Let instances announce a limit to nodes; return from when on requests are counted."""
         for instance_id in instances:
-            world.instances.servers[instance_id].names_limit = limit
+            world.instances.servers[instance_id].announced_limit = limit
         await self.load(world, 2 * REPORTED_SECONDS)
         return trio.current_time()
 
@@ -87,7 +87,7 @@
                 async def script(world, limit=limit):
                     server = world.instances.servers["i1"]
                     await self.load(world, 1.0)
-                    server.names_limit = limit
+                    server.announced_limit = limit
                     announced_at = trio.current_time()
                     await self.load(world, REPORTED_SECONDS + 3 * WINDOW_SECONDS)
                     self.check_bound(world, announced_at + REPORTED_SECONDS, limit)
@@ -114,7 +114,7 @@
 
         async def script(world):
             await self.announce_limit(world, 1.5)
-            world.instances.servers["i1"].names_limit = None
+            world.instances.servers["i1"].announced_limit = None
             await self.load(world, 3.0)
             for services in world.nodes:
                 view = services.knowledge.table.get("i1")
@@ -174,7 +174,7 @@
             since = await self.announce_limit(world, 0.0)
             await self.load(world, 4 * WINDOW_SECONDS)
             self.check_bound(world, since, 0.0)
-            world.instances.servers["i1"].names_limit = None
+            world.instances.servers["i1"].announced_limit = None
             await self.load(world, 3 * WINDOW_SECONDS)
             self.assertFalse(world.nodes[0].knowledge.table.get("i1").announced_state.limit.is_set)
 
@@ -202,7 +202,7 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 1.5
+            server.announced_limit = 1.5
             await self.load(world, 1.0, name="stream")
             since = trio.current_time()
             reads = world.cache_events.reads[server.instance.address]
@@ -226,7 +226,7 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 0.0
+            server.announced_limit = 0.0
             await self.load(world, 2.0, name="stream")
             since = trio.current_time()
             world.name_weights(2)
@@ -245,7 +245,7 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 0.0
+            server.announced_limit = 0.0
             await self.load(world, 2.0, name="stream")
             world.name_weights(2)
             [services] = world.nodes
@@ -258,7 +258,7 @@
             await trio.sleep(2 * WINDOW_SECONDS)
             await self.load(world, 1.0, name="stream")
             for engine in world.instances.servers.values():
-                tokens = [order.fencing_token for _at, order in engine.attempted]
+                tokens = [order.fencing_token for _at, order in engine.received_orders]
                 self.assertNotIn(0, tokens)
 
         world.run(script)
@@ -271,11 +271,11 @@
         async def script(world):
             server = world.instances.servers["e0"]
             await trio.sleep(3.0)
-            server.names_limit = 0.0
+            server.announced_limit = 0.0
             await self.load(world, 2.0, name="stream")
             world.name_weights(2)
             await trio.sleep(2 * WINDOW_SECONDS)
-            server.names_limit = None
+            server.announced_limit = None
             world.name_weights(3)
             await self.load(world, 3 * WINDOW_SECONDS, name="stream")
             self.assertEqual(server.versions, {"m": 3})
@@ -301,7 +301,7 @@
             server = world.instances.servers["i1"]
             await self.load(world, 1.0, every=0.1)
             server.work_seconds = BUSY_SECONDS
-            server.names_limit = limit
+            server.announced_limit = limit
             announced_at = trio.current_time()
             await self.load(world, 2 * WINDOW_SECONDS, asking_nodes, every=0.1)
             self.check_bound(world, announced_at + REPORTED_SECONDS, limit)
@@ -320,7 +320,7 @@
                 with self.subTest(limit=limit, nodes=nodes, asking_nodes=asking_nodes):
 
                     async def script(world, limit=limit, nodes=nodes, asking_nodes=asking_nodes):
-                        world.instances.servers["i1"].names_limit = None
+                        world.instances.servers["i1"].announced_limit = None
                         seconds = self.detected_within(limit, nodes)
                         await self.load(world, seconds, asking_nodes, every=0.1)
                         await trio.sleep(REPORTED_SECONDS)
@@ -381,7 +381,7 @@
             with self.subTest(seed=seed):
                 world = ExchangeWorld(nodes=NODES, zones=3, seed=seed)
                 for number, limit in enumerate(limits):
-                    world.add(f"i{number}").names_limit = limit
+                    world.add(f"i{number}").announced_limit = limit
                 generator = random.Random(seed)
 
                 async def script(world, generator=generator):
@@ -406,7 +406,7 @@
             services = world.nodes[0]
             view = services.knowledge.table.get("i1")
             lifted = LimitedInstance(
-                view.incarnation, LIMIT_LIFTED, asked_ms=-1_000, heard_ms=-1_000
+                view.incarnation, LIMIT_LIFTED, request_age_ms=-1_000, response_age_ms=-1_000
             )
             with trio.fail_after(1.0):
                 async with trio.open_nursery() as nursery:
