--- a/tests/services/exchanges/test_instance_lives.py
+++ b/tests/services/exchanges/test_instance_lives.py
@@ -15,7 +15,7 @@
 from hopstep.domain.exchanges.segments import SegmentKey
 from hopstep.domain.exchanges.store_contents import CacheEvent
 from hopstep.exceptions import Execution
-from hopstep.ports.node_exchange import LoadingEngine, SegmentNews, SentPrompt
+from hopstep.ports.node_exchange import LoadingEngine, SegmentUpdate, SentPrompt
 from hopstep.ports.serving_directory import InstanceListed
 from tests.services.exchanges.exchange_world import BOUNDS, MODEL, ExchangeWorld
 
@@ -160,7 +160,7 @@
         async def script(world):
             first = await self.start_second(world)
             sharing = world.nodes[0].sharing
-            segments = SegmentNews(first, (SegmentKey(7, 800),))
+            segments = SegmentUpdate(first, (SegmentKey(7, 800),))
             sharing.apply_urgent("n1", (SentPrompt(segments, 9_000),), (LoadingEngine(first, 900),))
             view = self.views(world)[0]
             now = trio.current_time()
@@ -193,7 +193,7 @@
             server.versions = {MODEL: 5}
             world.name_weights(2)
             await trio.sleep(2.0)
-            self.assertEqual(server.attempted, [])
+            self.assertEqual(server.received_orders, [])
             self.assertEqual(self.views(world)[0].versions, {MODEL: 1})
 
         self.run_world(script)
@@ -245,6 +245,6 @@
             again = world.restart("e0", SECOND, versions={MODEL: 3})
             world.name_weights(3)
             await trio.sleep(5.0)
-            self.assertEqual(again.attempted, [])
+            self.assertEqual(again.received_orders, [])
 
         self.run_world(script)
--- a/tests/services/exchanges/test_instance_notices.py
+++ b/tests/services/exchanges/test_instance_notices.py
@@ -84,7 +84,7 @@
             await self.load(world, 1.0)
             self.assertTrue(server.arrived_at)
             world.directories[0].down = True
-            server.says_leaving = True
+            server.announces_leaving = True
             told = RecordedRefusals(server)
             await self.load(world, 3 * DRAIN_SECONDS)
             late = [at for at in server.arrived_at if at > told.at[0] + DRAIN_SECONDS]
@@ -99,7 +99,7 @@
             server = world.instances.servers["i1"]
             self.make_busy(world)
             await self.load(world, 1.0)
-            server.sheds_for = BACKOFF_SECONDS
+            server.requested_backoff_seconds = BACKOFF_SECONDS
             refusals = RecordedRefusals(server)
             await self.load(world, 3 * BACKOFF_SECONDS)
             self.assertTrue(refusals.at)
@@ -118,7 +118,7 @@
             server = world.instances.servers["i1"]
             self.make_busy(world)
             await self.load(world, 1.0)
-            server.sheds_for = BACKOFF_SECONDS
+            server.requested_backoff_seconds = BACKOFF_SECONDS
             refusals = RecordedRefusals(server)
             await self.load(world, 0.5)
             self.assertTrue(refusals.at)
--- a/tests/services/exchanges/test_lease_resumed.py
+++ b/tests/services/exchanges/test_lease_resumed.py
@@ -45,7 +45,7 @@
         for directory in world.directories:
             directory.down = True
         if keep_leases:
-            world.shared.model.put_off_lapses(OUTAGE_SECONDS)
+            world.shared.model.extend_leases(OUTAGE_SECONDS)
         world.shared.order_faults(FaultOrder(outage=True))
 
     def start_store(self, world):
--- a/tests/services/exchanges/test_mixed_versions.py
+++ b/tests/services/exchanges/test_mixed_versions.py
@@ -10,7 +10,7 @@
 from hopstep.domain.exchanges.nodes import MESSAGE_FORMAT_VERSION
 from hopstep.domain.exchanges.segments import SegmentKey
 from hopstep.domain.store_position import UNSPECIFIED_ERA, StorePosition
-from hopstep.ports.node_exchange import Hints, LoadingEngine, SegmentNews
+from hopstep.ports.node_exchange import Hints, LoadingEngine, SegmentUpdate
 from hopstep.ports.serving_directory import DirectoryEntry, RecordWritten
 from hopstep.services.exchanges.directory.records import NODES_PREFIX
 from tests.services.exchanges.exchange_world import ExchangeWorld
@@ -28,7 +28,7 @@
         """Apply hints on an engine from a relay of another version."""
         hints = Hints(
             (InstanceLoad(incarnation, 3, 400, 1),),
-            (SegmentNews(incarnation, (SEGMENT,), 0),),
+            (SegmentUpdate(incarnation, (SEGMENT,), 0),),
             (LoadingEngine(incarnation, 900),),
         )
         services.sharing.take_answer("n9", hints)
--- a/tests/services/exchanges/test_quarantined_requests.py
+++ b/tests/services/exchanges/test_quarantined_requests.py
@@ -237,7 +237,7 @@
     def test_clients_that_leave_do_not_count(self):
         async def script(world):
             for server in world.instances.servers.values():
-                server.behaviour = Behaviour.SILENT
+                server.behaviour = Behaviour.UNRESPONSIVE
             for _ in range(3 * TERMINATIONS_TO_REFUSE):
                 with trio.move_on_after(0.1):
                     await world.request("unsafe")
@@ -249,7 +249,7 @@
 class EvidenceTest(QuarantinedRequestsCase):
     async def disconnect_waiting(self, world, server):
         """Let a request wait at an unresponsive instance until its client disconnects."""
-        server.behaviour = Behaviour.SILENT
+        server.behaviour = Behaviour.UNRESPONSIVE
         others = [other for other in world.instances.servers.values() if other is not server]
         for other in others:
             other.instance = msgspec.structs.replace(other.instance, draining=True)
--- a/tests/services/exchanges/test_rejected_entries.py
+++ b/tests/services/exchanges/test_rejected_entries.py
@@ -130,8 +130,8 @@
             self.assertEqual(reads["unborn:1"], 0)
             for name in entries:
                 self.assertEqual(world.cache_events.reads[f"{name}:1"], reads[f"{name}:1"], name)
-                self.assertEqual(world.instances.servers[name].attempted, [], name)
-            self.assertTrue(world.instances.servers["i0"].attempted)
+                self.assertEqual(world.instances.servers[name].received_orders, [], name)
+            self.assertTrue(world.instances.servers["i0"].received_orders)
 
         self.run_world(script, service="llm", born_ms=BORN_MS)
 
@@ -146,9 +146,9 @@
             real = {entry.address: entry for entry in world.listed.values()}
             read = world.cache_events.read
 
-            async def read_and_replace(address, position, wait_seconds, hear):
+            async def read_and_replace(address, position, wait_seconds, on_notice):
                 """Replace the entry just as a read of the engine's events returns."""
-                batch = await read(address, position, wait_seconds, hear)
+                batch = await read(address, position, wait_seconds, on_notice)
                 entry = real.get(address)
                 for node in world.nodes if entry is not None else ():
                     decoy = msgspec.structs.replace(entry, address="decoy:1", born_ms=0)
--- a/tests/services/exchanges/test_resting_load.py
+++ b/tests/services/exchanges/test_resting_load.py
@@ -68,10 +68,10 @@
         await trio.sleep(begin)
         servers = self.world.instances.servers.values()
         for server in servers:
-            server.sheds_for = self.backoff_seconds
+            server.requested_backoff_seconds = self.backoff_seconds
         await trio.sleep(REFUSING_SECONDS)
         for server in servers:
-            server.sheds_for = 0.0
+            server.requested_backoff_seconds = 0.0
 
     async def call(self):
         """Send a request, and retry once at another node if the advised wait is short enough."""
--- a/tests/services/exchanges/test_restored_instances.py
+++ b/tests/services/exchanges/test_restored_instances.py
@@ -51,7 +51,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    backup = world.shared.model.copy()
+                    backup = world.shared.model.backup()
                     draining_entry = msgspec.structs.replace(world.listed["i0"], draining=True)
                     world.publish(InstanceListed(draining_entry))
                     announced_at = trio.current_time()
@@ -71,7 +71,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    backup = world.shared.model.copy()
+                    backup = world.shared.model.backup()
                     draining_entry = msgspec.structs.replace(world.listed["i0"], draining=True)
                     world.publish(InstanceListed(draining_entry))
                     announced_at = trio.current_time()
@@ -90,7 +90,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    backup = world.shared.model.copy()
+                    backup = world.shared.model.backup()
                     terminated = world.listed["i0"]
                     world.publish(InstanceRemoved("i0"))
                     await trio.sleep(1.0)
@@ -115,7 +115,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    backup = world.shared.model.copy()
+                    backup = world.shared.model.backup()
                     world.publish(InstanceRemoved("i0"))
                     await trio.sleep(1.0)
                     await world.restore_after_outage(backup, 0.5)
@@ -133,7 +133,7 @@
             with self.subTest(seed=seed):
 
                 async def script(world):
-                    backup = world.shared.model.copy()
+                    backup = world.shared.model.backup()
                     for name in ("i0", "i1", "i2"):
                         world.publish(InstanceRemoved(name))
                     for name in ("i3", "i4"):
--- a/tests/services/exchanges/test_restored_keys.py
+++ b/tests/services/exchanges/test_restored_keys.py
@@ -56,7 +56,7 @@
 
                 async def script(world):
                     await trio.sleep(2.0)
-                    backup = world.shared.model.copy()
+                    backup = world.shared.model.backup()
                     world.stop_store()
                     world.publish(ConfigurationPublished(WITHOUT_KEY))
                     revoked_at, ran = trio.current_time(), []
@@ -73,7 +73,7 @@
     async def revoke_and_back_up(self, world):
         """Revoke a key, and let all nodes receive that; return a backup from before."""
         await trio.sleep(1.0)
-        backup = world.shared.model.copy()
+        backup = world.shared.model.backup()
         world.publish(ConfigurationPublished(WITHOUT_KEY))
         await trio.sleep(3.0)
         return backup
@@ -137,7 +137,7 @@
 
                     async def script(world, restarts=restarts):
                         await trio.sleep(1.0)
-                        await world.restore_after_outage(world.shared.model.copy())
+                        await world.restore_after_outage(world.shared.model.backup())
                         if restarts:
                             world.kill_nodes()
                             for number in range(NODES):
@@ -156,7 +156,7 @@
 
                 async def script(world):
                     await trio.sleep(1.0)
-                    backup = world.shared.model.copy()
+                    backup = world.shared.model.backup()
                     world.change_configuration()
                     await trio.sleep(2.0)
                     await world.restore_after_outage(backup, 3.5)
--- a/tests/services/exchanges/test_restored_store.py
+++ b/tests/services/exchanges/test_restored_store.py
@@ -28,7 +28,7 @@
 
     async def restore_backup(self, world, before_outage=lambda: None):
         """Restore the store from a backup that lacks changes; return its revision before that."""
-        backup = world.shared.model.copy()
+        backup = world.shared.model.backup()
         world.change_configuration(LOST_CHANGES)
         before_outage()
         await trio.sleep(CALM_SECONDS)
--- a/tests/simulation/test_configuration.py
+++ b/tests/simulation/test_configuration.py
@@ -113,7 +113,7 @@
 
 async def restored_store(cluster):
     """Restore the store from a backup that lacks a change which all routers have."""
-    backup = cluster.copy_store()
+    backup = cluster.back_up_store()
     await edit(cluster)
     await trio.sleep(3)
     cluster.restore_store(backup)
--- a/tests/test_unused_modules.py
+++ b/tests/test_unused_modules.py
@@ -1,4 +1,4 @@
-"""What a node's libraries import and a node never uses isn't loaded in it."""
+"""A node doesn't load modules that its libraries import and that it never uses."""
 
 import json
 import subprocess
@@ -9,8 +9,8 @@
 
 SCRIPT = """
 import json, sys
-from hopstep.unused_modules import UnusedModuleError, leave_unused_modules_out
-leave_unused_modules_out()
+from hopstep.unused_modules import UnusedModuleError, replace_unused_modules
+replace_unused_modules()
 from hopstep.cli import node_process
 import asyncio, h2.connection
 try:
@@ -23,7 +23,7 @@
 
 
 def run_script(script):
-    """Return what a script prints in a process of its own."""
+    """Run a script in a separate process and return its decoded output."""
     command = [sys.executable, "-c", script]
     shown = subprocess.run(command, capture_output=True, text=True, check=True)  # noqa: S603
     return json.loads(shown.stdout)
