--- a/tests/adapters/test_golden_frames.py
+++ b/tests/adapters/test_golden_frames.py
@@ -1,8 +1,8 @@
 """Compatibility of messages and stored records with earlier versions, in both directions.
 
 ``golden/`` has the bytes that each message format version wrote, named by its first commit or its
-number. A change of the format adds a file, and raises ``MESSAGE_FORMAT_VERSION`` if older versions read
-less.
+number. A change of the format adds a file, and raises ``MESSAGE_FORMAT_VERSION`` if older versions
+read less.
 """
 
 import json
