--- a/hopstep/domain/routing/engine_view.py
+++ b/hopstep/domain/routing/engine_view.py
@@ -68,8 +68,8 @@
     def __init__(self) -> None:
         """Start without any facts; an engine without facts may be tried."""
         self.facts: EngineFacts | None = None
-        self.standing = AnnouncedState()
-        self._standing_incarnation = ""
+        self.announced_state = AnnouncedState()
+        self._announced_state_incarnation = ""
         self._report = LoadReport()
         self._report_at = float("-inf")
         self._dispatches: dict[str, Dispatch] = {}
@@ -98,9 +98,9 @@
 
     def update_facts(self, facts: EngineFacts, now: float) -> None:
         """Store newer facts; they end a backoff, and a new incarnation has no announced state."""
-        if self._standing_incarnation not in ("", facts.incarnation):
-            self.standing = AnnouncedState()
-        self._standing_incarnation = facts.incarnation
+        if self._announced_state_incarnation not in ("", facts.incarnation):
+            self.announced_state = AnnouncedState()
+        self._announced_state_incarnation = facts.incarnation
         self.facts = facts
         self._failures = 0
         self._avoid_until = float("-inf")
--- a/hopstep/domain/routing/routing_table.py
+++ b/hopstep/domain/routing/routing_table.py
@@ -242,7 +242,7 @@
         """Send an engine nothing for the seconds that its refusal asked for; 0 for none."""
         if seconds > 0:
             notice = InstanceNotice(backoff_seconds=min(seconds, MAX_BACKOFF_SECONDS))
-            self._view(address).standing.take(notice, now)
+            self._view(address).announced_state.take(notice, now)
 
     def admission(self, address: str, active: int, now: float) -> Admission:
         """Return whether an engine's announced state admits one more request.
@@ -255,7 +255,7 @@
         view = self._views.get(address)
         if view is None:
             return OPEN
-        return admission(AskedInstance(view.standing, active=active), Purpose.REQUEST, now)
+        return admission(AskedInstance(view.announced_state, active=active), Purpose.REQUEST, now)
 
     def record_precondition_failed(self, address: str, now: float) -> None:
         """Forget the facts of an engine that refused a precondition.
--- a/hopstep/services/exchanges/directory/directory_follower.py
+++ b/hopstep/services/exchanges/directory/directory_follower.py
@@ -139,8 +139,10 @@
                 self._note_connection(True, "")
                 await trio.sleep_until(started_at + CALL_SPACING_SECONDS)
             except StoreHistoryLostError:
-                place = self._knowledge.store_position
-                emit(log_events.DIRECTORY_HISTORY_LOST, era=place.era, revision=place.revision)
+                position = self._knowledge.store_position
+                emit(
+                    log_events.DIRECTORY_HISTORY_LOST, era=position.era, revision=position.revision
+                )
                 self._history_lost = True
             except StoreError as error:
                 self._note_connection(False, error.code.value)
--- a/hopstep/services/exchanges/directory/instance_changes.py
+++ b/hopstep/services/exchanges/directory/instance_changes.py
@@ -113,15 +113,15 @@
 
     def _remember_leaving(self, instance: Instance) -> None:
         """Remember that an incarnation shuts down, also after its entry is gone."""
-        life = str(instance.incarnation)
-        view = self._table.of_incarnation(life)
-        standing = (
+        incarnation = str(instance.incarnation)
+        view = self._table.of_incarnation(incarnation)
+        announced_state = (
             view.announced_state
             if view is not None
-            else self._table.announced_states.of_incarnation(life)
+            else self._table.announced_states.of_incarnation(incarnation)
         )
-        standing.note_leaving(trio.current_time())
-        self._table.announced_states.remember(life, standing)
+        announced_state.note_leaving(trio.current_time())
+        self._table.announced_states.remember(incarnation, announced_state)
 
     def _distrust_terminated(self, instance: Instance, origin: ChangeOrigin) -> None:
         """Distrust a known terminated incarnation for a while, unless its entry was rewritten."""
@@ -148,7 +148,9 @@
             revision=origin.position.revision,
         )
 
-    def _report_terminated(self, life: InstanceIncarnation, evidence: TerminationEvidence) -> None:
+    def _report_terminated(
+        self, incarnation: InstanceIncarnation, evidence: TerminationEvidence
+    ) -> None:
         """Call the listeners for a terminated incarnation."""
         for listener in self._termination_listeners:
-            listener(life, evidence)
+            listener(incarnation, evidence)
--- a/hopstep/services/exchanges/instances/engine_cache_watch.py
+++ b/hopstep/services/exchanges/instances/engine_cache_watch.py
@@ -76,11 +76,11 @@
             for view in knowledge.table.trusted()
             if view.versions and self._plan.watcher(view.instance) == knowledge.name
         }
-        for life in self._followed.keys() - own.keys():
-            self._followed.pop(life).cancel()
-        for life in own.keys() - self._followed.keys():
-            scope = self._followed[life] = trio.CancelScope()
-            nursery.start_soon(self._follow, own[life], scope)
+        for incarnation in self._followed.keys() - own.keys():
+            self._followed.pop(incarnation).cancel()
+        for incarnation in own.keys() - self._followed.keys():
+            scope = self._followed[incarnation] = trio.CancelScope()
+            nursery.start_soon(self._follow, own[incarnation], scope)
 
     async def _follow(self, view: InstanceView, scope: trio.CancelScope) -> None:
         """Follow one engine until its scope is cancelled."""
--- a/hopstep/services/exchanges/instances/instance_limits.py
+++ b/hopstep/services/exchanges/instances/instance_limits.py
@@ -32,14 +32,14 @@
 class HeldPermit:
     """Right to send one request to an instance; without a limit no permit is needed."""
 
-    def __init__(self, standing: AnnouncedState, now: float) -> None:
+    def __init__(self, announced_state: AnnouncedState, now: float) -> None:
         """Take a permit if the instance has a limit and this node holds one.
 
         Args:
-            standing: Announced state of the incarnation that the request is for.
+            announced_state: Announced state of the incarnation that the request is for.
             now: Steady clock, seconds.
         """
-        self._standing = standing
+        self._announced_state = announced_state
         self._until = self._take(now)
 
     def use(self, now: float) -> bool:
@@ -47,7 +47,7 @@
 
         The limit may be new, or the permit expired, since the instance was chosen.
         """
-        sends = self._standing.limited_sends
+        sends = self._announced_state.limited_sends
         if sends is None:
             return True
         if self._until is None or self._until <= now:
@@ -60,7 +60,7 @@
 
     def release(self) -> bool:
         """Return an unused permit; return whether there was one."""
-        sends, until = self._standing.limited_sends, self._until
+        sends, until = self._announced_state.limited_sends, self._until
         self._until = None
         if sends is None or until is None:
             return False
@@ -69,7 +69,7 @@
 
     def _take(self, now: float) -> float | None:
         """Take a permit; return when it expires, None if there is none."""
-        sends = self._standing.limited_sends
+        sends = self._announced_state.limited_sends
         return sends.permits.take_one(now) if sends is not None else None
 
 
@@ -113,21 +113,21 @@
         """Return what this node has sent to limited instances, and what waits for permits."""
         now = trio.current_time()
         limited = self._notices.limited()
-        usage = (sends.usage(life, now) for life, _limit, sends in limited)
+        usage = (sends.usage(incarnation, now) for incarnation, _limit, sends in limited)
         return UsageReport(tuple(each for each in usage if not each.is_empty))
 
-    def receive(self, life: str, count: int, until: float) -> None:
+    def receive(self, incarnation: str, count: int, until: float) -> None:
         """Add permits for an incarnation, and wake as many waiting requests.
 
         Args:
-            life: The incarnation, as ``str(InstanceIncarnation)``.
+            incarnation: The incarnation, as ``str(InstanceIncarnation)``.
             count: Number of permits.
             until: When they expire, by the steady clock in seconds.
         """
-        sends = self._sends(life)
+        sends = self._sends(incarnation)
         if sends is not None and count > 0:
             sends.receive(count, until, trio.current_time())
-            self._wake(life, sends)
+            self._wake(incarnation, sends)
 
     def hold(self, view: InstanceView) -> HeldPermit:
         """Return the right to send one request to an instance that was chosen."""
@@ -158,9 +158,9 @@
             for view in views
         )
 
-    def waits_for(self, life: str) -> bool:
+    def waits_for(self, incarnation: str) -> bool:
         """Return whether any request waits for a permit for an incarnation."""
-        return life in self._waiters
+        return incarnation in self._waiters
 
     def note_refused(self, views: Sequence[InstanceView]) -> None:
         """Request a permit after a request was refused without one: similar requests follow."""
@@ -220,21 +220,21 @@
             if not waiters:
                 self._waiters.pop(view.incarnation, None)
 
-    def _wake(self, life: str, sends: LimitedSends) -> None:
+    def _wake(self, incarnation: str, sends: LimitedSends) -> None:
         """Wake as many waiting requests as there are permits."""
-        while sends.free(trio.current_time()) > 0 and self._wake_next(life, sends):
+        while sends.free(trio.current_time()) > 0 and self._wake_next(incarnation, sends):
             pass
 
-    def _wake_all(self, life: str) -> None:
+    def _wake_all(self, incarnation: str) -> None:
         """Wake all requests that wait for an incarnation whose limit was lifted."""
-        view = self._knowledge.table.of_incarnation(life)
+        view = self._knowledge.table.of_incarnation(incarnation)
         sends = view.announced_state.sends if view is not None else None
-        while sends is not None and self._wake_next(life, sends):
+        while sends is not None and self._wake_next(incarnation, sends):
             pass
 
-    def _wake_next(self, life: str, sends: LimitedSends) -> bool:
+    def _wake_next(self, incarnation: str, sends: LimitedSends) -> bool:
         """Wake the request that is served next; return False when none waits."""
-        waiter = self._next(life)
+        waiter = self._next(incarnation)
         if waiter is None:
             return False
         waiter.woken.set()
@@ -242,9 +242,9 @@
         sends.waiting -= 1
         return True
 
-    def _next(self, life: str) -> _Waiter | None:
+    def _next(self, incarnation: str) -> _Waiter | None:
         """Return the waiter that is served next; None when none waits."""
-        waiting = [w for w in self._waiters.get(life, ()) if not w.woken.is_set()]
+        waiting = [w for w in self._waiters.get(incarnation, ()) if not w.woken.is_set()]
         if not waiting:
             return None
         self._served += 1
@@ -279,7 +279,7 @@
         limit = max(view.announced_state.limit.per_second, MIN_LIMIT_PER_SECOND)
         return limit / (1 + len(self._waiters.get(view.incarnation, ())))
 
-    def _sends(self, life: str) -> LimitedSends | None:
+    def _sends(self, incarnation: str) -> LimitedSends | None:
         """Return what is sent to an incarnation, if it is listed and has a limit."""
-        view = self._knowledge.table.of_incarnation(life)
+        view = self._knowledge.table.of_incarnation(incarnation)
         return view.announced_state.limited_sends if view is not None else None
--- a/hopstep/services/exchanges/instances/instance_notices.py
+++ b/hopstep/services/exchanges/instances/instance_notices.py
@@ -58,12 +58,12 @@
     """An incarnation with a rate limit.
 
     Attributes:
-        life: The incarnation, as ``str(InstanceIncarnation)``.
+        incarnation: The incarnation, as ``str(InstanceIncarnation)``.
         per_second: Requests per second from all nodes together.
         sends: Requests that this node has sent, and its permits.
     """
 
-    life: str
+    incarnation: str
     per_second: float
     sends: LimitedSends
 
@@ -81,7 +81,7 @@
         self._table = table
         self._count = count
         self._limits: dict[str, AnnouncedState] = {}
-        self._on_lifted: Callable[[str], None] = lambda _life: None
+        self._on_lifted: Callable[[str], None] = lambda _incarnation: None
 
     def follow_lifted(self, listener: Callable[[str], None]) -> None:
         """Call a listener with each incarnation whose limit was lifted."""
@@ -123,27 +123,27 @@
                 rest_ms=rest_ms,
             )
 
-    def take_leaving_report(self, life: str, since: float, node: str) -> None:
+    def take_leaving_report(self, incarnation: str, since: float, node: str) -> None:
         """Apply another node's report that an incarnation is shutting down.
 
         The incarnation may be unknown here: a node that has just started may read its entry later.
 
         Args:
-            life: The incarnation, as ``str(InstanceIncarnation)``.
+            incarnation: The incarnation, as ``str(InstanceIncarnation)``.
             since: When it first announced it, by this node's steady clock in seconds.
             node: Name of the reporting node.
         """
-        view = self._table.of_incarnation(life)
-        standing = (
+        view = self._table.of_incarnation(incarnation)
+        announced_state = (
             view.announced_state
             if view is not None
-            else self._table.announced_states.of_incarnation(life)
+            else self._table.announced_states.of_incarnation(incarnation)
         )
-        is_new = standing.note_leaving(since)
-        self._table.announced_states.remember(life, standing)
+        is_new = announced_state.note_leaving(since)
+        self._table.announced_states.remember(incarnation, announced_state)
         if is_new:
             age_ms = round((trio.current_time() - since) * MILLISECONDS)
-            self._note_leaving(life, node, age_ms)
+            self._note_leaving(incarnation, node, age_ms)
 
     def leaving_reports(self) -> list[tuple[str, float]]:
         """Return the latest incarnations to announce a shutdown while their entry says ``ready``.
@@ -154,15 +154,15 @@
             Each incarnation, and when it announced it, by the steady clock in seconds.
         """
         leaving = [
-            (life, standing.leaving_since)
-            for life, standing in self._table.announced_states
-            if standing.leaving_since is not None and self._is_listed_ready(life)
+            (incarnation, announced_state.leaving_since)
+            for incarnation, announced_state in self._table.announced_states
+            if announced_state.leaving_since is not None and self._is_listed_ready(incarnation)
         ]
         return leaving[-MAX_REPORTED_INCARNATIONS:]
 
-    def _is_listed_ready(self, life: str) -> bool:
+    def _is_listed_ready(self, incarnation: str) -> bool:
         """Return whether an incarnation is listed, and not as shutting down."""
-        view = self._table.of_incarnation(life)
+        view = self._table.of_incarnation(incarnation)
         return view is not None and not view.instance.draining
 
     def take_limit_report(self, report: LimitedInstance, node: str) -> None:
@@ -178,90 +178,96 @@
         asked_at = now - report.request_age_ms / MILLISECONDS - NODE_MESSAGE_SECONDS
         times = HeadTimes(asked_at, now - report.response_age_ms / MILLISECONDS)
         view = self._table.of_incarnation(report.incarnation)
-        standing = (
+        announced_state = (
             view.announced_state
             if view is not None
             else self._table.announced_states.of_incarnation(report.incarnation)
         )
-        previous = standing.limit.per_second
-        if standing.take_limit(announced, times):
-            self._table.announced_states.remember(report.incarnation, standing)
-            self._note_limit(report.incarnation, standing, previous, node)
+        previous = announced_state.limit.per_second
+        if announced_state.take_limit(announced, times):
+            self._table.announced_states.remember(report.incarnation, announced_state)
+            self._note_limit(report.incarnation, announced_state, previous, node)
 
     def limited(self) -> list[LimitedIncarnation]:
         """Return the listed incarnations that have a limit."""
         return [
-            LimitedIncarnation(life, standing.limit.per_second, standing.sends)
-            for life, standing in self._limits.items()
-            if standing.limit.is_set
-            and standing.sends
-            and self._table.of_incarnation(life) is not None
+            LimitedIncarnation(incarnation, announced_state.limit.per_second, announced_state.sends)
+            for incarnation, announced_state in self._limits.items()
+            if announced_state.limit.is_set
+            and announced_state.sends
+            and self._table.of_incarnation(incarnation) is not None
         ]
 
     def limit_reports(self) -> tuple[LimitedInstance, ...]:
         """Return the limits to report to other nodes: those in force or recently lifted."""
         now = trio.current_time()
         self._limits = {
-            life: standing
-            for life, standing in self._limits.items()
-            if self._is_worth_reporting(life, standing, now)
+            incarnation: announced_state
+            for incarnation, announced_state in self._limits.items()
+            if self._is_worth_reporting(incarnation, announced_state, now)
         }
         reported = list(self._limits.items())[-MAX_REPORTED_INCARNATIONS:]
-        return tuple(_limit_report(life, standing, now) for life, standing in reported)
+        return tuple(
+            _limit_report(incarnation, announced_state, now)
+            for incarnation, announced_state in reported
+        )
 
-    def _is_worth_reporting(self, life: str, standing: AnnouncedState, now: float) -> bool:
+    def _is_worth_reporting(
+        self, incarnation: str, announced_state: AnnouncedState, now: float
+    ) -> bool:
         """Return whether other nodes may still need the report of a limit or of its end."""
-        heard_seconds = now - standing.limit.times.before
-        if not standing.limit.is_set:
+        heard_seconds = now - announced_state.limit.times.before
+        if not announced_state.limit.is_set:
             return heard_seconds < LIFTED_REPORT_SECONDS
         return (
-            self._table.of_incarnation(life) is not None or heard_seconds < UNLISTED_REPORT_SECONDS
+            self._table.of_incarnation(incarnation) is not None
+            or heard_seconds < UNLISTED_REPORT_SECONDS
         )
 
     def _note_limit(
-        self, life: str, standing: AnnouncedState, previous: float, source: str
+        self, incarnation: str, announced_state: AnnouncedState, previous: float, source: str
     ) -> None:
         """Log and count that an incarnation's limit was changed or lifted."""
-        self._limits[life] = standing
-        view = self._table.of_incarnation(life)
-        limit = standing.limit.per_second
-        age_ms = round((trio.current_time() - standing.limit.times.before) * MILLISECONDS)
+        self._limits[incarnation] = announced_state
+        view = self._table.of_incarnation(incarnation)
+        limit = announced_state.limit.per_second
+        age_ms = round((trio.current_time() - announced_state.limit.times.before) * MILLISECONDS)
         self._count(LIMIT, PEER_SOURCE if source != ANSWER_SOURCE else source)
         emit(
             log_events.INSTANCE_LIMIT_CHANGED,
-            instance=instance_id_of(life),
-            life=life,
+            instance=instance_id_of(incarnation),
+            life=incarnation,
             service=view.instance.service if view is not None else "",
             limit=_shown(limit),
             previous=_shown(previous),
             source=source,
             age_ms=age_ms,
         )
-        if not standing.limit.is_set:
-            self._on_lifted(life)
+        if not announced_state.limit.is_set:
+            self._on_lifted(incarnation)
 
-    def _note_leaving(self, life: str, source: str, age_ms: int) -> None:
+    def _note_leaving(self, incarnation: str, source: str, age_ms: int) -> None:
         """Log and count that an instance has announced its shutdown."""
-        view = self._table.of_incarnation(life)
+        view = self._table.of_incarnation(incarnation)
         self._count(LEAVING, PEER_SOURCE if source != ANSWER_SOURCE else source)
         emit(
             log_events.INSTANCE_SAYS_LEAVING,
-            instance=instance_id_of(life),
-            life=life,
+            instance=instance_id_of(incarnation),
+            life=incarnation,
             service=view.instance.service if view is not None else "",
             source=source,
             age_ms=age_ms,
         )
 
 
-def _limit_report(life: str, standing: AnnouncedState, now: float) -> LimitedInstance:
+def _limit_report(incarnation: str, announced_state: AnnouncedState, now: float) -> LimitedInstance:
     """Return the report of a limit for other nodes."""
-    limit = standing.limit
+    limit = announced_state.limit
     milli = round(limit.per_second * MILLI) if limit.is_set else LIMIT_LIFTED
     asked_seconds = min(MAX_REPORTED_SECONDS, now - limit.times.after)
     heard_seconds = now - limit.times.before
     return LimitedInstance(
-        life, milli, round(asked_seconds * MILLISECONDS), round(heard_seconds * MILLISECONDS)
+        incarnation, milli, round(asked_seconds * MILLISECONDS), round(heard_seconds * MILLISECONDS)
     )
 
 
--- a/hopstep/services/exchanges/peers/relaying.py
+++ b/hopstep/services/exchanges/peers/relaying.py
@@ -160,15 +160,15 @@
         pending = PendingQuery(node, trio.current_time(), hints is not None)
         self._pending.add(self._number, pending)
         self._knowledge.relays.note_asked(node)
-        place = self._knowledge.store_position
+        position = self._knowledge.store_position
         query = RelayQuery(
             self._number,
-            place.revision,
+            position.revision,
             self._log_identity,
             self._log_position,
             hints,
             contents,
-            place.era,
+            position.era,
             self._documents.configuration_version,
             self._knowledge.weights.digest,
         )
--- a/tests/services/exchanges/emulated_directory.py
+++ b/tests/services/exchanges/emulated_directory.py
@@ -45,12 +45,12 @@
 
 def read_entry(stored, era=UNSPECIFIED_ERA):
     """Return the entry of a stored value; records of nodes are stored without encoding."""
-    key, value, place = stored.key, stored.value, StorePosition(era, stored.version)
+    key, value, position = stored.key, stored.value, StorePosition(era, stored.version)
     if not key.startswith(PUBLISHED_PREFIXES):
-        return DirectoryEntry(key, place, RecordWritten(key, value, place))
+        return DirectoryEntry(key, position, RecordWritten(key, value, position))
     if not value:
-        return DirectoryEntry(key, place, InstanceRemoved(key.removeprefix(INSTANCES_PREFIX)))
-    return DirectoryEntry(key, place, msgspec.msgpack.decode(value, type=DirectoryChange))
+        return DirectoryEntry(key, position, InstanceRemoved(key.removeprefix(INSTANCES_PREFIX)))
+    return DirectoryEntry(key, position, msgspec.msgpack.decode(value, type=DirectoryChange))
 
 
 class EmulatedDirectory(ServingDirectory):
--- a/tests/services/exchanges/test_instance_notices.py
+++ b/tests/services/exchanges/test_instance_notices.py
@@ -85,9 +85,9 @@
             self.assertTrue(server.arrived_at)
             world.directories[0].down = True
             server.announces_leaving = True
-            told = RecordedRefusals(server)
+            recorded_refusals = RecordedRefusals(server)
             await self.load(world, 3 * DRAIN_SECONDS)
-            late = [at for at in server.arrived_at if at > told.at[0] + DRAIN_SECONDS]
+            late = [at for at in server.arrived_at if at > recorded_refusals.at[0] + DRAIN_SECONDS]
             self.assertEqual(late, [])
 
         world.run(script)
@@ -217,13 +217,13 @@
         async def script(world):
             for instance_id in INSTANCES:
                 self.announce_leaving(world, instance_id)
-            told_at = trio.current_time()
+            announced_at = trio.current_time()
             answers = await self.load(world, DRAIN_SECONDS)
             arrived = [
                 at for server in world.instances.servers.values() for at in server.arrived_at
             ]
             self.assertTrue(arrived)
-            self.assertLess(max(arrived), told_at + DRAIN_SECONDS)
+            self.assertLess(max(arrived), announced_at + DRAIN_SECONDS)
             refused = [answer for answer in answers if answer.error is not None]
             self.assertTrue(refused)
             self.assertTrue(all(answer.promised_not_run for answer in refused))
@@ -236,13 +236,13 @@
         async def script(world):
             ended = []
             world.nodes[0].knowledge.instances.subscribe_terminations(
-                lambda life, _evidence: ended.append(life)
+                lambda incarnation, _evidence: ended.append(incarnation)
             )
             self.announce_leaving(world)
             for instance_id in INSTANCES[:2]:
                 world.publish(InstanceRemoved(instance_id))
             await trio.sleep(3.0)
-            self.assertEqual([life.instance_id for life in ended], ["i2"])
+            self.assertEqual([incarnation.instance_id for incarnation in ended], ["i2"])
 
         world.run(script)
 
--- a/tests/services/exchanges/test_mixed_versions.py
+++ b/tests/services/exchanges/test_mixed_versions.py
@@ -66,10 +66,10 @@
             record = json.dumps({"address": "10.0.0.9:1", "zone": "z1", "key": "aw=="}).encode()
             with structlog.testing.capture_logs() as lines:
                 for revision, value in ((98, record), (99, b"")):
-                    place = StorePosition(UNSPECIFIED_ERA, revision)
-                    written = RecordWritten(f"{NODES_PREFIX}n9", value, place)
-                    entry = DirectoryEntry(written.key, place, written)
-                    knowledge.apply_entries([LoggedChange(entry.key, place, entry, 0.0)], "n8")
+                    position = StorePosition(UNSPECIFIED_ERA, revision)
+                    written = RecordWritten(f"{NODES_PREFIX}n9", value, position)
+                    entry = DirectoryEntry(written.key, position, written)
+                    knowledge.apply_entries([LoggedChange(entry.key, position, entry, 0.0)], "n8")
             logged = [line for line in lines if line["event"] == "node_forms_changed"]
             own = knowledge.record.form
             self.assertEqual(own, MESSAGE_FORMAT_VERSION)
